--- /dev/null
+++ b/daemon/src/test/java/org/bankturn/daemon/wire/EarlierFormatTest.java
@@ -0,0 +1,71 @@
+package org.bankturn.daemon.wire;
+
+import static org.assertj.core.api.Assertions.assertThat;
+
+import java.io.IOException;
+import java.io.InputStream;
+import java.util.Arrays;
+import java.util.List;
+import java.util.stream.Stream;
+import org.bankturn.agreement.AgreementMessage;
+import org.bankturn.agreement.Snapshot;
+import org.bankturn.codec.MessagePackCodec;
+import org.bankturn.publication.PublicationCommand;
+import org.bankturn.publication.PublicationState;
+import org.bankturn.publication.PublicationUpdate;
+import org.bankturn.state.ReplicatedState;
+import org.bankturn.state.command.Command;
+import org.bankturn.state.command.CommandResult;
+import org.bankturn.state.query.ShowReply;
+import org.bankturn.state.query.StatusReply;
+import org.bankturn.storage.AgreementStorage;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.Arguments;
+import org.junit.jupiter.params.provider.MethodSource;
+
+/** A record component that is renamed without keeping its outer name loses stored and received data silently. */
+class EarlierFormatTest {
+    private record Samples(List<byte[]> messages) {}
+
+    static Stream<Arguments> writtenTypes() {
+        return Stream.of(
+                Arguments.of("agreement", AgreementMessage.class),
+                Arguments.of("agreement-snapshot", Snapshot.class),
+                Arguments.of("command", Command.class),
+                Arguments.of("command-result", CommandResult.class),
+                Arguments.of("frame", Frame.class),
+                Arguments.of("log-record", recordIn(AgreementStorage.class)),
+                Arguments.of("node-reply", NodeReply.class),
+                Arguments.of("node-request", NodeRequest.class),
+                Arguments.of("publication", PublicationCommand.class),
+                Arguments.of("publication-state", recordIn(PublicationState.class)),
+                Arguments.of("publication-update", PublicationUpdate.class),
+                Arguments.of("replicated-state", recordIn(ReplicatedState.class)),
+                Arguments.of("show-reply", ShowReply.class),
+                Arguments.of("status-reply", StatusReply.class));
+    }
+
+    @ParameterizedTest(name = "{0}")
+    @MethodSource("writtenTypes")
+    void bytes_of_an_earlier_build_are_read_whole_and_written_the_same(String file, Class<?> type) throws IOException {
+        MessagePackCodec codec = MessagePackCodec.instance();
+        List<byte[]> messages = codec.decode(read(file), Samples.class).messages();
+        assertThat(messages).isNotEmpty();
+        for (byte[] message : messages) {
+            assertThat(codec.encode(codec.decode(message, type))).isEqualTo(message);
+        }
+    }
+
+    private static byte[] read(String file) throws IOException {
+        try (InputStream stream = EarlierFormatTest.class.getResourceAsStream("/earlier-format/" + file + ".msgpack")) {
+            return stream.readAllBytes();
+        }
+    }
+
+    private static Class<?> recordIn(Class<?> owner) {
+        return Arrays.stream(owner.getDeclaredClasses())
+                .filter(Class::isRecord)
+                .findFirst()
+                .orElseThrow();
+    }
+}
