--- a/core/src/main/java/org/bankturn/routing/BreakOffCost.java
+++ b/core/src/main/java/org/bankturn/routing/InterruptionCost.java
@@ -12,14 +12,14 @@
  *
  * <p>BreakOffCost has no state.
  */
-public final class BreakOffCost {
+public final class InterruptionCost {
     /**
      * What being cut counts, in objectives. Replays of a rolling change, 6 seeds: 0, 0.5, 1, 2 and 4 had 0.063, 0.040, 0.032,
      * 0.027 and 0.024 of the sends cut, and 0.617, 0.661, 0.617, 0.570 and 0.543 in time in the worst second.
      */
     private static final double OBJECTIVES = 0.5;
 
-    private BreakOffCost() {}
+    private InterruptionCost() {}
 
     /**
      * Returns the cost.
