--- a/core/src/main/java/org/bankturn/routing/ChoiceComparison.java
+++ b/core/src/main/java/org/bankturn/routing/CandidateSelector.java
@@ -14,7 +14,7 @@
  *
  * <p>ChoiceComparison is not thread-safe, as its random numbers are not.
  */
-final class ChoiceComparison {
+final class CandidateSelector {
     private final Clock clock;
     private final PlacementSettings settings;
     private final UniformRandomProvider random;
@@ -22,7 +22,7 @@
     /** A choice and its prediction as spread at random, in milliseconds. */
     private record Weighed(Choice choice, double cost) {}
 
-    ChoiceComparison(Clock clock, PlacementSettings settings, UniformRandomProvider random) {
+    CandidateSelector(Clock clock, PlacementSettings settings, UniformRandomProvider random) {
         this.clock = clock;
         this.settings = settings;
         this.random = random;
--- a/core/src/main/java/org/bankturn/routing/TargetTable.java
+++ b/core/src/main/java/org/bankturn/routing/TargetTable.java
@@ -40,7 +40,7 @@
     private final Clock clock;
     private final String dataHall;
     private final PlacementSettings settings;
-    private final ChoiceComparison comparison;
+    private final CandidateSelector comparison;
     private final Map<String, TargetState> targets = new HashMap<>();
     private final Map<String, List<TargetState>> byService = new HashMap<>();
     private final RememberedTerms remembered = new RememberedTerms();
@@ -99,7 +99,7 @@
         this.clock = clock;
         this.dataHall = dataHall;
         this.settings = settings;
-        this.comparison = new ChoiceComparison(clock, settings, random);
+        this.comparison = new CandidateSelector(clock, settings, random);
         this.openQuestions = OpenQuestions.none(clock);
     }
 
