--- a/core/src/main/java/org/bankturn/routing/CandidateSelector.java
+++ b/core/src/main/java/org/bankturn/routing/CandidateSelector.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.Optional;
 import org.apache.commons.rng.UniformRandomProvider;
-import org.bankturn.routing.TargetTable.Choice;
+import org.bankturn.routing.TargetTable.Candidate;
 import org.bankturn.routing.TargetTable.Wanted;
 import org.bankturn.time.Clock;
 
@@ -20,7 +20,7 @@
     private final UniformRandomProvider random;
 
     /** A choice and its prediction as spread at random, in milliseconds. */
-    private record Weighed(Choice choice, double cost) {}
+    private record Weighed(Candidate choice, double cost) {}
 
     CandidateSelector(Clock clock, PlacementSettings settings, UniformRandomProvider random) {
         this.clock = clock;
@@ -29,7 +29,7 @@
     }
 
     /** Returns the best of the candidates; one that is avoided only if there is no other. */
-    Optional<Choice> best(Candidates candidates, Wanted wanted) {
+    Optional<Candidate> best(Candidates candidates, Wanted wanted) {
         return withPermit(candidates, wanted)
                 .or(() -> likelyFirst(candidates, wanted))
                 .or(() -> leastOf(candidates.avoided, Integer.MAX_VALUE).map(Weighed::choice));
@@ -39,14 +39,14 @@
      * Returns a target of the own data hall for which there is a permit, if a request begins comfortably in time there. What it
      * offers would be lost otherwise, and the end of its limit would go unnoticed while others look a little better.
      */
-    private Optional<Choice> withPermit(Candidates candidates, Wanted wanted) {
+    private Optional<Candidate> withPermit(Candidates candidates, Wanted wanted) {
         return candidates.near.stream()
                 .filter(choice -> choice.target().rateLimit().inForce())
                 .filter(choice -> isComfortable(choice, wanted))
                 .findAny();
     }
 
-    private Optional<Choice> likelyFirst(Candidates candidates, Wanted wanted) {
+    private Optional<Candidate> likelyFirst(Candidates candidates, Wanted wanted) {
         Optional<Weighed> drawn = leastOf(freshOf(candidates.near), settings.drawn());
         if (drawn.isPresent() && isComfortable(drawn.get().choice(), wanted)) {
             return drawn.map(Weighed::choice);
@@ -65,23 +65,23 @@
     }
 
     /** Returns true if a request begins early enough there to stay in its data hall whatever others offer. */
-    boolean isComfortable(Choice choice, Wanted wanted) {
+    boolean isComfortable(Candidate choice, Wanted wanted) {
         return choice.weighedMillis() <= wanted.objectiveMillis() * settings.comfortableShare();
     }
 
     /** Returns those of which there is fresh news, all if there is of none. */
-    private List<Choice> freshOf(List<Choice> choices) {
+    private List<Candidate> freshOf(List<Candidate> choices) {
         long now = clock.millis();
-        List<Choice> fresh = new ArrayList<>(choices);
+        List<Candidate> fresh = new ArrayList<>(choices);
         fresh.removeIf(choice -> choice.target().newsMillis(now) > settings.freshMillis());
         return settings.asked() == 0 || fresh.isEmpty() ? choices : fresh;
     }
 
     /** Returns the least of some that are drawn, each prediction spread at random. */
-    private Optional<Weighed> leastOf(List<Choice> choices, int drawn) {
+    private Optional<Weighed> leastOf(List<Candidate> choices, int drawn) {
         draw(choices, drawn);
         Weighed least = null;
-        for (Choice choice : choices.subList(0, Math.min(drawn, choices.size()))) {
+        for (Candidate choice : choices.subList(0, Math.min(drawn, choices.size()))) {
             double cost = choice.weighedMillis() * (1 + settings.spread() * random.nextDouble());
             if (least == null || cost < least.cost()) {
                 least = new Weighed(choice, cost);
@@ -91,7 +91,7 @@
     }
 
     /** Moves some that are drawn at random to the front. */
-    void draw(List<Choice> choices, int drawn) {
+    void draw(List<Candidate> choices, int drawn) {
         for (int index = 0; index < drawn && index < choices.size() - 1; index++) {
             Collections.swap(choices, index, index + random.nextInt(choices.size() - index));
         }
--- a/core/src/main/java/org/bankturn/routing/Candidates.java
+++ b/core/src/main/java/org/bankturn/routing/Candidates.java
@@ -2,7 +2,7 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import org.bankturn.routing.TargetTable.Choice;
+import org.bankturn.routing.TargetTable.Candidate;
 
 /**
  * The targets that may take one request, by what is known of them, and those that could but are held back.
@@ -10,10 +10,10 @@
  * <p>Candidates is mutable and not thread-safe.
  */
 final class Candidates {
-    final List<Choice> near = new ArrayList<>();
-    final List<Choice> far = new ArrayList<>();
-    final List<Choice> unwatched = new ArrayList<>();
-    final List<Choice> avoided = new ArrayList<>();
+    final List<Candidate> near = new ArrayList<>();
+    final List<Candidate> far = new ArrayList<>();
+    final List<Candidate> unwatched = new ArrayList<>();
+    final List<Candidate> avoided = new ArrayList<>();
     final List<TargetState> heldBackNear = new ArrayList<>();
     final List<TargetState> heldBackFar = new ArrayList<>();
 }
--- a/core/src/main/java/org/bankturn/routing/NextStep.java
+++ b/core/src/main/java/org/bankturn/routing/NextStep.java
@@ -30,7 +30,7 @@
      * @param choice the target and what is predicted there, not null
      * @param leastVersion the oldest version of the weights that may run it, 0 for any
      */
-    record Send(TargetTable.Choice choice, int leastVersion) implements NextStep {}
+    record Send(TargetTable.Candidate choice, int leastVersion) implements NextStep {}
 
     /**
      * Gives it up: its final answer goes out at once.
--- a/core/src/main/java/org/bankturn/routing/RequestPolicy.java
+++ b/core/src/main/java/org/bankturn/routing/RequestPolicy.java
@@ -6,7 +6,7 @@
 import java.util.Optional;
 import java.util.OptionalInt;
 import org.apache.commons.rng.UniformRandomProvider;
-import org.bankturn.routing.TargetTable.Choice;
+import org.bankturn.routing.TargetTable.Candidate;
 import org.bankturn.routing.TargetTable.Wanted;
 import org.bankturn.service.Route;
 import org.bankturn.service.Service;
@@ -122,7 +122,7 @@
      * @param choice the target that has it, not null
      * @param heardMillis when the request was sent, or something came for it last
      */
-    public long silenceMillis(RequestProgress request, Choice choice, long heardMillis) {
+    public long silenceMillis(RequestProgress request, Candidate choice, long heardMillis) {
         boolean atWork = choice.target().isAtWork(clock.millis(), heardMillis);
         return request.lastEvent() == null
                 ? SilenceBound.beforeFirstMillis(request.route().objectiveMillis(), choice.predictedMillis(), atWork)
@@ -167,7 +167,7 @@
         if (request.askedElsewhere()) {
             return Optional.empty();
         }
-        Optional<Choice> known = targets.choose(wanted);
+        Optional<Candidate> known = targets.choose(wanted);
         if (known.isPresent() && targets.staysHere(known.get(), wanted)) {
             return Optional.empty();
         }
@@ -177,7 +177,7 @@
     }
 
     private NextStep place(RequestProgress request) {
-        Optional<Choice> choice = choose(request);
+        Optional<Candidate> choice = choose(request);
         if (choice.isEmpty()) {
             Optional<NextStep> wait = awaitPermit(request);
             if (wait.isPresent()) {
@@ -255,12 +255,12 @@
         return new NextStep.GiveUp(reason, ComeBack.TO_ANOTHER_GATEWAY_MILLIS);
     }
 
-    private NextStep.Send send(RequestProgress request, Choice choice) {
+    private NextStep.Send send(RequestProgress request, Candidate choice) {
         request.chosen(choice.target().sighting().id());
         return new NextStep.Send(choice, Math.max(0, leastVersion(request.service())));
     }
 
-    private Optional<Choice> choose(RequestProgress request) {
+    private Optional<Candidate> choose(RequestProgress request) {
         return targets.choose(wanted(request));
     }
 
@@ -276,7 +276,7 @@
     }
 
     /** Returns true if even the chosen target would begin so late that the request is better refused now. */
-    private boolean isTooLate(RequestProgress request, Choice choice) {
+    private boolean isTooLate(RequestProgress request, Candidate choice) {
         Service service = request.service();
         if (service.engine() == null) {
             return false;
--- a/core/src/main/java/org/bankturn/routing/TargetTable.java
+++ b/core/src/main/java/org/bankturn/routing/TargetTable.java
@@ -75,7 +75,7 @@
      * @param wayMillis the part of it that is the way there and back
      * @param breakOffMillis what counts beside it, because the target will soon break off what it runs
      */
-    public record Choice(TargetState target, double predictedMillis, long wayMillis, double breakOffMillis) {
+    public record Candidate(TargetState target, double predictedMillis, long wayMillis, double breakOffMillis) {
         /** Returns what is compared, in milliseconds. */
         double weighedMillis() {
             return predictedMillis + breakOffMillis;
@@ -193,11 +193,11 @@
         }
         long now = clock.millis();
         Candidates candidates = candidates(wanted, now, false);
-        List<Choice> pool = elsewhere ? candidates.far : candidates.near;
+        List<Candidate> pool = elsewhere ? candidates.far : candidates.near;
         int fresh = (int) pool.stream()
                 .filter(choice -> choice.target().newsMillis(now) <= settings.freshMillis())
                 .count();
-        List<Choice> stale = new ArrayList<>(pool);
+        List<Candidate> stale = new ArrayList<>(pool);
         stale.removeIf(choice -> choice.target().newsMillis(now) <= settings.freshMillis());
         comparison.draw(stale, settings.asked() - fresh);
         return stale.stream()
@@ -210,9 +210,9 @@
      * Returns the target that is likely to begin first of those compared; one that is avoided only if there is no other, one
      * that is held back never.
      */
-    public Optional<Choice> choose(Wanted wanted) {
+    public Optional<Candidate> choose(Wanted wanted) {
         Candidates candidates = candidates(wanted, clock.millis(), true);
-        Optional<Choice> choice = comparison.best(candidates, wanted);
+        Optional<Candidate> choice = comparison.best(candidates, wanted);
         wantPermits(candidates.heldBackNear);
         if (choice.isEmpty() || !staysHere(choice.get(), wanted)) {
             wantPermits(candidates.heldBackFar);
@@ -304,7 +304,7 @@
         long way = Math.max(
                 state.pathMillis(), openQuestions.wayMillis(state.sighting().id()));
         double predicted = predictedMillis(state, wanted, now) + way;
-        Choice choice = new Choice(state, predicted, way, breakOffMillis(state, wanted, now, predicted));
+        Candidate choice = new Candidate(state, predicted, way, breakOffMillis(state, wanted, now, predicted));
         double unknownMillis = sends ? unknownPathMillis(state, wanted, now) : 0;
         if (!wanted.due().mayBegin(state.heldVersion(), now, choice.predictedMillis() + unknownMillis)) {
             return;
@@ -336,7 +336,7 @@
     }
 
     /** Returns true if the target is in the own data hall and a request begins comfortably in time there. */
-    public boolean staysHere(Choice choice, Wanted wanted) {
+    public boolean staysHere(Candidate choice, Wanted wanted) {
         return isNear(choice.target()) && comparison.isComfortable(choice, wanted);
     }
 
--- a/core/src/test/java/org/bankturn/routing/TargetTableTest.java
+++ b/core/src/test/java/org/bankturn/routing/TargetTableTest.java
@@ -9,7 +9,7 @@
 import java.util.Set;
 import org.apache.commons.rng.simple.RandomSource;
 import org.bankturn.registry.TargetSighting;
-import org.bankturn.routing.TargetTable.Choice;
+import org.bankturn.routing.TargetTable.Candidate;
 import org.bankturn.routing.TargetTable.Wanted;
 import org.bankturn.service.EngineModel;
 import org.bankturn.service.Service;
@@ -78,7 +78,7 @@
     @Test
     void a_target_that_failed_is_taken_only_if_there_is_no_other() {
         add("failed", "here");
-        Choice only = table.choose(wanted()).orElseThrow();
+        Candidate only = table.choose(wanted()).orElseThrow();
         only.target().failed(clock.millis());
         assertThat(chosen()).isEqualTo("failed");
         add("other", "there");
@@ -209,7 +209,7 @@
 
     private TargetState state(String id) {
         return table.choose(wanted())
-                .map(Choice::target)
+                .map(Candidate::target)
                 .filter(each -> each.sighting().id().equals(id))
                 .orElseThrow();
     }
--- a/daemon/src/main/java/org/bankturn/daemon/gateway/Attempt.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/Attempt.java
@@ -17,7 +17,7 @@
 import org.bankturn.routing.HeldBack;
 import org.bankturn.routing.NoticeChange;
 import org.bankturn.routing.TargetState;
-import org.bankturn.routing.TargetTable.Choice;
+import org.bankturn.routing.TargetTable.Candidate;
 import org.bankturn.service.Route;
 
 /**
@@ -39,7 +39,7 @@
     private final Route route;
     private final ServerExchange exchange;
     private final TargetState target;
-    private final Choice choice;
+    private final Candidate choice;
     private final int version;
     private final long beganMillis;
     private final ByteArrayOutputStream content = new ByteArrayOutputStream();
@@ -53,7 +53,7 @@
     private long sentMillis;
     private long firstEventMillis;
 
-    Attempt(ForwardedRequest request, Gateway gateway, Choice choice, int version) {
+    Attempt(ForwardedRequest request, Gateway gateway, Candidate choice, int version) {
         this.request = request;
         this.gateway = gateway;
         this.terms = request.terms();
--- a/daemon/src/main/java/org/bankturn/daemon/gateway/SilenceWatch.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/SilenceWatch.java
@@ -6,7 +6,7 @@
 import org.bankturn.daemon.observe.ServingMetrics;
 import org.bankturn.routing.ConnectionTrust;
 import org.bankturn.routing.TargetState;
-import org.bankturn.routing.TargetTable.Choice;
+import org.bankturn.routing.TargetTable.Candidate;
 
 /**
  * Notices that nothing comes any more for a request that a target has.
@@ -21,7 +21,7 @@
 
     private final Gateway gateway;
     private final ForwardedRequest request;
-    private final Choice choice;
+    private final Candidate choice;
     private final TargetConnection connection;
     private final Runnable takeAway;
     private final ConnectionTrust.Wait wait;
@@ -41,14 +41,22 @@
      * @param takeAway is run when the request may be repeated and should go to another target, not null
      */
     static SilenceWatch start(
-            Gateway gateway, ForwardedRequest request, Choice choice, TargetConnection connection, Runnable takeAway) {
+            Gateway gateway,
+            ForwardedRequest request,
+            Candidate choice,
+            TargetConnection connection,
+            Runnable takeAway) {
         SilenceWatch watch = new SilenceWatch(gateway, request, choice, connection, takeAway);
         watch.checkLater(watch.boundMillis());
         return watch;
     }
 
     private SilenceWatch(
-            Gateway gateway, ForwardedRequest request, Choice choice, TargetConnection connection, Runnable takeAway) {
+            Gateway gateway,
+            ForwardedRequest request,
+            Candidate choice,
+            TargetConnection connection,
+            Runnable takeAway) {
         this.gateway = gateway;
         this.request = request;
         this.choice = choice;
--- a/standins/src/main/java/org/bankturn/replay/ReplayedGateway.java
+++ b/standins/src/main/java/org/bankturn/replay/ReplayedGateway.java
@@ -234,7 +234,7 @@
     /** One engine's turn at a request. */
     private final class Turn implements EngineTask.Listener {
         private final Forwarded request;
-        private final TargetTable.Choice choice;
+        private final TargetTable.Candidate choice;
         private final ReplayedEngine engine;
         private final EngineTask task;
         private final double way;
@@ -243,7 +243,7 @@
         private boolean promptPending = true;
         private boolean over;
 
-        Turn(Forwarded request, TargetTable.Choice choice) {
+        Turn(Forwarded request, TargetTable.Candidate choice) {
             this.request = request;
             this.choice = choice;
             this.engine = world.engine(choice.target().sighting().id());
