--- a/core/src/main/java/org/bankturn/routing/CandidateSelector.java
+++ b/core/src/main/java/org/bankturn/routing/CandidateSelector.java
@@ -6,7 +6,7 @@
 import java.util.Optional;
 import org.apache.commons.rng.UniformRandomProvider;
 import org.bankturn.routing.TargetTable.Candidate;
-import org.bankturn.routing.TargetTable.Wanted;
+import org.bankturn.routing.TargetTable.Requirements;
 import org.bankturn.time.Clock;
 
 /**
@@ -29,7 +29,7 @@
     }
 
     /** Returns the best of the candidates; one that is avoided only if there is no other. */
-    Optional<Candidate> best(Candidates candidates, Wanted wanted) {
+    Optional<Candidate> best(Candidates candidates, Requirements wanted) {
         return withPermit(candidates, wanted)
                 .or(() -> likelyFirst(candidates, wanted))
                 .or(() -> leastOf(candidates.avoided, Integer.MAX_VALUE).map(Weighed::choice));
@@ -39,14 +39,14 @@
      * Returns a target of the own data hall for which there is a permit, if a request begins comfortably in time there. What it
      * offers would be lost otherwise, and the end of its limit would go unnoticed while others look a little better.
      */
-    private Optional<Candidate> withPermit(Candidates candidates, Wanted wanted) {
+    private Optional<Candidate> withPermit(Candidates candidates, Requirements wanted) {
         return candidates.near.stream()
                 .filter(choice -> choice.target().rateLimit().inForce())
                 .filter(choice -> isComfortable(choice, wanted))
                 .findAny();
     }
 
-    private Optional<Candidate> likelyFirst(Candidates candidates, Wanted wanted) {
+    private Optional<Candidate> likelyFirst(Candidates candidates, Requirements wanted) {
         Optional<Weighed> drawn = leastOf(freshOf(candidates.near), settings.drawn());
         if (drawn.isPresent() && isComfortable(drawn.get().choice(), wanted)) {
             return drawn.map(Weighed::choice);
@@ -65,7 +65,7 @@
     }
 
     /** Returns true if a request begins early enough there to stay in its data hall whatever others offer. */
-    boolean isComfortable(Candidate choice, Wanted wanted) {
+    boolean isComfortable(Candidate choice, Requirements wanted) {
         return choice.weighedMillis() <= wanted.objectiveMillis() * settings.comfortableShare();
     }
 
--- a/core/src/main/java/org/bankturn/routing/RequestPolicy.java
+++ b/core/src/main/java/org/bankturn/routing/RequestPolicy.java
@@ -7,7 +7,7 @@
 import java.util.OptionalInt;
 import org.apache.commons.rng.UniformRandomProvider;
 import org.bankturn.routing.TargetTable.Candidate;
-import org.bankturn.routing.TargetTable.Wanted;
+import org.bankturn.routing.TargetTable.Requirements;
 import org.bankturn.service.Route;
 import org.bankturn.service.Service;
 import org.bankturn.service.ServingConfiguration;
@@ -156,7 +156,7 @@
 
     /** Returns what is to be asked before the request is placed, empty if enough is known. */
     private Optional<NextStep> question(RequestProgress request) {
-        Wanted wanted = wanted(request);
+        Requirements wanted = wanted(request);
         if (!request.askedHere()) {
             request.askHere();
             List<String> here = targets.toAsk(wanted, false);
@@ -264,9 +264,9 @@
         return targets.choose(wanted(request));
     }
 
-    private Wanted wanted(RequestProgress request) {
+    private Requirements wanted(RequestProgress request) {
         Service service = request.service();
-        return new Wanted(
+        return new Requirements(
                 service,
                 leastVersion(service),
                 versionsDue(service),
--- a/core/src/main/java/org/bankturn/routing/TargetTable.java
+++ b/core/src/main/java/org/bankturn/routing/TargetTable.java
@@ -59,7 +59,7 @@
      * @param objectiveMillis the time within which its first answer is in time
      * @param excluded the incarnations that were tried, not null
      */
-    public record Wanted(
+    public record Requirements(
             Service service,
             int leastVersion,
             VersionsDue due,
@@ -187,7 +187,7 @@
      * @param wanted what a target must be, not null
      * @param elsewhere true to ask in other data halls
      */
-    public List<String> toAsk(Wanted wanted, boolean elsewhere) {
+    public List<String> toAsk(Requirements wanted, boolean elsewhere) {
         if (settings.asked() == 0 || wanted.service().engine() == null) {
             return List.of();
         }
@@ -210,7 +210,7 @@
      * Returns the target that is likely to begin first of those compared; one that is avoided only if there is no other, one
      * that is held back never.
      */
-    public Optional<Candidate> choose(Wanted wanted) {
+    public Optional<Candidate> choose(Requirements wanted) {
         Candidates candidates = candidates(wanted, clock.millis(), true);
         Optional<Candidate> choice = comparison.best(candidates, wanted);
         wantPermits(candidates.heldBackNear);
@@ -236,7 +236,7 @@
     }
 
     /** Returns the targets that could run a request and must not get it now, not null. */
-    public HeldBackTargets heldBack(Wanted wanted) {
+    public HeldBackTargets heldBack(Requirements wanted) {
         long now = clock.millis();
         HeldBackTargets heldBack = new HeldBackTargets();
         for (TargetState state : byService.getOrDefault(wanted.service().name(), List.of())) {
@@ -248,7 +248,7 @@
     }
 
     /** Returns a target that a request could be sent to within a time, if a permit comes, not null. */
-    Optional<TargetState> permitWithin(long millis, Wanted wanted) {
+    Optional<TargetState> permitWithin(long millis, Requirements wanted) {
         long now = clock.millis();
         return byService.getOrDefault(wanted.service().name(), List.of()).stream()
                 .filter(state -> mayTake(state, wanted) && state.mayGetPermitWithin(millis, now))
@@ -276,7 +276,7 @@
      *
      * @param sends true if the request would be sent now, so that what is not known of a path counts
      */
-    private Candidates candidates(Wanted wanted, long now, boolean sends) {
+    private Candidates candidates(Requirements wanted, long now, boolean sends) {
         Candidates candidates = new Candidates();
         List<TargetState> ofService = byService.getOrDefault(wanted.service().name(), List.of());
         if (wanted.service().engine() == null) {
@@ -292,7 +292,7 @@
         return candidates;
     }
 
-    private void consider(TargetState state, Wanted wanted, long now, boolean sends, Candidates candidates) {
+    private void consider(TargetState state, Requirements wanted, long now, boolean sends, Candidates candidates) {
         if (!mayTake(state, wanted)) {
             return;
         }
@@ -321,7 +321,7 @@
         }
     }
 
-    private double breakOffMillis(TargetState state, Wanted wanted, long now, double predicted) {
+    private double breakOffMillis(TargetState state, Requirements wanted, long now, double predicted) {
         EngineModel engine = wanted.service().engine();
         if (engine == null || !settings.avoidsBreakOffs()) {
             return 0;
@@ -330,13 +330,13 @@
     }
 
     /** Returns by how much the path may have become slower since it was last used, at most. */
-    private static double unknownPathMillis(TargetState state, Wanted wanted, long now) {
+    private static double unknownPathMillis(TargetState state, Requirements wanted, long now) {
         boolean hasNews = wanted.service().engine() != null;
         return hasNews ? Math.min(MOST_PATH_MILLIS, state.newsMillis(now)) : 0;
     }
 
     /** Returns true if the target is in the own data hall and a request begins comfortably in time there. */
-    public boolean staysHere(Candidate choice, Wanted wanted) {
+    public boolean staysHere(Candidate choice, Requirements wanted) {
         return isNear(choice.target()) && comparison.isComfortable(choice, wanted);
     }
 
@@ -348,7 +348,7 @@
         return watched.contains(state.sighting().id());
     }
 
-    private static boolean mayTake(TargetState state, Wanted wanted) {
+    private static boolean mayTake(TargetState state, Requirements wanted) {
         TargetSighting sighting = state.sighting();
         boolean holds = wanted.leastVersion() < 0 || state.heldVersion() >= Math.max(1, wanted.leastVersion());
         return sighting.service().equals(wanted.service().name())
@@ -358,7 +358,7 @@
     }
 
     /** Returns how long a request would wait there for its first event, the way aside, as far as is known here. */
-    private static double predictedMillis(TargetState state, Wanted wanted, long now) {
+    private static double predictedMillis(TargetState state, Requirements wanted, long now) {
         EngineModel engine = wanted.service().engine();
         if (engine == null) {
             return (state.inFlight() + 1) * PLAIN_MILLIS * state.lateness();
--- a/core/src/test/java/org/bankturn/routing/TargetTableTest.java
+++ b/core/src/test/java/org/bankturn/routing/TargetTableTest.java
@@ -10,7 +10,7 @@
 import org.apache.commons.rng.simple.RandomSource;
 import org.bankturn.registry.TargetSighting;
 import org.bankturn.routing.TargetTable.Candidate;
-import org.bankturn.routing.TargetTable.Wanted;
+import org.bankturn.routing.TargetTable.Requirements;
 import org.bankturn.service.EngineModel;
 import org.bankturn.service.Service;
 import org.bankturn.time.ManualClock;
@@ -127,7 +127,7 @@
         table.unheardSince("other", asked);
         report("well", EngineLoad.NONE);
         assertThat(chosen()).isEqualTo("well");
-        Wanted elsewhere = new Wanted(SERVICE, -1, VersionsDue.none(), 1_000, 600, Set.of("well"));
+        Requirements elsewhere = new Requirements(SERVICE, -1, VersionsDue.none(), 1_000, 600, Set.of("well"));
         assertThat(table.choose(elsewhere).orElseThrow().predictedMillis()).isGreaterThan(400);
     }
 
@@ -303,11 +303,11 @@
         return table.choose(wanted()).orElseThrow().predictedMillis();
     }
 
-    private static Wanted wanted() {
+    private static Requirements wanted() {
         return wanted(VersionsDue.none());
     }
 
-    private static Wanted wanted(VersionsDue due) {
-        return new Wanted(SERVICE, -1, due, 1_000, 600, Set.of());
+    private static Requirements wanted(VersionsDue due) {
+        return new Requirements(SERVICE, -1, due, 1_000, 600, Set.of());
     }
 }
