--- a/core/src/main/java/org/bankturn/routing/RequestPolicy.java
+++ b/core/src/main/java/org/bankturn/routing/RequestPolicy.java
@@ -195,7 +195,7 @@
             return new NextStep.GiveUp(
                     "would begin after " + Math.round(choice.get().predictedMillis()) + " ms, "
                             + choice.get().wayMillis() + " ms of it on the way",
-                    ComeBack.afterAnswers(request.service().engine(), random));
+                    RetryAfter.afterAnswers(request.service().engine(), random));
         }
         if (request.sends() > 0 && !retryBudget(request.service()).tryRetry()) {
             return giveUp("retry budget used up");
@@ -217,10 +217,11 @@
     private NextStep.GiveUp withoutTarget(RequestProgress request) {
         HeldBackTargets heldBack = heldBack(request);
         if (heldBack.anyComesBack()) {
-            long comeBack = ComeBack.afterHeldBack(heldBack.soonestMillis(), random);
+            long comeBack = RetryAfter.afterHeldBack(heldBack.soonestMillis(), random);
             return new NextStep.GiveUp("no target left but " + heldBack, comeBack);
         }
-        long comeBack = request.tried().isEmpty() ? ComeBack.WITHOUT_TARGET_MILLIS : ComeBack.AFTER_ALL_TARGETS_MILLIS;
+        long comeBack =
+                request.tried().isEmpty() ? RetryAfter.WITHOUT_TARGET_MILLIS : RetryAfter.AFTER_ALL_TARGETS_MILLIS;
         return new NextStep.GiveUp("no target left", comeBack);
     }
 
@@ -252,7 +253,7 @@
     }
 
     private static NextStep giveUp(String reason) {
-        return new NextStep.GiveUp(reason, ComeBack.TO_ANOTHER_GATEWAY_MILLIS);
+        return new NextStep.GiveUp(reason, RetryAfter.TO_ANOTHER_GATEWAY_MILLIS);
     }
 
     private NextStep.Send send(RequestProgress request, Candidate choice) {
--- a/core/src/main/java/org/bankturn/routing/ComeBack.java
+++ b/core/src/main/java/org/bankturn/routing/RetryAfter.java
@@ -12,7 +12,7 @@
  *
  * <p>ComeBack has no state.
  */
-public final class ComeBack {
+public final class RetryAfter {
     /** Another gateway takes a connection that is made anew, within the time of a connection and a request. */
     public static final long TO_ANOTHER_GATEWAY_MILLIS = 300;
 
@@ -34,7 +34,7 @@
     /** Callers come back up to that share later than targets that are held back take requests again. */
     private static final double HELD_BACK_SPREAD_SHARE = 0.5;
 
-    private ComeBack() {}
+    private RetryAfter() {}
 
     /** Returns when a target that is held back now takes requests again, spread so that callers come back apart. */
     public static long afterHeldBack(long untilFreeMillis, UniformRandomProvider random) {
--- a/daemon/src/main/java/org/bankturn/daemon/gateway/ForwardedRequest.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/ForwardedRequest.java
@@ -9,10 +9,10 @@
 import org.bankturn.daemon.observe.RequestOutcome;
 import org.bankturn.daemon.observe.ServingMetrics;
 import org.bankturn.registry.TargetSighting;
-import org.bankturn.routing.ComeBack;
 import org.bankturn.routing.HeldBack;
 import org.bankturn.routing.NextStep;
 import org.bankturn.routing.RequestProgress;
+import org.bankturn.routing.RetryAfter;
 import org.bankturn.service.Account;
 import org.bankturn.service.Route;
 import org.bankturn.service.Service;
@@ -168,7 +168,7 @@
     /** Says that this attempt did not run and that more of them will not either, for long. */
     private void refuseCondemned() {
         ended(RequestOutcome.REFUSED, TOO_MANY, condemnedReason());
-        exchange.answer(gateway.dialect().ownAnswer(TOO_MANY, terms, ComeBack.CONDEMNED_MILLIS), NOTHING);
+        exchange.answer(gateway.dialect().ownAnswer(TOO_MANY, terms, RetryAfter.CONDEMNED_MILLIS), NOTHING);
     }
 
     private String condemnedReason() {
@@ -177,7 +177,7 @@
 
     /** Gives the final answer at once: refused if it certainly did not run, failed otherwise. */
     void giveUp(String reason) {
-        giveUp(reason, ComeBack.TO_ANOTHER_GATEWAY_MILLIS);
+        giveUp(reason, RetryAfter.TO_ANOTHER_GATEWAY_MILLIS);
     }
 
     private void giveUp(String reason, long comeBackMillis) {
--- a/daemon/src/main/java/org/bankturn/daemon/gateway/Gateway.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/Gateway.java
@@ -31,11 +31,11 @@
 import org.bankturn.publication.NamedWeights;
 import org.bankturn.publication.PublicationCommand;
 import org.bankturn.registry.TargetSighting;
-import org.bankturn.routing.ComeBack;
 import org.bankturn.routing.ConnectionTrust;
 import org.bankturn.routing.NextStep;
 import org.bankturn.routing.PlacementSettings;
 import org.bankturn.routing.RequestPolicy;
+import org.bankturn.routing.RetryAfter;
 import org.bankturn.routing.StopPlan;
 import org.bankturn.routing.TargetState;
 import org.bankturn.routing.TargetTable;
@@ -290,7 +290,7 @@
     }
 
     private void answer(ServerExchange exchange, CallerTerms terms, int status, String reason) {
-        long comeBackMillis = takenOut ? ComeBack.TO_ANOTHER_GATEWAY_MILLIS : ComeBack.WITHOUT_TARGET_MILLIS;
+        long comeBackMillis = takenOut ? RetryAfter.TO_ANOTHER_GATEWAY_MILLIS : RetryAfter.WITHOUT_TARGET_MILLIS;
         log.line(DecisionKind.REFUSED)
                 .with(DecisionField.REQUEST, terms.id())
                 .with(DecisionField.STATUS, status)
--- a/standins/src/main/java/org/bankturn/replay/ReplayedGateway.java
+++ b/standins/src/main/java/org/bankturn/replay/ReplayedGateway.java
@@ -9,12 +9,12 @@
 import org.bankturn.crash.RequestFingerprint;
 import org.bankturn.crash.Suspect;
 import org.bankturn.registry.TargetSighting;
-import org.bankturn.routing.ComeBack;
 import org.bankturn.routing.LoadQuestions;
 import org.bankturn.routing.NextStep;
 import org.bankturn.routing.PlacementSettings;
 import org.bankturn.routing.RequestPolicy;
 import org.bankturn.routing.RequestProgress;
+import org.bankturn.routing.RetryAfter;
 import org.bankturn.routing.RetryLimits;
 import org.bankturn.routing.TargetTable;
 import org.bankturn.routing.WatchPlan;
@@ -162,7 +162,7 @@
                 RequestProgress.of(route, world.service(), call.promptTokens(), (long) call.endMillis());
         if (suspects.isCondemned(call.fingerprint())) {
             stopped(call);
-            call.refused((double) ComeBack.CONDEMNED_MILLIS);
+            call.refused((double) RetryAfter.CONDEMNED_MILLIS);
             return;
         }
         policy.arrived(progress);
