--- a/core/src/main/java/org/bankturn/routing/ConnectionTrust.java
+++ b/core/src/main/java/org/bankturn/routing/ConnectionReusePolicy.java
@@ -15,7 +15,7 @@
  *
  * <p>ConnectionTrust is mutable and not thread-safe.
  */
-public final class ConnectionTrust {
+public final class ConnectionReusePolicy {
     /** Peers that answer several requests at once leave no such pause between parts of answers. */
     private static final long ALL_SILENT_MILLIS = 300;
 
@@ -47,11 +47,11 @@
      * @param clock the time, not null
      * @param mostRestMillis how long ago a connection may have been heard last to be used again
      */
-    public static ConnectionTrust of(Clock clock, long mostRestMillis) {
-        return new ConnectionTrust(clock, mostRestMillis);
+    public static ConnectionReusePolicy of(Clock clock, long mostRestMillis) {
+        return new ConnectionReusePolicy(clock, mostRestMillis);
     }
 
-    private ConnectionTrust(Clock clock, long mostRestMillis) {
+    private ConnectionReusePolicy(Clock clock, long mostRestMillis) {
         this.clock = clock;
         this.mostRestMillis = mostRestMillis;
     }
--- a/core/src/test/java/org/bankturn/agreement/SilencedGroup.java
+++ b/core/src/test/java/org/bankturn/agreement/SilencedGroup.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.Map;
 import org.bankturn.agreement.Ready.Outbound;
-import org.bankturn.routing.ConnectionTrust;
+import org.bankturn.routing.ConnectionReusePolicy;
 
 /** A group in virtual time whose members send over kept connections, which can all go silent at one moment. */
 final class SilencedGroup {
@@ -17,7 +17,7 @@
     private static final long ANSWER_MILLIS = 1_000;
 
     final MemberGroup members;
-    private final Map<String, ConnectionTrust> trusts = new HashMap<>();
+    private final Map<String, ConnectionReusePolicy> trusts = new HashMap<>();
     private final Map<Way, Connection> connections = new HashMap<>();
     private final List<Lost> lost = new ArrayList<>();
 
@@ -32,7 +32,9 @@
 
     SilencedGroup(long seed) {
         members = new MemberGroup(SETTINGS, seed, "a", "b", "c");
-        members.running.keySet().forEach(box -> trusts.put(box, ConnectionTrust.of(members.clock, MOST_REST_MILLIS)));
+        members.running
+                .keySet()
+                .forEach(box -> trusts.put(box, ConnectionReusePolicy.of(members.clock, MOST_REST_MILLIS)));
     }
 
     /** Lets time pass, in steps of ten milliseconds. */
--- a/core/src/test/java/org/bankturn/routing/ConnectionTrustTest.java
+++ b/core/src/test/java/org/bankturn/routing/ConnectionReusePolicyTest.java
@@ -2,15 +2,15 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import org.bankturn.routing.ConnectionTrust.Wait;
+import org.bankturn.routing.ConnectionReusePolicy.Wait;
 import org.bankturn.time.ManualClock;
 import org.junit.jupiter.api.Test;
 
-class ConnectionTrustTest {
+class ConnectionReusePolicyTest {
     private static final long MOST_REST_MILLIS = 5_000;
 
     private final ManualClock clock = ManualClock.startingAt(1_000_000);
-    private final ConnectionTrust trust = ConnectionTrust.of(clock, MOST_REST_MILLIS);
+    private final ConnectionReusePolicy trust = ConnectionReusePolicy.of(clock, MOST_REST_MILLIS);
 
     @Test
     void a_connection_that_was_heard_of_late_carries_the_next_request() {
--- a/core/src/test/java/org/bankturn/routing/SilenceReplay.java
+++ b/core/src/test/java/org/bankturn/routing/SilenceReplay.java
@@ -29,7 +29,7 @@
 
     private final ManualClock clock = ManualClock.startingAt(1_000_000);
     private final long beginMillis = clock.millis();
-    private final ConnectionTrust trust;
+    private final ConnectionReusePolicy trust;
     private final boolean learns;
     private final List<Deque<Connection>> kept = new ArrayList<>();
     private final List<Connection> open = new ArrayList<>();
@@ -56,7 +56,7 @@
         private int words;
         private long heardMillis;
         private Connection connection;
-        private ConnectionTrust.Wait wait;
+        private ConnectionReusePolicy.Wait wait;
 
         Request(long arrivedMillis, int target) {
             this.arrivedMillis = arrivedMillis;
@@ -75,7 +75,7 @@
 
     private SilenceReplay(boolean learns) {
         this.learns = learns;
-        this.trust = ConnectionTrust.of(clock, Long.MAX_VALUE);
+        this.trust = ConnectionReusePolicy.of(clock, Long.MAX_VALUE);
         for (int target = 0; target < TARGETS; target++) {
             Deque<Connection> connections = new ArrayDeque<>();
             for (int number = 0; number < KEPT_BEFORE; number++) {
--- a/daemon/src/main/java/org/bankturn/daemon/gateway/Gateway.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/Gateway.java
@@ -31,7 +31,7 @@
 import org.bankturn.publication.NamedWeights;
 import org.bankturn.publication.PublicationCommand;
 import org.bankturn.registry.TargetSighting;
-import org.bankturn.routing.ConnectionTrust;
+import org.bankturn.routing.ConnectionReusePolicy;
 import org.bankturn.routing.NextStep;
 import org.bankturn.routing.PlacementSettings;
 import org.bankturn.routing.RequestPolicy;
@@ -68,7 +68,7 @@
     private final HttpListener callers;
     private final HttpListener readiness;
     private final TargetTable targets;
-    private final ConnectionTrust trust;
+    private final ConnectionReusePolicy trust;
     private final TargetConnections connections;
     private final RequestPolicy policy;
     private final LoadPoller loads;
@@ -332,7 +332,7 @@
         return policy;
     }
 
-    ConnectionTrust trust() {
+    ConnectionReusePolicy trust() {
         return trust;
     }
 
--- a/daemon/src/main/java/org/bankturn/daemon/gateway/SilenceWatch.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/SilenceWatch.java
@@ -4,7 +4,7 @@
 import org.bankturn.daemon.observe.DecisionField;
 import org.bankturn.daemon.observe.DecisionKind;
 import org.bankturn.daemon.observe.ServingMetrics;
-import org.bankturn.routing.ConnectionTrust;
+import org.bankturn.routing.ConnectionReusePolicy;
 import org.bankturn.routing.TargetState;
 import org.bankturn.routing.TargetTable.Candidate;
 
@@ -24,7 +24,7 @@
     private final Candidate choice;
     private final TargetConnection connection;
     private final Runnable takeAway;
-    private final ConnectionTrust.Wait wait;
+    private final ConnectionReusePolicy.Wait wait;
     private long heardMillis;
     private boolean begun;
     private boolean noted;
--- a/daemon/src/main/java/org/bankturn/daemon/gateway/TargetConnections.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/TargetConnections.java
@@ -6,7 +6,7 @@
 import java.util.HashMap;
 import java.util.Map;
 import org.bankturn.daemon.http.TargetConnection;
-import org.bankturn.routing.ConnectionTrust;
+import org.bankturn.routing.ConnectionReusePolicy;
 
 /**
  * The connections to targets that carry no request now, kept for the next one while they are trusted; by incarnation.
@@ -17,10 +17,10 @@
     /** Connections kept to one target: as many as a gateway has requests under way there at its busiest. */
     private static final int MOST_RESTING = 24;
 
-    private final ConnectionTrust trust;
+    private final ConnectionReusePolicy trust;
     private final Map<String, Deque<TargetConnection>> resting = new HashMap<>();
 
-    TargetConnections(ConnectionTrust trust) {
+    TargetConnections(ConnectionReusePolicy trust) {
         this.trust = trust;
     }
 
--- a/daemon/src/main/java/org/bankturn/daemon/http/HttpCalls.java
+++ b/daemon/src/main/java/org/bankturn/daemon/http/HttpCalls.java
@@ -12,7 +12,7 @@
 import java.util.Map;
 import org.bankturn.daemon.settings.Address;
 import org.bankturn.daemon.wire.ConnectionObserver;
-import org.bankturn.routing.ConnectionTrust;
+import org.bankturn.routing.ConnectionReusePolicy;
 import org.bankturn.time.Clock;
 
 /**
@@ -31,7 +31,7 @@
     private final NioReactor reactor;
     private final Clock clock;
     private final ConnectionObserver observer;
-    private final ConnectionTrust trust;
+    private final ConnectionReusePolicy trust;
     private final Map<InetSocketAddress, Deque<TargetConnection>> resting = new HashMap<>();
 
     /**
@@ -67,7 +67,7 @@
         this.reactor = reactor;
         this.clock = clock;
         this.observer = observer;
-        this.trust = ConnectionTrust.of(clock, REST_MILLIS);
+        this.trust = ConnectionReusePolicy.of(clock, REST_MILLIS);
     }
 
     /**
--- a/daemon/src/main/java/org/bankturn/daemon/wire/NodeClient.java
+++ b/daemon/src/main/java/org/bankturn/daemon/wire/NodeClient.java
@@ -12,7 +12,7 @@
 import java.util.List;
 import java.util.Map;
 import org.bankturn.daemon.settings.Address;
-import org.bankturn.routing.ConnectionTrust;
+import org.bankturn.routing.ConnectionReusePolicy;
 import org.bankturn.time.Clock;
 
 /**
@@ -30,7 +30,7 @@
     private final NioReactor reactor;
     private final Address address;
     private final Clock clock;
-    private final ConnectionTrust trust;
+    private final ConnectionReusePolicy trust;
     private final ConnectionObserver observer;
     private final Map<Long, Question> waiting = new HashMap<>();
     private FrameChannel channel;
@@ -43,7 +43,12 @@
         private FrameChannel sentOn;
     }
 
-    NodeClient(NioReactor reactor, Address address, Clock clock, ConnectionTrust trust, ConnectionObserver observer) {
+    NodeClient(
+            NioReactor reactor,
+            Address address,
+            Clock clock,
+            ConnectionReusePolicy trust,
+            ConnectionObserver observer) {
         this.reactor = reactor;
         this.address = address;
         this.clock = clock;
--- a/daemon/src/main/java/org/bankturn/daemon/wire/NodeClients.java
+++ b/daemon/src/main/java/org/bankturn/daemon/wire/NodeClients.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 import java.util.concurrent.CompletableFuture;
 import org.bankturn.daemon.settings.Address;
-import org.bankturn.routing.ConnectionTrust;
+import org.bankturn.routing.ConnectionReusePolicy;
 import org.bankturn.time.Clock;
 
 /**
@@ -23,7 +23,7 @@
     private final NioReactor reactor;
     private final Clock clock;
     private final ConnectionObserver observer;
-    private final ConnectionTrust trust;
+    private final ConnectionReusePolicy trust;
     private final Map<Address, NodeClient> clients = new HashMap<>();
 
     /**
@@ -52,7 +52,7 @@
         this.reactor = reactor;
         this.clock = clock;
         this.observer = observer;
-        this.trust = ConnectionTrust.of(clock, MOST_REST_MILLIS);
+        this.trust = ConnectionReusePolicy.of(clock, MOST_REST_MILLIS);
     }
 
     /**
@@ -102,7 +102,7 @@
      * Returns which of the process's kept connections may be used, by what was seen on others, not null; its times are
      * those of the clock that these clients were given.
      */
-    public ConnectionTrust trust() {
+    public ConnectionReusePolicy trust() {
         return trust;
     }
 
