--- a/core/src/main/java/org/bankturn/routing/ConnectionReusePolicy.java
+++ b/core/src/main/java/org/bankturn/routing/ConnectionReusePolicy.java
@@ -26,16 +26,16 @@
 
     private final Clock clock;
     private final long mostRestMillis;
-    private final Set<Wait> waiting = new LinkedHashSet<>();
+    private final Set<PendingRequest> waiting = new LinkedHashSet<>();
     private final WordsByOpening words = WordsByOpening.remembering(ALL_SILENT_MILLIS);
     private long distrustedUntilMillis = Long.MIN_VALUE / 2;
 
     /** A request that waits for a word from a peer. */
-    public static final class Wait {
+    public static final class PendingRequest {
         private final String peer;
         private final long sinceMillis;
 
-        private Wait(String peer, long sinceMillis) {
+        private PendingRequest(String peer, long sinceMillis) {
             this.peer = peer;
             this.sinceMillis = sinceMillis;
         }
@@ -76,8 +76,8 @@
     // ---- what is learned
 
     /** A request goes out to a peer that should say something within the time of a few. */
-    public Wait began(String peer) {
-        Wait wait = new Wait(peer, clock.millis());
+    public PendingRequest began(String peer) {
+        PendingRequest wait = new PendingRequest(peer, clock.millis());
         waiting.add(wait);
         return wait;
     }
@@ -88,7 +88,7 @@
     }
 
     /** A request no longer waits. */
-    public void ended(Wait wait) {
+    public void ended(PendingRequest wait) {
         waiting.remove(wait);
     }
 
@@ -111,7 +111,7 @@
         if (waiting.size() < WAITING_AT_LEAST) {
             return;
         }
-        List<Wait> unheard = waiting.stream()
+        List<PendingRequest> unheard = waiting.stream()
                 .filter(wait -> wait.sinceMillis <= since)
                 .filter(wait -> !words.anyOnConnectionsOpenAt(wait.sinceMillis, now))
                 .toList();
--- a/core/src/test/java/org/bankturn/routing/ConnectionReusePolicyTest.java
+++ b/core/src/test/java/org/bankturn/routing/ConnectionReusePolicyTest.java
@@ -2,7 +2,7 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import org.bankturn.routing.ConnectionReusePolicy.Wait;
+import org.bankturn.routing.ConnectionReusePolicy.PendingRequest;
 import org.bankturn.time.ManualClock;
 import org.junit.jupiter.api.Test;
 
@@ -89,7 +89,7 @@
     @Test
     void requests_that_have_ended_no_longer_wait() {
         long heard = clock.millis();
-        Wait ended = trust.began("one");
+        PendingRequest ended = trust.began("one");
         wait("two", "two");
         clock.advance(400);
         trust.ended(ended);
--- a/core/src/test/java/org/bankturn/routing/SilenceReplay.java
+++ b/core/src/test/java/org/bankturn/routing/SilenceReplay.java
@@ -56,7 +56,7 @@
         private int words;
         private long heardMillis;
         private Connection connection;
-        private ConnectionReusePolicy.Wait wait;
+        private ConnectionReusePolicy.PendingRequest wait;
 
         Request(long arrivedMillis, int target) {
             this.arrivedMillis = arrivedMillis;
--- a/daemon/src/main/java/org/bankturn/daemon/gateway/SilenceWatch.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/SilenceWatch.java
@@ -24,7 +24,7 @@
     private final Candidate choice;
     private final TargetConnection connection;
     private final Runnable takeAway;
-    private final ConnectionReusePolicy.Wait wait;
+    private final ConnectionReusePolicy.PendingRequest wait;
     private long heardMillis;
     private boolean begun;
     private boolean noted;
