--- a/core/src/main/java/org/bankturn/routing/FirstTries.java
+++ b/core/src/main/java/org/bankturn/routing/FirstAttemptPriority.java
@@ -13,7 +13,7 @@
  *
  * <p>FirstTries is mutable and not thread-safe.
  */
-final class FirstTries {
+final class FirstAttemptPriority {
     /** The share of a new observation: about the last ten first tries count. */
     private static final double LEARNING = 0.1;
 
@@ -29,11 +29,11 @@
     private double refusedShare;
     private long shortSinceMillis = NEVER;
 
-    static FirstTries none(Clock clock) {
-        return new FirstTries(clock);
+    static FirstAttemptPriority none(Clock clock) {
+        return new FirstAttemptPriority(clock);
     }
 
-    private FirstTries(Clock clock) {
+    private FirstAttemptPriority(Clock clock) {
         this.clock = clock;
     }
 
--- a/core/src/main/java/org/bankturn/routing/RequestPolicy.java
+++ b/core/src/main/java/org/bankturn/routing/RequestPolicy.java
@@ -43,7 +43,7 @@
     private final Map<String, PredictionCorrection> corrections = new HashMap<>();
     private final Map<String, Integer> mostUrgent = new HashMap<>();
     private final Map<String, VersionsDue> versionsDue = new HashMap<>();
-    private final Map<String, FirstTries> firstTries = new HashMap<>();
+    private final Map<String, FirstAttemptPriority> firstTries = new HashMap<>();
     private final ReturningCallers returning;
     private ServingConfiguration configuration;
 
@@ -288,8 +288,8 @@
         return expected > latest * (request.hasComeBack() ? firstTries(service).limitShareOfReturning() : 1);
     }
 
-    private FirstTries firstTries(Service service) {
-        return firstTries.computeIfAbsent(service.name(), key -> FirstTries.none(clock));
+    private FirstAttemptPriority firstTries(Service service) {
+        return firstTries.computeIfAbsent(service.name(), key -> FirstAttemptPriority.none(clock));
     }
 
     private VersionsDue versionsDue(Service service) {
