--- a/core/src/main/java/org/bankturn/routing/HeldBackTargets.java
+++ b/core/src/main/java/org/bankturn/routing/HeldBackTargets.java
@@ -10,12 +10,12 @@
  * <p>HeldBackTargets is mutable and not thread-safe.
  */
 public final class HeldBackTargets {
-    private final Map<HeldBack, Integer> counts = new EnumMap<>(HeldBack.class);
+    private final Map<HoldReason, Integer> counts = new EnumMap<>(HoldReason.class);
     private long soonestMillis = Long.MAX_VALUE;
 
     HeldBackTargets() {}
 
-    void add(HeldBack reason, long untilFreeMillis) {
+    void add(HoldReason reason, long untilFreeMillis) {
         counts.merge(reason, 1, Integer::sum);
         soonestMillis = Math.min(soonestMillis, untilFreeMillis);
     }
--- a/core/src/main/java/org/bankturn/routing/HeldBack.java
+++ b/core/src/main/java/org/bankturn/routing/HoldReason.java
@@ -3,7 +3,7 @@
 import java.util.Locale;
 
 /** Why a target must get no request from this gateway now. */
-public enum HeldBack {
+public enum HoldReason {
     /** It is about to end. */
     LEAVING,
     /** It turned this gateway away and asked it to wait. */
--- a/core/src/main/java/org/bankturn/routing/TargetState.java
+++ b/core/src/main/java/org/bankturn/routing/TargetState.java
@@ -157,7 +157,7 @@
     }
 
     /** Returns why the target must get no request from this gateway now, empty if it may, not null. */
-    public Optional<HeldBack> heldBack(long nowMillis) {
+    public Optional<HoldReason> heldBack(long nowMillis) {
         return terms.heldBack(nowMillis);
     }
 
@@ -206,7 +206,7 @@
      *
      * @return why the request must not be sent, empty if it may, and then a permit is used; not null
      */
-    public Optional<HeldBack> takePlace(long nowMillis) {
+    public Optional<HoldReason> takePlace(long nowMillis) {
         return terms.takePlace(nowMillis);
     }
 
--- a/core/src/main/java/org/bankturn/routing/TargetTable.java
+++ b/core/src/main/java/org/bankturn/routing/TargetTable.java
@@ -257,9 +257,9 @@
     }
 
     /** Returns how many targets are held back now, for each reason, not null. */
-    public Map<HeldBack, Integer> heldBackCounts() {
+    public Map<HoldReason, Integer> heldBackCounts() {
         long now = clock.millis();
-        Map<HeldBack, Integer> counts = new EnumMap<>(HeldBack.class);
+        Map<HoldReason, Integer> counts = new EnumMap<>(HoldReason.class);
         targets.values()
                 .forEach(state -> state.heldBack(now).ifPresent(reason -> counts.merge(reason, 1, Integer::sum)));
         return counts;
--- a/core/src/main/java/org/bankturn/routing/TargetTerms.java
+++ b/core/src/main/java/org/bankturn/routing/TargetTerms.java
@@ -37,14 +37,14 @@
     }
 
     /** Returns why the target must get nothing now, empty if it may get a request, not null. */
-    Optional<HeldBack> heldBack(long nowMillis) {
+    Optional<HoldReason> heldBack(long nowMillis) {
         if (leaving) {
-            return Optional.of(HeldBack.LEAVING);
+            return Optional.of(HoldReason.LEAVING);
         }
         if (nowMillis < backOffUntilMillis) {
-            return Optional.of(HeldBack.BACKING_OFF);
+            return Optional.of(HoldReason.BACKING_OFF);
         }
-        return limit.inForce() && !hasPermit(nowMillis) ? Optional.of(HeldBack.RATE_LIMITED) : Optional.empty();
+        return limit.inForce() && !hasPermit(nowMillis) ? Optional.of(HoldReason.RATE_LIMITED) : Optional.empty();
     }
 
     /** Returns how long until the target may get a request, as far as is known; Long.MAX_VALUE for never. */
@@ -142,8 +142,8 @@
     }
 
     /** A request is about to leave for the target; returns why it must not, or empty and uses the permit, if there is one. */
-    Optional<HeldBack> takePlace(long nowMillis) {
-        Optional<HeldBack> reason = heldBack(nowMillis);
+    Optional<HoldReason> takePlace(long nowMillis) {
+        Optional<HoldReason> reason = heldBack(nowMillis);
         if (reason.isEmpty()) {
             permitUntilMillis = NEVER;
         }
--- a/core/src/test/java/org/bankturn/routing/TargetTermsTest.java
+++ b/core/src/test/java/org/bankturn/routing/TargetTermsTest.java
@@ -25,12 +25,12 @@
     @Test
     void a_limited_target_gets_one_request_for_each_permit_and_none_without() {
         assertThat(terms.noticed(ONE_A_SECOND, true, NOW - 10, NOW)).containsExactly(NoticeChange.LIMIT_NAMED);
-        assertThat(terms.takePlace(NOW)).contains(HeldBack.RATE_LIMITED);
+        assertThat(terms.takePlace(NOW)).contains(HoldReason.RATE_LIMITED);
         assertThat(terms.wantsPermit(NOW)).isTrue();
         permit(true, 100, NOW, NOW + 2);
-        assertThat(terms.takePlace(NOW + 50)).contains(HeldBack.RATE_LIMITED);
+        assertThat(terms.takePlace(NOW + 50)).contains(HoldReason.RATE_LIMITED);
         assertThat(terms.takePlace(NOW + 102)).isEmpty();
-        assertThat(terms.takePlace(NOW + 103)).contains(HeldBack.RATE_LIMITED);
+        assertThat(terms.takePlace(NOW + 103)).contains(HoldReason.RATE_LIMITED);
     }
 
     @Test
@@ -38,7 +38,7 @@
         terms.noticed(ONE_A_SECOND, true, NOW - 10, NOW);
         permit(true, 100, NOW, NOW + 2);
         long over = NOW + 100 + PermitCoordinator.VALID_MILLIS;
-        assertThat(terms.takePlace(over)).contains(HeldBack.RATE_LIMITED);
+        assertThat(terms.takePlace(over)).contains(HoldReason.RATE_LIMITED);
         assertThat(terms.wantsPermit(over)).isTrue();
     }
 
@@ -46,7 +46,7 @@
     void a_permit_that_comes_late_is_valid_no_longer_for_it() {
         terms.noticed(ONE_A_SECOND, true, NOW - 10, NOW);
         permit(true, 0, NOW, NOW + PermitCoordinator.VALID_MILLIS);
-        assertThat(terms.takePlace(NOW + PermitCoordinator.VALID_MILLIS)).contains(HeldBack.RATE_LIMITED);
+        assertThat(terms.takePlace(NOW + PermitCoordinator.VALID_MILLIS)).contains(HoldReason.RATE_LIMITED);
     }
 
     @Test
@@ -94,7 +94,7 @@
         assertThat(terms.noticed(new TargetNotice(OptionalDouble.empty(), 3_000, false), false, NOW - 10, NOW))
                 .containsExactly(NoticeChange.BACKS_OFF);
         terms.noticed(new TargetNotice(OptionalDouble.empty(), 1_000, false), false, NOW - 10, NOW + 5);
-        assertThat(terms.takePlace(NOW + 2_999)).contains(HeldBack.BACKING_OFF);
+        assertThat(terms.takePlace(NOW + 2_999)).contains(HoldReason.BACKING_OFF);
         assertThat(terms.untilFreeMillis(NOW + 1_000)).isEqualTo(2_000);
         assertThat(terms.takePlace(NOW + 3_000)).isEmpty();
     }
@@ -102,7 +102,7 @@
     @Test
     void a_wait_of_ages_ends_within_an_hour() {
         terms.noticed(new TargetNotice(OptionalDouble.empty(), Long.MAX_VALUE, false), false, NOW - 10, NOW);
-        assertThat(terms.takePlace(NOW + TargetTerms.MOST_BACK_OFF_MILLIS - 1)).contains(HeldBack.BACKING_OFF);
+        assertThat(terms.takePlace(NOW + TargetTerms.MOST_BACK_OFF_MILLIS - 1)).contains(HoldReason.BACKING_OFF);
         assertThat(terms.takePlace(NOW + TargetTerms.MOST_BACK_OFF_MILLIS)).isEmpty();
     }
 
@@ -111,7 +111,7 @@
         assertThat(terms.noticed(new TargetNotice(OptionalDouble.of(1), 10, true), true, NOW - 10, NOW))
                 .containsExactlyInAnyOrder(NoticeChange.LIMIT_NAMED, NoticeChange.BACKS_OFF, NoticeChange.LEAVES);
         assertThat(terms.noticed(TargetNotice.NONE, true, NOW + 5, NOW + 10)).containsExactly(NoticeChange.LIMIT_ENDED);
-        assertThat(terms.takePlace(NOW + 60_000)).contains(HeldBack.LEAVING);
+        assertThat(terms.takePlace(NOW + 60_000)).contains(HoldReason.LEAVING);
         assertThat(terms.wantsPermit(NOW + 60_000)).isFalse();
         assertThat(terms.untilFreeMillis(NOW + 60_000)).isEqualTo(Long.MAX_VALUE);
     }
--- a/daemon/src/main/java/org/bankturn/daemon/gateway/Attempt.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/Attempt.java
@@ -14,7 +14,7 @@
 import org.bankturn.daemon.observe.DecisionLine;
 import org.bankturn.daemon.observe.ServingMetrics;
 import org.bankturn.daemon.settings.Address;
-import org.bankturn.routing.HeldBack;
+import org.bankturn.routing.HoldReason;
 import org.bankturn.routing.NoticeChange;
 import org.bankturn.routing.TargetState;
 import org.bankturn.routing.TargetTable.Candidate;
@@ -119,7 +119,7 @@
 
     /** Gives the request back if the target wants none by now; what it asks for may have come while the connection was made. */
     private boolean isHeldBack(TargetConnection opened) {
-        Optional<HeldBack> reason = target.takePlace(now());
+        Optional<HoldReason> reason = target.takePlace(now());
         if (reason.isEmpty()) {
             return false;
         }
--- a/daemon/src/main/java/org/bankturn/daemon/gateway/ForwardedRequest.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/ForwardedRequest.java
@@ -9,7 +9,7 @@
 import org.bankturn.daemon.observe.RequestOutcome;
 import org.bankturn.daemon.observe.ServingMetrics;
 import org.bankturn.registry.TargetSighting;
-import org.bankturn.routing.HeldBack;
+import org.bankturn.routing.HoldReason;
 import org.bankturn.routing.NextStep;
 import org.bankturn.routing.RequestProgress;
 import org.bankturn.routing.RetryAfter;
@@ -331,7 +331,7 @@
     }
 
     /** The target wanted no request any more once there was a connection to it, so nothing left. */
-    void heldBack(TargetSighting target, HeldBack reason) {
+    void heldBack(TargetSighting target, HoldReason reason) {
         gateway.metrics().heldBack(reason.label());
         progress.heldBack(target.id());
         sendToNext();
--- a/daemon/src/main/java/org/bankturn/daemon/observe/ServingMetrics.java
+++ b/daemon/src/main/java/org/bankturn/daemon/observe/ServingMetrics.java
@@ -12,7 +12,7 @@
 import java.io.UncheckedIOException;
 import java.util.Map;
 import java.util.function.Supplier;
-import org.bankturn.routing.HeldBack;
+import org.bankturn.routing.HoldReason;
 
 /**
  * The counters and latency histograms of one process that meets an outside platform.
@@ -199,14 +199,14 @@
     }
 
     /** Has the targets that are held back told whenever metrics are read, by reason; to be called once. */
-    public void tellHeldBack(Supplier<Map<HeldBack, Integer>> counts) {
+    public void tellHeldBack(Supplier<Map<HoldReason, Integer>> counts) {
         GaugeWithCallback.builder()
                 .name("bankturn_targets_held_back")
                 .help("Targets that get no request from this gateway now, by reason.")
                 .labelNames("reason")
                 .callback(gauge -> {
-                    Map<HeldBack, Integer> now = counts.get();
-                    for (HeldBack reason : HeldBack.values()) {
+                    Map<HoldReason, Integer> now = counts.get();
+                    for (HoldReason reason : HoldReason.values()) {
                         gauge.call(now.getOrDefault(reason, 0), reason.label());
                     }
                 })
