--- a/core/src/main/java/org/bankturn/routing/LoadQuestions.java
+++ b/core/src/main/java/org/bankturn/routing/LoadPollSchedule.java
@@ -15,7 +15,7 @@
  *
  * <p>LoadQuestions is mutable and not thread-safe.
  */
-public final class LoadQuestions {
+public final class LoadPollSchedule {
     /** A gateway that sent nothing for so long is idle. */
     private static final long IDLE_AFTER_MILLIS = 1_000;
 
@@ -28,11 +28,11 @@
     private long sentMillis = Long.MIN_VALUE / 2;
 
     /** Returns questions for a gateway that watches nothing yet, not null. */
-    public static LoadQuestions of(PlacementSettings settings) {
-        return new LoadQuestions(settings);
+    public static LoadPollSchedule of(PlacementSettings settings) {
+        return new LoadPollSchedule(settings);
     }
 
-    private LoadQuestions(PlacementSettings settings) {
+    private LoadPollSchedule(PlacementSettings settings) {
         this.settings = settings;
     }
 
--- a/core/src/test/java/org/bankturn/routing/LoadQuestionsTest.java
+++ b/core/src/test/java/org/bankturn/routing/LoadPollScheduleTest.java
@@ -5,26 +5,26 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-class LoadQuestionsTest {
+class LoadPollScheduleTest {
     private static final long SECONDS = 60;
     private static final PlacementSettings SETTINGS = PlacementSettings.DEFAULT;
 
     @Test
     void an_idle_gateway_asks_a_few_times_a_second_however_many_engines_there_are() {
-        LoadQuestions questions = watchingTwelve();
+        LoadPollSchedule questions = watchingTwelve();
         assertThat(asked(questions, false)).isLessThan((int) (2 * SECONDS));
     }
 
     @Test
     void a_gateway_that_sends_requests_asks_more_often() {
-        LoadQuestions questions = watchingTwelve();
+        LoadPollSchedule questions = watchingTwelve();
         int idle = asked(questions, false);
         assertThat(asked(watchingTwelve(), true)).isGreaterThan(3 * idle);
     }
 
     @Test
     void engines_of_the_own_hall_are_asked_more_often() {
-        LoadQuestions questions = LoadQuestions.of(SETTINGS);
+        LoadPollSchedule questions = LoadPollSchedule.of(SETTINGS);
         questions.watch(Set.of("near"), Set.of("far"), 0);
         int near = 0;
         int far = 0;
@@ -40,7 +40,7 @@
 
     @Test
     void the_first_request_after_a_rest_brings_the_next_questions_forward() {
-        LoadQuestions questions = LoadQuestions.of(SETTINGS);
+        LoadPollSchedule questions = LoadPollSchedule.of(SETTINGS);
         questions.watch(Set.of("near"), Set.of(), 0);
         questions.next(0);
         long rested = questions.untilNextMillis(2_000);
@@ -50,19 +50,19 @@
 
     @Test
     void an_engine_that_is_no_longer_watched_is_not_asked() {
-        LoadQuestions questions = watchingTwelve();
+        LoadPollSchedule questions = watchingTwelve();
         questions.watch(Set.of(), Set.of(), 0);
         assertThat(questions.next(100_000)).isEmpty();
         assertThat(questions.untilNextMillis(100_000)).isEqualTo(SETTINGS.farPauseMillis());
     }
 
-    private static LoadQuestions watchingTwelve() {
-        LoadQuestions questions = LoadQuestions.of(SETTINGS);
+    private static LoadPollSchedule watchingTwelve() {
+        LoadPollSchedule questions = LoadPollSchedule.of(SETTINGS);
         questions.watch(Set.of("a", "b", "c", "d", "e", "f", "g", "h"), Set.of("i", "j", "k", "l"), 0);
         return questions;
     }
 
-    private static int asked(LoadQuestions questions, boolean busy) {
+    private static int asked(LoadPollSchedule questions, boolean busy) {
         int count = 0;
         for (long now = 0; now < SECONDS * 1_000; now += 10) {
             if (busy) {
--- a/daemon/src/main/java/org/bankturn/daemon/gateway/LoadPoller.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/LoadPoller.java
@@ -14,14 +14,14 @@
 import org.bankturn.daemon.wire.NodeReply;
 import org.bankturn.daemon.wire.NodeRequest;
 import org.bankturn.registry.TargetSighting;
-import org.bankturn.routing.LoadQuestions;
+import org.bankturn.routing.LoadPollSchedule;
 import org.bankturn.routing.PlacementSettings;
 import org.bankturn.routing.TargetTable;
 import org.bankturn.routing.WatchPlan;
 import org.bankturn.time.Clock;
 
 /**
- * Asks the processes beside engines for their load, as {@link WatchPlan} and {@link LoadQuestions} say.
+ * Asks the processes beside engines for their load, as {@link WatchPlan} and {@link LoadPollSchedule} say.
  *
  * <p>How long an answer takes tells how slow the path is; requests on it would be held up as well. LoadPoller is confined
  * to its reactor's thread.
@@ -45,7 +45,7 @@
     private final GatewaySettings settings;
     private final ServingMetrics metrics;
     private final WatchPlan plan;
-    private final LoadQuestions questions;
+    private final LoadPollSchedule questions;
     private Published published = Published.NOTHING;
     private Set<String> gatewaysHere = Set.of();
     private int busiest;
@@ -76,7 +76,7 @@
         this.metrics = metrics;
         this.plan =
                 WatchPlan.of(PlacementSettings.DEFAULT, settings.nodeAddress().toString(), settings.dataHall());
-        this.questions = LoadQuestions.of(PlacementSettings.DEFAULT);
+        this.questions = LoadPollSchedule.of(PlacementSettings.DEFAULT);
     }
 
     void start() {
--- a/standins/src/main/java/org/bankturn/replay/ReplayedGateway.java
+++ b/standins/src/main/java/org/bankturn/replay/ReplayedGateway.java
@@ -9,7 +9,7 @@
 import org.bankturn.crash.RequestFingerprint;
 import org.bankturn.crash.Suspect;
 import org.bankturn.registry.TargetSighting;
-import org.bankturn.routing.LoadQuestions;
+import org.bankturn.routing.LoadPollSchedule;
 import org.bankturn.routing.NextStep;
 import org.bankturn.routing.PlacementSettings;
 import org.bankturn.routing.RequestPolicy;
@@ -41,7 +41,7 @@
     private final TargetTable targets;
     private final RequestPolicy policy;
     private final WatchPlan plan;
-    private final LoadQuestions questions;
+    private final LoadPollSchedule questions;
     private final KnownSuspects suspects = KnownSuspects.none();
     private List<TargetSighting> sightings = List.of();
     private int busiest;
@@ -55,7 +55,7 @@
         this.targets = TargetTable.of(time, dataHall, settings, random);
         this.policy = RequestPolicy.of(time, targets, RETRIES, random);
         this.plan = WatchPlan.of(settings, name, dataHall);
-        this.questions = LoadQuestions.of(settings);
+        this.questions = LoadPollSchedule.of(settings);
     }
 
     String name() {
