--- a/core/src/main/java/org/bankturn/routing/TargetTable.java
+++ b/core/src/main/java/org/bankturn/routing/TargetTable.java
@@ -44,7 +44,7 @@
     private final Map<String, TargetState> targets = new HashMap<>();
     private final Map<String, List<TargetState>> byService = new HashMap<>();
     private final RememberedTerms remembered = new RememberedTerms();
-    private final OpenQuestions openQuestions;
+    private final UnansweredPolls openQuestions;
     private Set<String> watched = Set.of();
     private List<TargetState> watchedStates = List.of();
     private final Set<TargetState> permitsWanted = new LinkedHashSet<>();
@@ -100,7 +100,7 @@
         this.dataHall = dataHall;
         this.settings = settings;
         this.comparison = new CandidateSelector(clock, settings, random);
-        this.openQuestions = OpenQuestions.none(clock);
+        this.openQuestions = UnansweredPolls.none(clock);
     }
 
     // ---- what is known
--- a/core/src/main/java/org/bankturn/routing/OpenQuestions.java
+++ b/core/src/main/java/org/bankturn/routing/UnansweredPolls.java
@@ -14,7 +14,7 @@
  *
  * <p>OpenQuestions is mutable and not thread-safe.
  */
-final class OpenQuestions {
+final class UnansweredPolls {
     private final Clock clock;
     private final Map<String, Open> open = new HashMap<>();
     private long answeredMillis = Long.MIN_VALUE / 2;
@@ -23,11 +23,11 @@
     private record Open(long askedMillis, long openMillis) {}
 
     /** Returns an empty set of questions, not null. */
-    static OpenQuestions none(Clock clock) {
-        return new OpenQuestions(clock);
+    static UnansweredPolls none(Clock clock) {
+        return new UnansweredPolls(clock);
     }
 
-    private OpenQuestions(Clock clock) {
+    private UnansweredPolls(Clock clock) {
         this.clock = clock;
     }
 
