--- a/core/src/main/java/org/bankturn/routing/NextStep.java
+++ b/core/src/main/java/org/bankturn/routing/NextStep.java
@@ -9,9 +9,9 @@
      *
      * @param targets the incarnations to ask, at least one, not null
      */
-    record Ask(List<String> targets) implements NextStep {
+    record PollLoad(List<String> targets) implements NextStep {
         /** Copies the list. */
-        public Ask {
+        public PollLoad {
             targets = List.copyOf(targets);
         }
     }
--- a/core/src/main/java/org/bankturn/routing/RequestPolicy.java
+++ b/core/src/main/java/org/bankturn/routing/RequestPolicy.java
@@ -161,7 +161,7 @@
             request.askHere();
             List<String> here = targets.toAsk(wanted, false);
             if (!here.isEmpty()) {
-                return Optional.of(new NextStep.Ask(here));
+                return Optional.of(new NextStep.PollLoad(here));
             }
         }
         if (request.askedElsewhere()) {
@@ -173,7 +173,7 @@
         }
         request.askElsewhere();
         List<String> elsewhere = targets.toAsk(wanted, true);
-        return elsewhere.isEmpty() ? Optional.empty() : Optional.of(new NextStep.Ask(elsewhere));
+        return elsewhere.isEmpty() ? Optional.empty() : Optional.of(new NextStep.PollLoad(elsewhere));
     }
 
     private NextStep place(RequestProgress request) {
--- a/core/src/test/java/org/bankturn/routing/RequestPolicyTest.java
+++ b/core/src/test/java/org/bankturn/routing/RequestPolicyTest.java
@@ -53,7 +53,7 @@
     @Test
     void engines_are_asked_once_and_then_the_request_is_placed() {
         RequestProgress request = request();
-        assertThat(policy.next(request)).isEqualTo(new NextStep.Ask(List.of("one")));
+        assertThat(policy.next(request)).isEqualTo(new NextStep.PollLoad(List.of("one")));
         targets.reported("one", EngineLoad.NONE, 0, 2);
         assertThat(policy.next(request)).isInstanceOf(NextStep.Send.class);
     }
@@ -62,7 +62,7 @@
     void a_request_whose_questions_are_not_answered_is_placed_all_the_same() {
         RequestProgress request = request();
         NextStep step = policy.next(request);
-        while (step instanceof NextStep.Ask) {
+        while (step instanceof NextStep.PollLoad) {
             step = policy.next(request);
         }
         assertThat(step).isInstanceOf(NextStep.Send.class);
@@ -81,7 +81,7 @@
     void before_another_hall_is_used_its_engines_are_asked() {
         full("one");
         RequestProgress request = request();
-        assertThat(policy.next(request)).isEqualTo(new NextStep.Ask(List.of("two")));
+        assertThat(policy.next(request)).isEqualTo(new NextStep.PollLoad(List.of("two")));
         targets.reported("two", EngineLoad.NONE, 0, 4);
         assertThat(policy.next(request)).isInstanceOf(NextStep.Send.class);
     }
@@ -163,7 +163,7 @@
 
     private NextStep decide(RequestProgress request) {
         NextStep step = policy.next(request);
-        while (step instanceof NextStep.Ask) {
+        while (step instanceof NextStep.PollLoad) {
             step = policy.next(request);
         }
         return step;
@@ -205,7 +205,7 @@
 
     private boolean retriesAfterFailure(RequestPolicy asked) {
         RequestProgress request = request();
-        while (asked.next(request) instanceof NextStep.Ask) {
+        while (asked.next(request) instanceof NextStep.PollLoad) {
             clock.advance(1);
         }
         request.sent();
--- a/core/src/test/java/org/bankturn/routing/RetriesAcrossStartsTest.java
+++ b/core/src/test/java/org/bankturn/routing/RetriesAcrossStartsTest.java
@@ -89,7 +89,7 @@
 
         private boolean isSent(RequestProgress request) {
             NextStep step = policy.next(request);
-            while (step instanceof NextStep.Ask) {
+            while (step instanceof NextStep.PollLoad) {
                 step = policy.next(request);
             }
             return step instanceof NextStep.Send;
--- a/standins/src/main/java/org/bankturn/replay/ReplayedGateway.java
+++ b/standins/src/main/java/org/bankturn/replay/ReplayedGateway.java
@@ -195,7 +195,7 @@
                 return;
             }
             NextStep step = policy.next(progress);
-            if (step instanceof NextStep.Ask asking) {
+            if (step instanceof NextStep.PollLoad asking) {
                 int[] open = {asking.targets().size()};
                 asking.targets()
                         .forEach(id -> ask(world.engine(id), () -> {
