--- a/core/src/main/java/org/bankturn/routing/RememberedTerms.java
+++ b/core/src/main/java/org/bankturn/routing/FlowControlCache.java
@@ -9,7 +9,7 @@
  * <p>A target that cannot reach the control group for a while is dropped from the list and comes back as it was.
  * RememberedTerms is mutable and not thread-safe.
  */
-final class RememberedTerms {
+final class FlowControlCache {
     private static final int MOST_REMEMBERED = 1_024;
 
     private final Map<String, TargetTerms> byIncarnation = new LinkedHashMap<>();
--- a/core/src/main/java/org/bankturn/routing/TargetTable.java
+++ b/core/src/main/java/org/bankturn/routing/TargetTable.java
@@ -43,7 +43,7 @@
     private final CandidateSelector comparison;
     private final Map<String, TargetState> targets = new HashMap<>();
     private final Map<String, List<TargetState>> byService = new HashMap<>();
-    private final RememberedTerms remembered = new RememberedTerms();
+    private final FlowControlCache remembered = new FlowControlCache();
     private final UnansweredPolls openQuestions;
     private Set<String> watched = Set.of();
     private List<TargetState> watchedStates = List.of();
