--- a/core/src/main/java/org/bankturn/routing/FlowControlCache.java
+++ b/core/src/main/java/org/bankturn/routing/FlowControlCache.java
@@ -12,10 +12,10 @@
 final class FlowControlCache {
     private static final int MOST_REMEMBERED = 1_024;
 
-    private final Map<String, TargetTerms> byIncarnation = new LinkedHashMap<>();
+    private final Map<String, TargetFlowControl> byIncarnation = new LinkedHashMap<>();
 
     /** Remembers the terms of a start that is no longer listed, if it asked for anything; the oldest are forgotten. */
-    void keep(String incarnation, TargetTerms terms) {
+    void keep(String incarnation, TargetFlowControl terms) {
         if (!terms.askForSomething()) {
             return;
         }
@@ -26,8 +26,8 @@
     }
 
     /** Returns the terms of a start that is listed, new ones if none are remembered, not null. */
-    TargetTerms take(String incarnation) {
-        TargetTerms remembered = byIncarnation.remove(incarnation);
-        return remembered == null ? new TargetTerms() : remembered;
+    TargetFlowControl take(String incarnation) {
+        TargetFlowControl remembered = byIncarnation.remove(incarnation);
+        return remembered == null ? new TargetFlowControl() : remembered;
     }
 }
--- a/core/src/main/java/org/bankturn/routing/TargetTerms.java
+++ b/core/src/main/java/org/bankturn/routing/TargetFlowControl.java
@@ -12,7 +12,7 @@
  * needs a permit, and one is held at a time. A new start of the target has asked for nothing. TargetTerms is mutable and not
  * thread-safe.
  */
-final class TargetTerms {
+final class TargetFlowControl {
     /** A target that asks for a longer wait is tried again then: the number may be an error. */
     static final long MOST_BACK_OFF_MILLIS = 3_600_000;
 
--- a/core/src/main/java/org/bankturn/routing/TargetState.java
+++ b/core/src/main/java/org/bankturn/routing/TargetState.java
@@ -55,9 +55,9 @@
     private long heardOfLoadMillis = Long.MIN_VALUE / 2;
     private final Deque<Long> sentMillis = new ArrayDeque<>();
     private final Deque<Long> endedMillis = new ArrayDeque<>();
-    private final TargetTerms terms;
+    private final TargetFlowControl terms;
 
-    TargetState(TargetSighting sighting, TargetTerms terms) {
+    TargetState(TargetSighting sighting, TargetFlowControl terms) {
         this.sighting = sighting;
         this.terms = terms;
     }
@@ -152,7 +152,7 @@
     }
 
     /** Returns what the target asks of this gateway, not null. */
-    TargetTerms terms() {
+    TargetFlowControl terms() {
         return terms;
     }
 
--- a/core/src/test/java/org/bankturn/routing/RateLimitReplay.java
+++ b/core/src/test/java/org/bankturn/routing/RateLimitReplay.java
@@ -76,7 +76,7 @@
     /** One gateway, which forgets everything when it starts again. */
     private final class Gateway {
         private final String name;
-        private TargetTerms terms = new TargetTerms();
+        private TargetFlowControl terms = new TargetFlowControl();
         private PermitCoordinator coordinator = PermitCoordinator.of(RateLimitReplay.this, random);
         private long toldMillis = Long.MAX_VALUE;
         private long nextPartMillis = -1;
@@ -89,7 +89,7 @@
         }
 
         private void restart() {
-            terms = new TargetTerms();
+            terms = new TargetFlowControl();
             coordinator = PermitCoordinator.of(RateLimitReplay.this, random);
             toldMillis = Long.MAX_VALUE;
             nextPartMillis = -1;
@@ -99,7 +99,7 @@
         private void request() {
             after(Math.round(-Math.log(1 - random.nextDouble()) * 1_000 / REQUESTS_A_SECOND), this::request);
             if (up && mayGo()) {
-                TargetTerms start = terms;
+                TargetFlowControl start = terms;
                 long sentMillis = now;
                 arrived();
                 after(ANSWER_MILLIS, () -> answered(start, sentMillis));
@@ -137,7 +137,7 @@
             }
         }
 
-        private void answered(TargetTerms start, long sentMillis) {
+        private void answered(TargetFlowControl start, long sentMillis) {
             if (start != terms || !up) {
                 return;
             }
@@ -167,7 +167,7 @@
         }
 
         private void askForPermit() {
-            TargetTerms start = terms;
+            TargetFlowControl start = terms;
             long askedMillis = now;
             terms.permitAsked();
             Optional<Gateway> other = responsible();
--- a/core/src/test/java/org/bankturn/routing/TargetTermsTest.java
+++ b/core/src/test/java/org/bankturn/routing/TargetFlowControlTest.java
@@ -5,11 +5,11 @@
 import java.util.OptionalDouble;
 import org.junit.jupiter.api.Test;
 
-class TargetTermsTest {
+class TargetFlowControlTest {
     private static final long NOW = 1_000_000;
     private static final TargetNotice ONE_A_SECOND = new TargetNotice(OptionalDouble.of(1), 0, false);
 
-    private final TargetTerms terms = new TargetTerms();
+    private final TargetFlowControl terms = new TargetFlowControl();
 
     private void permit(boolean granted, long inMillis, long askedMillis, long nowMillis) {
         terms.permitAsked();
@@ -102,8 +102,10 @@
     @Test
     void a_wait_of_ages_ends_within_an_hour() {
         terms.noticed(new TargetNotice(OptionalDouble.empty(), Long.MAX_VALUE, false), false, NOW - 10, NOW);
-        assertThat(terms.takePlace(NOW + TargetTerms.MOST_BACK_OFF_MILLIS - 1)).contains(HoldReason.BACKING_OFF);
-        assertThat(terms.takePlace(NOW + TargetTerms.MOST_BACK_OFF_MILLIS)).isEmpty();
+        assertThat(terms.takePlace(NOW + TargetFlowControl.MOST_BACK_OFF_MILLIS - 1))
+                .contains(HoldReason.BACKING_OFF);
+        assertThat(terms.takePlace(NOW + TargetFlowControl.MOST_BACK_OFF_MILLIS))
+                .isEmpty();
     }
 
     @Test
