--- a/core/src/main/java/org/bankturn/routing/ReturningCallers.java
+++ b/core/src/main/java/org/bankturn/routing/CallerRetryDetector.java
@@ -10,7 +10,7 @@
  * <p>A caller says how long it will wait. One that comes back has waited already, so it says less than the others of its
  * route do. ReturningCallers is mutable and not thread-safe.
  */
-final class ReturningCallers {
+final class CallerRetryDetector {
     /** A caller that was refused at once and came back at once has lost more than that share of its patience. */
     private static final double WHOLE_PATIENCE_SHARE = 0.97;
 
@@ -33,11 +33,11 @@
         }
     }
 
-    static ReturningCallers of(Clock clock) {
-        return new ReturningCallers(clock);
+    static CallerRetryDetector of(Clock clock) {
+        return new CallerRetryDetector(clock);
     }
 
-    private ReturningCallers(Clock clock) {
+    private CallerRetryDetector(Clock clock) {
         this.clock = clock;
     }
 
--- a/core/src/main/java/org/bankturn/routing/RequestPolicy.java
+++ b/core/src/main/java/org/bankturn/routing/RequestPolicy.java
@@ -44,7 +44,7 @@
     private final Map<String, Integer> mostUrgent = new HashMap<>();
     private final Map<String, VersionsDue> versionsDue = new HashMap<>();
     private final Map<String, FirstAttemptPriority> firstTries = new HashMap<>();
-    private final ReturningCallers returning;
+    private final CallerRetryDetector returning;
     private ServingConfiguration configuration;
 
     /** The most gateways that were there at a time: those that seem gone may have spent their part, or be cut off and spend it. */
@@ -68,7 +68,7 @@
         this.targets = targets;
         this.retries = retries;
         this.random = random;
-        this.returning = ReturningCallers.of(clock);
+        this.returning = CallerRetryDetector.of(clock);
     }
 
     // ---- what is known
