--- a/core/src/main/java/org/bankturn/routing/RequestPolicy.java
+++ b/core/src/main/java/org/bankturn/routing/RequestPolicy.java
@@ -125,8 +125,8 @@
     public long silenceMillis(RequestProgress request, Candidate choice, long heardMillis) {
         boolean atWork = choice.target().isAtWork(clock.millis(), heardMillis);
         return request.lastEvent() == null
-                ? SilenceBound.beforeFirstMillis(request.route().objectiveMillis(), choice.predictedMillis(), atWork)
-                : SilenceBound.withinStreamMillis(atWork);
+                ? SilenceTimeout.beforeFirstMillis(request.route().objectiveMillis(), choice.predictedMillis(), atWork)
+                : SilenceTimeout.withinStreamMillis(atWork);
     }
 
     // ---- decisions
--- a/core/src/main/java/org/bankturn/routing/SilenceBound.java
+++ b/core/src/main/java/org/bankturn/routing/SilenceTimeout.java
@@ -9,7 +9,7 @@
  *
  * <p>SilenceBound has no state.
  */
-public final class SilenceBound {
+public final class SilenceTimeout {
     /** The least time: a pass of a busy engine with several prompts to read takes 0.2 to 0.4 s. */
     private static final long LEAST_MILLIS = 700;
 
@@ -25,7 +25,7 @@
     /** How much longer a target is given that answers other requests meanwhile. */
     private static final double WHILE_OTHERS_ARE_ANSWERED = 2;
 
-    private SilenceBound() {}
+    private SilenceTimeout() {}
 
     /**
      * Returns the bound before the first event.
--- a/core/src/test/java/org/bankturn/routing/RequestPolicyTest.java
+++ b/core/src/test/java/org/bankturn/routing/RequestPolicyTest.java
@@ -230,10 +230,10 @@
 
     @Test
     void a_target_that_answers_others_is_given_longer() {
-        long alone = SilenceBound.beforeFirstMillis(600, 200, false);
-        assertThat(SilenceBound.beforeFirstMillis(600, 200, true)).isGreaterThan(alone);
-        assertThat(SilenceBound.beforeFirstMillis(600, 2_000, false)).isEqualTo(4_000);
-        assertThat(SilenceBound.withinStreamMillis(true)).isGreaterThan(SilenceBound.withinStreamMillis(false));
+        long alone = SilenceTimeout.beforeFirstMillis(600, 200, false);
+        assertThat(SilenceTimeout.beforeFirstMillis(600, 200, true)).isGreaterThan(alone);
+        assertThat(SilenceTimeout.beforeFirstMillis(600, 2_000, false)).isEqualTo(4_000);
+        assertThat(SilenceTimeout.withinStreamMillis(true)).isGreaterThan(SilenceTimeout.withinStreamMillis(false));
     }
 
     private void halfFull(String id) {
--- a/core/src/test/java/org/bankturn/routing/SilenceReplay.java
+++ b/core/src/test/java/org/bankturn/routing/SilenceReplay.java
@@ -10,7 +10,7 @@
  * Replays, in virtual time, a gateway whose open connections to all targets go silent at one moment while new ones work.
  *
  * <p>A request takes the connection of its target that was kept last, or a new one; it is answered by a word every 40 ms. A
- * request that hears nothing for as long as {@link SilenceBound} allows goes to the next target, once.
+ * request that hears nothing for as long as {@link SilenceTimeout} allows goes to the next target, once.
  */
 final class SilenceReplay {
     private static final long STEP_MILLIS = 4;
@@ -148,8 +148,8 @@
 
     private static long bound(Request request) {
         return request.words == 0
-                ? SilenceBound.beforeFirstMillis(OBJECTIVE_MILLIS, BETWEEN_WORDS_MILLIS, false)
-                : SilenceBound.withinStreamMillis(false);
+                ? SilenceTimeout.beforeFirstMillis(OBJECTIVE_MILLIS, BETWEEN_WORDS_MILLIS, false)
+                : SilenceTimeout.withinStreamMillis(false);
     }
 
     private void word(Request request) {
