--- a/core/src/main/java/org/bankturn/routing/StopPlan.java
+++ b/core/src/main/java/org/bankturn/routing/ShutdownSchedule.java
@@ -8,14 +8,14 @@
  *
  * <p>StopPlan has no state.
  */
-public final class StopPlan {
+public final class ShutdownSchedule {
     /** Two questions a second apart must miss, and the second answer and a new connection be under way: 2 s and a margin. */
     private static final long NOTICED_MILLIS = 2_600;
 
     /** The process ends itself by then, with time for its last lines. */
     private static final long MARGIN_MILLIS = 700;
 
-    private StopPlan() {}
+    private ShutdownSchedule() {}
 
     /** Returns true once no new callers are sent here any more. */
     public static boolean isNoticed(long sinceStopMillis) {
--- a/daemon/src/main/java/org/bankturn/daemon/gateway/Gateway.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/Gateway.java
@@ -36,7 +36,7 @@
 import org.bankturn.routing.PlacementSettings;
 import org.bankturn.routing.RequestPolicy;
 import org.bankturn.routing.RetryAfter;
-import org.bankturn.routing.StopPlan;
+import org.bankturn.routing.ShutdownSchedule;
 import org.bankturn.routing.TargetState;
 import org.bankturn.routing.TargetTable;
 import org.bankturn.service.Account;
@@ -211,13 +211,13 @@
 
     private void checkStopped(long since, SettablePromise<Void> stopped) {
         long waited = clock.millis() - since;
-        boolean noticed = StopPlan.isNoticed(waited);
+        boolean noticed = ShutdownSchedule.isNoticed(waited);
         if (noticed) {
             takenOut = true;
             callers.closeResting();
         }
         boolean done = noticed && callers.underWay() == 0;
-        if (done || StopPlan.isOver(waited, settings.stopMillis())) {
+        if (done || ShutdownSchedule.isOver(waited, settings.stopMillis())) {
             log.line(DecisionKind.STOP)
                     .with(DecisionField.WAITED_MS, waited)
                     .with(DecisionField.UNDER_WAY, callers.underWay())
