--- a/core/src/main/java/org/bankturn/routing/WordsByOpening.java
+++ b/core/src/main/java/org/bankturn/routing/ReceiveTimes.java
@@ -9,7 +9,7 @@
  * <p>What comes on a connection tells nothing of those that were opened before it and may have gone silent. WordsByOpening is
  * mutable and not thread-safe.
  */
-final class WordsByOpening {
+final class ReceiveTimes {
     /** Connections remembered before the oldest words are forgotten: more than a process has in use at a moment. */
     private static final int MOST_REMEMBERED = 256;
 
@@ -17,11 +17,11 @@
     private final Map<Long, Long> heardByOpening = new HashMap<>();
 
     /** Returns words of which none is known, not null; each is remembered for as long as given. */
-    static WordsByOpening remembering(long millis) {
-        return new WordsByOpening(millis);
+    static ReceiveTimes remembering(long millis) {
+        return new ReceiveTimes(millis);
     }
 
-    private WordsByOpening(long rememberedMillis) {
+    private ReceiveTimes(long rememberedMillis) {
         this.rememberedMillis = rememberedMillis;
     }
 
