--- a/core/src/test/java/org/bankturn/routing/FirstEventTest.java
+++ b/core/src/test/java/org/bankturn/routing/FirstEventEstimateTest.java
@@ -5,7 +5,7 @@
 import org.bankturn.service.EngineModel;
 import org.junit.jupiter.api.Test;
 
-class FirstEventTest {
+class FirstEventEstimateTest {
     private static final EngineModel ENGINE = new EngineModel(16, 317_000, 9.27, 0.02, 0.03, 20.7, 2_048, 5, 92);
     private final FirstEventEstimate estimate = FirstEventEstimate.of(ENGINE);
 
