--- a/core/src/test/java/org/bankturn/routing/RetriesAcrossStartsTest.java
+++ b/core/src/test/java/org/bankturn/routing/RetriesAcrossRestartsTest.java
@@ -26,7 +26,7 @@
  * what it had spent on retries within the window and spent it once more, and the gateways that were left divided the
  * allowance among fewer, though those that were gone had spent their parts: 380 retries in 10 s where 351 were allowed.
  */
-class RetriesAcrossStartsTest {
+class RetriesAcrossRestartsTest {
     private static final EngineModel ENGINE = new EngineModel(8, 317_000, 13.9, 0.03, 0.05, 13.8, 2_048, 5, 70);
     private static final Service SERVICE = new Service("chat", "/", 100, ENGINE, null, null, null);
     private static final Route ROUTE = new Route(
