--- a/core/src/main/java/org/bankturn/routing/AdmissionPolicy.java
+++ b/core/src/main/java/org/bankturn/routing/AdmissionPolicy.java
@@ -24,7 +24,7 @@
      * @return milliseconds
      * @throws IllegalArgumentException if an argument is negative
      */
-    public static double latestMillis(long objectiveMillis, int urgency, int mostUrgent) {
+    public static double maxStartDelayMillis(long objectiveMillis, int urgency, int mostUrgent) {
         if (objectiveMillis < 0 || urgency < 0 || mostUrgent < 0) {
             throw new IllegalArgumentException("objective, urgency and most urgent must be 0 or more, not "
                     + objectiveMillis + ", " + urgency + ", " + mostUrgent);
--- a/core/src/main/java/org/bankturn/routing/RequestPolicy.java
+++ b/core/src/main/java/org/bankturn/routing/RequestPolicy.java
@@ -284,7 +284,8 @@
         }
         Route route = request.route();
         double expected = correction(service).applyTo(choice.predictedMillis());
-        double latest = AdmissionPolicy.latestMillis(route.objectiveMillis(), route.priority(), mostUrgent(service));
+        double latest =
+                AdmissionPolicy.maxStartDelayMillis(route.objectiveMillis(), route.priority(), mostUrgent(service));
         return expected > latest * (request.hasComeBack() ? firstTries(service).limitShareOfReturning() : 1);
     }
 
