--- a/core/src/main/java/org/bankturn/routing/CandidateSelector.java
+++ b/core/src/main/java/org/bankturn/routing/CandidateSelector.java
@@ -40,18 +40,18 @@
      * offers would be lost otherwise, and the end of its limit would go unnoticed while others look a little better.
      */
     private Optional<Candidate> withPermit(Candidates candidates, Requirements wanted) {
-        return candidates.near.stream()
+        return candidates.local.stream()
                 .filter(choice -> choice.target().rateLimit().inForce())
                 .filter(choice -> isComfortable(choice, wanted))
                 .findAny();
     }
 
     private Optional<Candidate> likelyFirst(Candidates candidates, Requirements wanted) {
-        Optional<Weighed> drawn = leastOf(freshOf(candidates.near), settings.drawn());
+        Optional<Weighed> drawn = leastOf(freshOf(candidates.local), settings.drawn());
         if (drawn.isPresent() && isComfortable(drawn.get().choice(), wanted)) {
             return drawn.map(Weighed::choice);
         }
-        Optional<Weighed> here = leastOf(candidates.near, Integer.MAX_VALUE);
+        Optional<Weighed> here = leastOf(candidates.local, Integer.MAX_VALUE);
         if (here.isPresent() && isComfortable(here.get().choice(), wanted)) {
             return here.map(Weighed::choice);
         }
--- a/core/src/main/java/org/bankturn/routing/Candidates.java
+++ b/core/src/main/java/org/bankturn/routing/Candidates.java
@@ -10,7 +10,7 @@
  * <p>Candidates is mutable and not thread-safe.
  */
 final class Candidates {
-    final List<Candidate> near = new ArrayList<>();
+    final List<Candidate> local = new ArrayList<>();
     final List<Candidate> far = new ArrayList<>();
     final List<Candidate> unwatched = new ArrayList<>();
     final List<Candidate> avoided = new ArrayList<>();
--- a/core/src/main/java/org/bankturn/routing/TargetTable.java
+++ b/core/src/main/java/org/bankturn/routing/TargetTable.java
@@ -193,7 +193,7 @@
         }
         long now = clock.millis();
         Candidates candidates = candidates(wanted, now, false);
-        List<Candidate> pool = elsewhere ? candidates.far : candidates.near;
+        List<Candidate> pool = elsewhere ? candidates.far : candidates.local;
         int fresh = (int) pool.stream()
                 .filter(choice -> choice.target().newsMillis(now) <= settings.freshMillis())
                 .count();
@@ -284,7 +284,7 @@
             return candidates;
         }
         watchedStates.forEach(state -> consider(state, wanted, now, sends, candidates));
-        if (candidates.near.isEmpty() && candidates.far.isEmpty()) {
+        if (candidates.local.isEmpty() && candidates.far.isEmpty()) {
             ofService.stream()
                     .filter(state -> !isWatched(state))
                     .forEach(state -> consider(state, wanted, now, sends, candidates));
@@ -315,7 +315,7 @@
         } else if (!usual) {
             candidates.unwatched.add(choice);
         } else if (isNear(state)) {
-            candidates.near.add(choice);
+            candidates.local.add(choice);
         } else {
             candidates.far.add(choice);
         }
