--- a/core/src/main/java/org/bankturn/routing/CandidateSelector.java
+++ b/core/src/main/java/org/bankturn/routing/CandidateSelector.java
@@ -55,7 +55,7 @@
         if (here.isPresent() && isComfortable(here.get().choice(), wanted)) {
             return here.map(Weighed::choice);
         }
-        Optional<Weighed> elsewhere = leastOf(freshOf(candidates.far), settings.drawn());
+        Optional<Weighed> elsewhere = leastOf(freshOf(candidates.remote), settings.drawn());
         boolean goes = here.isEmpty()
                 || (elsewhere.isPresent()
                         && elsewhere.get().cost() + settings.otherHallMillis()
--- a/core/src/main/java/org/bankturn/routing/Candidates.java
+++ b/core/src/main/java/org/bankturn/routing/Candidates.java
@@ -11,7 +11,7 @@
  */
 final class Candidates {
     final List<Candidate> local = new ArrayList<>();
-    final List<Candidate> far = new ArrayList<>();
+    final List<Candidate> remote = new ArrayList<>();
     final List<Candidate> unwatched = new ArrayList<>();
     final List<Candidate> avoided = new ArrayList<>();
     final List<TargetState> heldBackNear = new ArrayList<>();
--- a/core/src/main/java/org/bankturn/routing/TargetTable.java
+++ b/core/src/main/java/org/bankturn/routing/TargetTable.java
@@ -193,7 +193,7 @@
         }
         long now = clock.millis();
         Candidates candidates = candidates(wanted, now, false);
-        List<Candidate> pool = elsewhere ? candidates.far : candidates.local;
+        List<Candidate> pool = elsewhere ? candidates.remote : candidates.local;
         int fresh = (int) pool.stream()
                 .filter(choice -> choice.target().newsMillis(now) <= settings.freshMillis())
                 .count();
@@ -284,7 +284,7 @@
             return candidates;
         }
         watchedStates.forEach(state -> consider(state, wanted, now, sends, candidates));
-        if (candidates.local.isEmpty() && candidates.far.isEmpty()) {
+        if (candidates.local.isEmpty() && candidates.remote.isEmpty()) {
             ofService.stream()
                     .filter(state -> !isWatched(state))
                     .forEach(state -> consider(state, wanted, now, sends, candidates));
@@ -317,7 +317,7 @@
         } else if (isNear(state)) {
             candidates.local.add(choice);
         } else {
-            candidates.far.add(choice);
+            candidates.remote.add(choice);
         }
     }
 
