--- a/core/src/main/java/org/bankturn/routing/Candidates.java
+++ b/core/src/main/java/org/bankturn/routing/Candidates.java
@@ -14,6 +14,6 @@
     final List<Candidate> remote = new ArrayList<>();
     final List<Candidate> unwatched = new ArrayList<>();
     final List<Candidate> avoided = new ArrayList<>();
-    final List<TargetState> heldBackNear = new ArrayList<>();
+    final List<TargetState> heldBackLocal = new ArrayList<>();
     final List<TargetState> heldBackFar = new ArrayList<>();
 }
--- a/core/src/main/java/org/bankturn/routing/TargetTable.java
+++ b/core/src/main/java/org/bankturn/routing/TargetTable.java
@@ -213,7 +213,7 @@
     public Optional<Candidate> choose(Requirements wanted) {
         Candidates candidates = candidates(wanted, clock.millis(), true);
         Optional<Candidate> choice = comparison.best(candidates, wanted);
-        wantPermits(candidates.heldBackNear);
+        wantPermits(candidates.heldBackLocal);
         if (choice.isEmpty() || !staysHere(choice.get(), wanted)) {
             wantPermits(candidates.heldBackFar);
         }
@@ -297,7 +297,7 @@
             return;
         }
         if (state.heldBack(now).isPresent()) {
-            (isNear(state) ? candidates.heldBackNear : candidates.heldBackFar).add(state);
+            (isNear(state) ? candidates.heldBackLocal : candidates.heldBackFar).add(state);
             return;
         }
         // counted one by one, questions that no engine answers would have most requests refused
