--- a/core/src/main/java/org/bankturn/routing/Candidates.java
+++ b/core/src/main/java/org/bankturn/routing/Candidates.java
@@ -15,5 +15,5 @@
     final List<Candidate> unwatched = new ArrayList<>();
     final List<Candidate> avoided = new ArrayList<>();
     final List<TargetState> heldBackLocal = new ArrayList<>();
-    final List<TargetState> heldBackFar = new ArrayList<>();
+    final List<TargetState> heldBackRemote = new ArrayList<>();
 }
--- a/core/src/main/java/org/bankturn/routing/TargetTable.java
+++ b/core/src/main/java/org/bankturn/routing/TargetTable.java
@@ -215,7 +215,7 @@
         Optional<Candidate> choice = comparison.best(candidates, wanted);
         wantPermits(candidates.heldBackLocal);
         if (choice.isEmpty() || !staysHere(choice.get(), wanted)) {
-            wantPermits(candidates.heldBackFar);
+            wantPermits(candidates.heldBackRemote);
         }
         return choice;
     }
@@ -297,7 +297,7 @@
             return;
         }
         if (state.heldBack(now).isPresent()) {
-            (isNear(state) ? candidates.heldBackLocal : candidates.heldBackFar).add(state);
+            (isNear(state) ? candidates.heldBackLocal : candidates.heldBackRemote).add(state);
             return;
         }
         // counted one by one, questions that no engine answers would have most requests refused
