--- a/core/src/main/java/org/bankturn/routing/CandidateSelector.java
+++ b/core/src/main/java/org/bankturn/routing/CandidateSelector.java
@@ -42,17 +42,17 @@
     private Optional<Candidate> withPermit(Candidates candidates, Requirements wanted) {
         return candidates.local.stream()
                 .filter(choice -> choice.target().rateLimit().inForce())
-                .filter(choice -> isComfortable(choice, wanted))
+                .filter(choice -> startsWithinLocalShare(choice, wanted))
                 .findAny();
     }
 
     private Optional<Candidate> likelyFirst(Candidates candidates, Requirements wanted) {
         Optional<Weighed> drawn = leastOf(freshOf(candidates.local), settings.drawn());
-        if (drawn.isPresent() && isComfortable(drawn.get().choice(), wanted)) {
+        if (drawn.isPresent() && startsWithinLocalShare(drawn.get().choice(), wanted)) {
             return drawn.map(Weighed::choice);
         }
         Optional<Weighed> here = leastOf(candidates.local, Integer.MAX_VALUE);
-        if (here.isPresent() && isComfortable(here.get().choice(), wanted)) {
+        if (here.isPresent() && startsWithinLocalShare(here.get().choice(), wanted)) {
             return here.map(Weighed::choice);
         }
         Optional<Weighed> elsewhere = leastOf(freshOf(candidates.remote), settings.drawn());
@@ -65,7 +65,7 @@
     }
 
     /** Returns true if a request begins early enough there to stay in its data hall whatever others offer. */
-    boolean isComfortable(Candidate choice, Requirements wanted) {
+    boolean startsWithinLocalShare(Candidate choice, Requirements wanted) {
         return choice.weighedMillis() <= wanted.objectiveMillis() * settings.comfortableShare();
     }
 
--- a/core/src/main/java/org/bankturn/routing/TargetTable.java
+++ b/core/src/main/java/org/bankturn/routing/TargetTable.java
@@ -337,7 +337,7 @@
 
     /** Returns true if the target is in the own data hall and a request begins comfortably in time there. */
     public boolean staysHere(Candidate choice, Requirements wanted) {
-        return isNear(choice.target()) && comparison.isComfortable(choice, wanted);
+        return isNear(choice.target()) && comparison.startsWithinLocalShare(choice, wanted);
     }
 
     private boolean isNear(TargetState state) {
