--- a/core/src/main/java/org/bankturn/routing/CandidateSelector.java
+++ b/core/src/main/java/org/bankturn/routing/CandidateSelector.java
@@ -79,7 +79,7 @@
 
     /** Returns the least of some that are drawn, each prediction spread at random. */
     private Optional<Weighed> leastOf(List<Candidate> choices, int drawn) {
-        draw(choices, drawn);
+        sampleToFront(choices, drawn);
         Weighed least = null;
         for (Candidate choice : choices.subList(0, Math.min(drawn, choices.size()))) {
             double cost = choice.weighedMillis() * (1 + settings.spread() * random.nextDouble());
@@ -91,7 +91,7 @@
     }
 
     /** Moves some that are drawn at random to the front. */
-    void draw(List<Candidate> choices, int drawn) {
+    void sampleToFront(List<Candidate> choices, int drawn) {
         for (int index = 0; index < drawn && index < choices.size() - 1; index++) {
             Collections.swap(choices, index, index + random.nextInt(choices.size() - index));
         }
--- a/core/src/main/java/org/bankturn/routing/TargetTable.java
+++ b/core/src/main/java/org/bankturn/routing/TargetTable.java
@@ -199,7 +199,7 @@
                 .count();
         List<Candidate> stale = new ArrayList<>(pool);
         stale.removeIf(choice -> choice.target().newsMillis(now) <= settings.freshMillis());
-        comparison.draw(stale, settings.asked() - fresh);
+        comparison.sampleToFront(stale, settings.asked() - fresh);
         return stale.stream()
                 .limit(Math.max(0, settings.asked() - fresh))
                 .map(choice -> choice.target().sighting().id())
