--- a/core/src/main/java/org/bankturn/routing/RequestPolicy.java
+++ b/core/src/main/java/org/bankturn/routing/RequestPolicy.java
@@ -253,7 +253,7 @@
     }
 
     private static NextStep giveUp(String reason) {
-        return new NextStep.GiveUp(reason, RetryAfter.TO_ANOTHER_GATEWAY_MILLIS);
+        return new NextStep.GiveUp(reason, RetryAfter.OTHER_GATEWAY_MILLIS);
     }
 
     private NextStep.Send send(RequestProgress request, Candidate choice) {
--- a/core/src/main/java/org/bankturn/routing/RetryAfter.java
+++ b/core/src/main/java/org/bankturn/routing/RetryAfter.java
@@ -14,7 +14,7 @@
  */
 public final class RetryAfter {
     /** Another gateway takes a connection that is made anew, within the time of a connection and a request. */
-    public static final long TO_ANOTHER_GATEWAY_MILLIS = 300;
+    public static final long OTHER_GATEWAY_MILLIS = 300;
 
     /** Every target that may take it was tried; those that were full or failed are tried again about a second later. */
     public static final long AFTER_ALL_TARGETS_MILLIS = 1_000;
@@ -39,12 +39,12 @@
     /** Returns when a target that is held back now takes requests again, spread so that callers come back apart. */
     public static long afterHeldBack(long untilFreeMillis, UniformRandomProvider random) {
         double share = 1 + HELD_BACK_SPREAD_SHARE * random.nextDouble();
-        return Math.max(TO_ANOTHER_GATEWAY_MILLIS, Math.round(untilFreeMillis * share));
+        return Math.max(OTHER_GATEWAY_MILLIS, Math.round(untilFreeMillis * share));
     }
 
     /** Returns when the answers under way at full engines will have ended, spread so that callers come back apart. */
     public static long afterAnswers(EngineModel engine, UniformRandomProvider random) {
         double share = EARLIEST_SHARE + SPREAD_SHARE * random.nextDouble();
-        return Math.max(TO_ANOTHER_GATEWAY_MILLIS, Math.round(engine.usualAnswerMillis() * share));
+        return Math.max(OTHER_GATEWAY_MILLIS, Math.round(engine.usualAnswerMillis() * share));
     }
 }
--- a/daemon/src/main/java/org/bankturn/daemon/gateway/ForwardedRequest.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/ForwardedRequest.java
@@ -177,7 +177,7 @@
 
     /** Gives the final answer at once: refused if it certainly did not run, failed otherwise. */
     void giveUp(String reason) {
-        giveUp(reason, RetryAfter.TO_ANOTHER_GATEWAY_MILLIS);
+        giveUp(reason, RetryAfter.OTHER_GATEWAY_MILLIS);
     }
 
     private void giveUp(String reason, long comeBackMillis) {
