--- a/core/src/main/java/org/bankturn/routing/RequestPolicy.java
+++ b/core/src/main/java/org/bankturn/routing/RequestPolicy.java
@@ -221,7 +221,7 @@
             return new NextStep.GiveUp("no target left but " + heldBack, comeBack);
         }
         long comeBack =
-                request.tried().isEmpty() ? RetryAfter.WITHOUT_TARGET_MILLIS : RetryAfter.AFTER_ALL_TARGETS_MILLIS;
+                request.tried().isEmpty() ? RetryAfter.WITHOUT_TARGET_MILLIS : RetryAfter.ALL_TARGETS_TRIED_MILLIS;
         return new NextStep.GiveUp("no target left", comeBack);
     }
 
--- a/core/src/main/java/org/bankturn/routing/RetryAfter.java
+++ b/core/src/main/java/org/bankturn/routing/RetryAfter.java
@@ -17,7 +17,7 @@
     public static final long OTHER_GATEWAY_MILLIS = 300;
 
     /** Every target that may take it was tried; those that were full or failed are tried again about a second later. */
-    public static final long AFTER_ALL_TARGETS_MILLIS = 1_000;
+    public static final long ALL_TARGETS_TRIED_MILLIS = 1_000;
 
     /** Targets that must still be given weights, or that are still to start, are not there within a second or two. */
     public static final long WITHOUT_TARGET_MILLIS = 5_000;
