--- a/core/src/main/java/org/bankturn/routing/RequestPolicy.java
+++ b/core/src/main/java/org/bankturn/routing/RequestPolicy.java
@@ -220,8 +220,7 @@
             long comeBack = RetryAfter.afterHeldBack(heldBack.soonestMillis(), random);
             return new NextStep.GiveUp("no target left but " + heldBack, comeBack);
         }
-        long comeBack =
-                request.tried().isEmpty() ? RetryAfter.WITHOUT_TARGET_MILLIS : RetryAfter.ALL_TARGETS_TRIED_MILLIS;
+        long comeBack = request.tried().isEmpty() ? RetryAfter.NO_TARGET_MILLIS : RetryAfter.ALL_TARGETS_TRIED_MILLIS;
         return new NextStep.GiveUp("no target left", comeBack);
     }
 
--- a/core/src/main/java/org/bankturn/routing/RetryAfter.java
+++ b/core/src/main/java/org/bankturn/routing/RetryAfter.java
@@ -20,7 +20,7 @@
     public static final long ALL_TARGETS_TRIED_MILLIS = 1_000;
 
     /** Targets that must still be given weights, or that are still to start, are not there within a second or two. */
-    public static final long WITHOUT_TARGET_MILLIS = 5_000;
+    public static final long NO_TARGET_MILLIS = 5_000;
 
     /** A request that ends its targets is as bad a minute later; callers that wait less come back in vain. */
     public static final long CONDEMNED_MILLIS = 60_000;
--- a/daemon/src/main/java/org/bankturn/daemon/gateway/Gateway.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/Gateway.java
@@ -290,7 +290,7 @@
     }
 
     private void answer(ServerExchange exchange, CallerTerms terms, int status, String reason) {
-        long comeBackMillis = takenOut ? RetryAfter.OTHER_GATEWAY_MILLIS : RetryAfter.WITHOUT_TARGET_MILLIS;
+        long comeBackMillis = takenOut ? RetryAfter.OTHER_GATEWAY_MILLIS : RetryAfter.NO_TARGET_MILLIS;
         log.line(DecisionKind.REFUSED)
                 .with(DecisionField.REQUEST, terms.id())
                 .with(DecisionField.STATUS, status)
