--- a/core/src/main/java/org/bankturn/routing/RequestPolicy.java
+++ b/core/src/main/java/org/bankturn/routing/RequestPolicy.java
@@ -217,7 +217,7 @@
     private NextStep.GiveUp withoutTarget(RequestProgress request) {
         HeldBackTargets heldBack = heldBack(request);
         if (heldBack.anyComesBack()) {
-            long comeBack = RetryAfter.afterHeldBack(heldBack.soonestMillis(), random);
+            long comeBack = RetryAfter.forHeldBackTargets(heldBack.soonestMillis(), random);
             return new NextStep.GiveUp("no target left but " + heldBack, comeBack);
         }
         long comeBack = request.tried().isEmpty() ? RetryAfter.NO_TARGET_MILLIS : RetryAfter.ALL_TARGETS_TRIED_MILLIS;
--- a/core/src/main/java/org/bankturn/routing/RetryAfter.java
+++ b/core/src/main/java/org/bankturn/routing/RetryAfter.java
@@ -37,7 +37,7 @@
     private RetryAfter() {}
 
     /** Returns when a target that is held back now takes requests again, spread so that callers come back apart. */
-    public static long afterHeldBack(long untilFreeMillis, UniformRandomProvider random) {
+    public static long forHeldBackTargets(long untilFreeMillis, UniformRandomProvider random) {
         double share = 1 + HELD_BACK_SPREAD_SHARE * random.nextDouble();
         return Math.max(OTHER_GATEWAY_MILLIS, Math.round(untilFreeMillis * share));
     }
