--- a/core/src/main/java/org/bankturn/routing/RequestPolicy.java
+++ b/core/src/main/java/org/bankturn/routing/RequestPolicy.java
@@ -195,7 +195,7 @@
             return new NextStep.GiveUp(
                     "would begin after " + Math.round(choice.get().predictedMillis()) + " ms, "
                             + choice.get().wayMillis() + " ms of it on the way",
-                    RetryAfter.afterAnswers(request.service().engine(), random));
+                    RetryAfter.forBusyEngines(request.service().engine(), random));
         }
         if (request.sends() > 0 && !retryBudget(request.service()).tryRetry()) {
             return giveUp("retry budget used up");
--- a/core/src/main/java/org/bankturn/routing/RetryAfter.java
+++ b/core/src/main/java/org/bankturn/routing/RetryAfter.java
@@ -43,7 +43,7 @@
     }
 
     /** Returns when the answers under way at full engines will have ended, spread so that callers come back apart. */
-    public static long afterAnswers(EngineModel engine, UniformRandomProvider random) {
+    public static long forBusyEngines(EngineModel engine, UniformRandomProvider random) {
         double share = EARLIEST_SHARE + SPREAD_SHARE * random.nextDouble();
         return Math.max(OTHER_GATEWAY_MILLIS, Math.round(engine.usualAnswerMillis() * share));
     }
--- a/core/src/test/java/org/bankturn/routing/RetryAfterTest.java
+++ b/core/src/test/java/org/bankturn/routing/RetryAfterTest.java
@@ -16,7 +16,7 @@
     @Test
     void a_caller_comes_back_when_answers_that_are_under_way_have_ended() {
         for (int count = 0; count < 100; count++) {
-            assertThat(RetryAfter.afterAnswers(ENGINE, random)).isBetween(1_000L, 2_500L);
+            assertThat(RetryAfter.forBusyEngines(ENGINE, random)).isBetween(1_000L, 2_500L);
         }
     }
 
@@ -24,7 +24,7 @@
     void callers_that_are_refused_together_come_back_apart() {
         Set<Long> moments = new HashSet<>();
         for (int count = 0; count < 100; count++) {
-            moments.add(RetryAfter.afterAnswers(ENGINE, random));
+            moments.add(RetryAfter.forBusyEngines(ENGINE, random));
         }
         assertThat(moments).hasSizeGreaterThan(40);
     }
