--- a/core/src/main/java/org/bankturn/routing/ConnectionReusePolicy.java
+++ b/core/src/main/java/org/bankturn/routing/ConnectionReusePolicy.java
@@ -63,7 +63,7 @@
      *
      * @param connectionHeardMillis when something came on it last, or when it was opened
      */
-    public boolean mayCarry(long connectionHeardMillis) {
+    public boolean isReusable(long connectionHeardMillis) {
         noteIfAllAreSilent();
         return !isDistrusted(connectionHeardMillis) && clock.millis() - connectionHeardMillis <= mostRestMillis;
     }
--- a/core/src/test/java/org/bankturn/agreement/SilencedGroup.java
+++ b/core/src/test/java/org/bankturn/agreement/SilencedGroup.java
@@ -71,7 +71,7 @@
 
     private Connection connection(Way way) {
         Connection kept = connections.get(way);
-        if (kept != null && trusts.get(way.from()).mayCarry(kept.heardMillis)) {
+        if (kept != null && trusts.get(way.from()).isReusable(kept.heardMillis)) {
             return kept;
         }
         Connection opened = new Connection();
--- a/core/src/test/java/org/bankturn/routing/ConnectionReusePolicyTest.java
+++ b/core/src/test/java/org/bankturn/routing/ConnectionReusePolicyTest.java
@@ -16,9 +16,9 @@
     void a_connection_that_was_heard_of_late_carries_the_next_request() {
         long heard = clock.millis();
         clock.advance(MOST_REST_MILLIS);
-        assertThat(trust.mayCarry(heard)).isTrue();
+        assertThat(trust.isReusable(heard)).isTrue();
         clock.advance(1);
-        assertThat(trust.mayCarry(heard)).isFalse();
+        assertThat(trust.isReusable(heard)).isFalse();
     }
 
     @Test
@@ -29,8 +29,8 @@
         clock.advance(10);
         long after = clock.millis();
         trust.wentSilent(asked);
-        assertThat(trust.mayCarry(before)).isFalse();
-        assertThat(trust.mayCarry(after)).isTrue();
+        assertThat(trust.isReusable(before)).isFalse();
+        assertThat(trust.isReusable(after)).isTrue();
     }
 
     @Test
@@ -39,12 +39,12 @@
         trust.heard(heard);
         wait("one", "two", "two");
         clock.advance(299);
-        assertThat(trust.mayCarry(heard)).isTrue();
+        assertThat(trust.isReusable(heard)).isTrue();
         clock.advance(2);
-        assertThat(trust.mayCarry(heard)).isFalse();
+        assertThat(trust.isReusable(heard)).isFalse();
         long opened = clock.millis();
         trust.heard(opened);
-        assertThat(trust.mayCarry(opened)).isTrue();
+        assertThat(trust.isReusable(opened)).isTrue();
         assertThat(trust.isDistrusted(heard)).isTrue();
     }
 
@@ -55,7 +55,7 @@
         clock.advance(250);
         trust.heard(heard);
         clock.advance(250);
-        assertThat(trust.mayCarry(heard)).isTrue();
+        assertThat(trust.isReusable(heard)).isTrue();
     }
 
     /**
@@ -72,8 +72,8 @@
             clock.advance(100);
             trust.heard(opened);
         }
-        assertThat(trust.mayCarry(kept)).isFalse();
-        assertThat(trust.mayCarry(clock.millis())).isTrue();
+        assertThat(trust.isReusable(kept)).isFalse();
+        assertThat(trust.isReusable(clock.millis())).isTrue();
     }
 
     @Test
@@ -81,9 +81,9 @@
         long heard = clock.millis();
         wait("one", "one", "one", "one");
         clock.advance(1_000);
-        assertThat(trust.mayCarry(heard)).isTrue();
+        assertThat(trust.isReusable(heard)).isTrue();
         wait("two");
-        assertThat(trust.mayCarry(heard)).isTrue();
+        assertThat(trust.isReusable(heard)).isTrue();
     }
 
     @Test
@@ -93,7 +93,7 @@
         wait("two", "two");
         clock.advance(400);
         trust.ended(ended);
-        assertThat(trust.mayCarry(heard)).isTrue();
+        assertThat(trust.isReusable(heard)).isTrue();
     }
 
     private void wait(String... peers) {
--- a/core/src/test/java/org/bankturn/routing/SilenceReplay.java
+++ b/core/src/test/java/org/bankturn/routing/SilenceReplay.java
@@ -124,7 +124,7 @@
         Deque<Connection> connections = kept.get(target);
         while (!connections.isEmpty()) {
             Connection connection = connections.pollLast();
-            if (!learns || trust.mayCarry(connection.heardMillis)) {
+            if (!learns || trust.isReusable(connection.heardMillis)) {
                 return connection;
             }
         }
--- a/daemon/src/main/java/org/bankturn/daemon/gateway/TargetConnections.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/TargetConnections.java
@@ -30,7 +30,7 @@
         while (!kept.isEmpty()) {
             TargetConnection connection = kept.pollLast();
             // without trust, requests are sent on connections that went silent with others
-            if (!connection.isUsable() || !trust.mayCarry(connection.heardMillis())) {
+            if (!connection.isUsable() || !trust.isReusable(connection.heardMillis())) {
                 connection.close();
                 continue;
             }
--- a/daemon/src/main/java/org/bankturn/daemon/http/HttpCalls.java
+++ b/daemon/src/main/java/org/bankturn/daemon/http/HttpCalls.java
@@ -147,7 +147,7 @@
         Deque<TargetConnection> kept = resting.getOrDefault(address, new ArrayDeque<>());
         while (!kept.isEmpty()) {
             TargetConnection connection = kept.pollLast();
-            if (connection.isUsable() && trust.mayCarry(connection.heardMillis())) {
+            if (connection.isUsable() && trust.isReusable(connection.heardMillis())) {
                 return connection;
             }
             connection.close();
--- a/daemon/src/main/java/org/bankturn/daemon/wire/NodeClient.java
+++ b/daemon/src/main/java/org/bankturn/daemon/wire/NodeClient.java
@@ -122,7 +122,7 @@
     }
 
     private Promise<FrameChannel> connected() {
-        if (channel != null && !trust.mayCarry(channel.heardMillis())) {
+        if (channel != null && !trust.isReusable(channel.heardMillis())) {
             retire(channel);
         }
         if (channel != null) {
