--- a/core/src/main/java/org/bankturn/routing/ConnectionReusePolicy.java
+++ b/core/src/main/java/org/bankturn/routing/ConnectionReusePolicy.java
@@ -65,11 +65,11 @@
      */
     public boolean isReusable(long connectionHeardMillis) {
         noteIfAllAreSilent();
-        return !isDistrusted(connectionHeardMillis) && clock.millis() - connectionHeardMillis <= mostRestMillis;
+        return !isSuspect(connectionHeardMillis) && clock.millis() - connectionHeardMillis <= mostRestMillis;
     }
 
     /** Returns true if a connection was heard last before others were found silent. */
-    public boolean isDistrusted(long connectionHeardMillis) {
+    public boolean isSuspect(long connectionHeardMillis) {
         return connectionHeardMillis <= distrustedUntilMillis;
     }
 
--- a/core/src/test/java/org/bankturn/routing/ConnectionReusePolicyTest.java
+++ b/core/src/test/java/org/bankturn/routing/ConnectionReusePolicyTest.java
@@ -45,7 +45,7 @@
         long opened = clock.millis();
         trust.heard(opened);
         assertThat(trust.isReusable(opened)).isTrue();
-        assertThat(trust.isDistrusted(heard)).isTrue();
+        assertThat(trust.isSuspect(heard)).isTrue();
     }
 
     @Test
