--- a/core/src/main/java/org/bankturn/routing/ConnectionReusePolicy.java
+++ b/core/src/main/java/org/bankturn/routing/ConnectionReusePolicy.java
@@ -76,7 +76,7 @@
     // ---- what is learned
 
     /** A request goes out to a peer that should say something within the time of a few. */
-    public PendingRequest began(String peer) {
+    public PendingRequest requestSent(String peer) {
         PendingRequest wait = new PendingRequest(peer, clock.millis());
         waiting.add(wait);
         return wait;
--- a/core/src/test/java/org/bankturn/routing/ConnectionReusePolicyTest.java
+++ b/core/src/test/java/org/bankturn/routing/ConnectionReusePolicyTest.java
@@ -89,7 +89,7 @@
     @Test
     void requests_that_have_ended_no_longer_wait() {
         long heard = clock.millis();
-        PendingRequest ended = trust.began("one");
+        PendingRequest ended = trust.requestSent("one");
         wait("two", "two");
         clock.advance(400);
         trust.ended(ended);
@@ -98,7 +98,7 @@
 
     private void wait(String... peers) {
         for (String peer : peers) {
-            trust.began(peer);
+            trust.requestSent(peer);
         }
     }
 }
--- a/core/src/test/java/org/bankturn/routing/SilenceReplay.java
+++ b/core/src/test/java/org/bankturn/routing/SilenceReplay.java
@@ -115,7 +115,7 @@
     private void send(Request request) {
         request.sends++;
         request.connection = connectionTo(request.target);
-        request.wait = trust.began("target-" + request.target);
+        request.wait = trust.requestSent("target-" + request.target);
         request.heardMillis = clock.millis();
         ranIntoSilence += request.connection.silent ? 1 : 0;
     }
--- a/daemon/src/main/java/org/bankturn/daemon/gateway/SilenceWatch.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/SilenceWatch.java
@@ -62,7 +62,7 @@
         this.choice = choice;
         this.connection = connection;
         this.takeAway = takeAway;
-        this.wait = gateway.trust().began(targetId());
+        this.wait = gateway.trust().requestSent(targetId());
         this.heardMillis = now();
     }
 
