--- a/core/src/main/java/org/bankturn/routing/ConnectionReusePolicy.java
+++ b/core/src/main/java/org/bankturn/routing/ConnectionReusePolicy.java
@@ -83,7 +83,7 @@
     }
 
     /** A peer, whichever, said something on a connection that was opened at a moment. */
-    public void heard(long openedMillis) {
+    public void dataReceived(long openedMillis) {
         words.heard(openedMillis, clock.millis());
     }
 
--- a/core/src/test/java/org/bankturn/routing/ConnectionReusePolicyTest.java
+++ b/core/src/test/java/org/bankturn/routing/ConnectionReusePolicyTest.java
@@ -36,14 +36,14 @@
     @Test
     void when_several_peers_say_nothing_for_a_while_no_connection_that_was_open_before_is_trusted() {
         long heard = clock.millis();
-        trust.heard(heard);
+        trust.dataReceived(heard);
         wait("one", "two", "two");
         clock.advance(299);
         assertThat(trust.isReusable(heard)).isTrue();
         clock.advance(2);
         assertThat(trust.isReusable(heard)).isFalse();
         long opened = clock.millis();
-        trust.heard(opened);
+        trust.dataReceived(opened);
         assertThat(trust.isReusable(opened)).isTrue();
         assertThat(trust.isSuspect(heard)).isTrue();
     }
@@ -53,7 +53,7 @@
         long heard = clock.millis();
         wait("one", "two", "two");
         clock.advance(250);
-        trust.heard(heard);
+        trust.dataReceived(heard);
         clock.advance(250);
         assertThat(trust.isReusable(heard)).isTrue();
     }
@@ -70,7 +70,7 @@
         long opened = clock.millis();
         for (int word = 0; word < 3; word++) {
             clock.advance(100);
-            trust.heard(opened);
+            trust.dataReceived(opened);
         }
         assertThat(trust.isReusable(kept)).isFalse();
         assertThat(trust.isReusable(clock.millis())).isTrue();
--- a/core/src/test/java/org/bankturn/routing/SilenceReplay.java
+++ b/core/src/test/java/org/bankturn/routing/SilenceReplay.java
@@ -155,7 +155,7 @@
     private void word(Request request) {
         request.heardMillis = clock.millis();
         request.connection.heardMillis = clock.millis();
-        trust.heard(request.connection.openedMillis);
+        trust.dataReceived(request.connection.openedMillis);
         request.words++;
         if (request.words == WORDS) {
             end(request);
--- a/daemon/src/main/java/org/bankturn/daemon/gateway/SilenceWatch.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/SilenceWatch.java
@@ -84,7 +84,7 @@
     void heard() {
         heardMillis = now();
         begun = true;
-        gateway.trust().heard(connection.openedMillis());
+        gateway.trust().dataReceived(connection.openedMillis());
         choice.target().heard(heardMillis, connection.openedMillis());
     }
 
