--- a/core/src/main/java/org/bankturn/routing/ConnectionReusePolicy.java
+++ b/core/src/main/java/org/bankturn/routing/ConnectionReusePolicy.java
@@ -88,7 +88,7 @@
     }
 
     /** A request no longer waits. */
-    public void ended(PendingRequest wait) {
+    public void requestEnded(PendingRequest wait) {
         waiting.remove(wait);
     }
 
--- a/core/src/test/java/org/bankturn/routing/ConnectionReusePolicyTest.java
+++ b/core/src/test/java/org/bankturn/routing/ConnectionReusePolicyTest.java
@@ -92,7 +92,7 @@
         PendingRequest ended = trust.requestSent("one");
         wait("two", "two");
         clock.advance(400);
-        trust.ended(ended);
+        trust.requestEnded(ended);
         assertThat(trust.isReusable(heard)).isTrue();
     }
 
--- a/core/src/test/java/org/bankturn/routing/SilenceReplay.java
+++ b/core/src/test/java/org/bankturn/routing/SilenceReplay.java
@@ -182,6 +182,6 @@
 
     private void end(Request request) {
         underWay.remove(request);
-        trust.ended(request.wait);
+        trust.requestEnded(request.wait);
     }
 }
--- a/daemon/src/main/java/org/bankturn/daemon/gateway/SilenceWatch.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/SilenceWatch.java
@@ -91,7 +91,7 @@
     /** The request is no longer at the target. */
     void end() {
         over = true;
-        gateway.trust().ended(wait);
+        gateway.trust().requestEnded(wait);
     }
 
     private void checkLater(long millis) {
