--- a/core/src/main/java/org/bankturn/routing/ConnectionReusePolicy.java
+++ b/core/src/main/java/org/bankturn/routing/ConnectionReusePolicy.java
@@ -97,7 +97,7 @@
      *
      * @param askedMillis when the request went out
      */
-    public void wentSilent(long askedMillis) {
+    public void timedOut(long askedMillis) {
         distrustedUntilMillis = Math.max(distrustedUntilMillis, askedMillis);
     }
 
--- a/core/src/test/java/org/bankturn/agreement/SilencedGroup.java
+++ b/core/src/test/java/org/bankturn/agreement/SilencedGroup.java
@@ -44,7 +44,7 @@
             giveUpLost();
             members.running.forEach(
                     (box, member) -> GroupSilence.distrustedUntilMillis(member, SETTINGS, members.clock.millis())
-                            .ifPresent(trusts.get(box)::wentSilent));
+                            .ifPresent(trusts.get(box)::timedOut));
             deliverAll();
         }
     }
@@ -86,7 +86,7 @@
             if (now - message.sentMillis() >= ANSWER_MILLIS) {
                 lost.remove(message);
                 connections.values().remove(message.connection());
-                trusts.get(message.from()).wentSilent(now - ANSWER_MILLIS / 2);
+                trusts.get(message.from()).timedOut(now - ANSWER_MILLIS / 2);
             }
         }
     }
--- a/core/src/test/java/org/bankturn/routing/ConnectionReusePolicyTest.java
+++ b/core/src/test/java/org/bankturn/routing/ConnectionReusePolicyTest.java
@@ -28,7 +28,7 @@
         long asked = clock.millis();
         clock.advance(10);
         long after = clock.millis();
-        trust.wentSilent(asked);
+        trust.timedOut(asked);
         assertThat(trust.isReusable(before)).isFalse();
         assertThat(trust.isReusable(after)).isTrue();
     }
--- a/core/src/test/java/org/bankturn/routing/SilenceReplay.java
+++ b/core/src/test/java/org/bankturn/routing/SilenceReplay.java
@@ -172,7 +172,7 @@
 
     private void takeAway(Request request, long silentMillis) {
         end(request);
-        trust.wentSilent(clock.millis() - silentMillis / 2);
+        trust.timedOut(clock.millis() - silentMillis / 2);
         if (request.sends < SENDS) {
             request.target = (request.target + 1) % TARGETS;
             underWay.add(request);
--- a/daemon/src/main/java/org/bankturn/daemon/gateway/SilenceWatch.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/SilenceWatch.java
@@ -128,7 +128,7 @@
         boolean spokeToOthers = target.isAtWork(now(), heardMillis);
         blamesTarget = !wasWell || spokeToOthers;
         if (!blamesTarget) {
-            gateway.trust().wentSilent(now() - silentMillis() / 2);
+            gateway.trust().timedOut(now() - silentMillis() / 2);
         }
         gateway.metrics().connectionSilent(ServingMetrics.PEER_TARGET);
         gateway.log()
--- a/daemon/src/main/java/org/bankturn/daemon/group/GroupNode.java
+++ b/daemon/src/main/java/org/bankturn/daemon/group/GroupNode.java
@@ -210,7 +210,7 @@
     }
 
     private void distrust(long heardMillis) {
-        reactor.execute(() -> clients.trust().wentSilent(heardMillis));
+        reactor.execute(() -> clients.trust().timedOut(heardMillis));
     }
 
     // ---- calls of operators and targets
--- a/daemon/src/main/java/org/bankturn/daemon/http/HttpCalls.java
+++ b/daemon/src/main/java/org/bankturn/daemon/http/HttpCalls.java
@@ -199,7 +199,7 @@
                     new Address(address.getHostString(), address.getPort()),
                     clock.millis() - connection.heardMillis(),
                     true);
-            trust.wentSilent(sentMillis);
+            trust.timedOut(sentMillis);
             connection.close();
             begin(null, connectMillis);
         }
--- a/daemon/src/main/java/org/bankturn/daemon/wire/NodeClient.java
+++ b/daemon/src/main/java/org/bankturn/daemon/wire/NodeClient.java
@@ -105,7 +105,7 @@
         observer.wentSilent(address, silentMillis, kept);
         if (kept) {
             // found out one by one, silent connections to control processes would cost their time-outs in turn
-            trust.wentSilent(clock.millis() - timeoutMillis / 2);
+            trust.timedOut(clock.millis() - timeoutMillis / 2);
         }
         used.close(new IOException("silent for " + silentMillis + " ms"));
     }
