--- a/core/src/main/java/org/bankturn/routing/FirstAttemptPriority.java
+++ b/core/src/main/java/org/bankturn/routing/FirstAttemptPriority.java
@@ -38,7 +38,7 @@
     }
 
     /** Takes in what was decided about a first try. */
-    void decided(boolean refused) {
+    void recordDecision(boolean refused) {
         refusedShare += LEARNING * ((refused ? 1 : 0) - refusedShare);
         if (refusedShare < SHORTAGE / 2) {
             shortSinceMillis = NEVER;
--- a/core/src/main/java/org/bankturn/routing/RequestPolicy.java
+++ b/core/src/main/java/org/bankturn/routing/RequestPolicy.java
@@ -188,7 +188,7 @@
         }
         boolean tooLate = request.sends() == 0 && isTooLate(request, choice.get());
         if (request.sends() == 0 && !request.hasComeBack()) {
-            firstTries(request.service()).decided(tooLate);
+            firstTries(request.service()).recordDecision(tooLate);
         }
         if (tooLate) {
             correction(request.service()).refused();
