--- a/core/src/main/java/org/bankturn/routing/FirstAttemptPriority.java
+++ b/core/src/main/java/org/bankturn/routing/FirstAttemptPriority.java
@@ -48,7 +48,7 @@
     }
 
     /** Takes in that no engine could take a first try: what was short before tells nothing of what follows. */
-    void noEngine() {
+    void reset() {
         refusedShare = 0;
         shortSinceMillis = NEVER;
     }
--- a/core/src/main/java/org/bankturn/routing/RequestPolicy.java
+++ b/core/src/main/java/org/bankturn/routing/RequestPolicy.java
@@ -183,7 +183,7 @@
             if (wait.isPresent()) {
                 return wait.get();
             }
-            firstTries(request.service()).noEngine();
+            firstTries(request.service()).reset();
             return withoutTarget(request);
         }
         boolean tooLate = request.sends() == 0 && isTooLate(request, choice.get());
