--- a/core/src/main/java/org/bankturn/routing/FirstAttemptPriority.java
+++ b/core/src/main/java/org/bankturn/routing/FirstAttemptPriority.java
@@ -54,7 +54,7 @@
     }
 
     /** Returns how much of the usual limit holds for a caller that has come back, 0 to 1. */
-    double limitShareOfReturning() {
+    double retryLimitFactor() {
         boolean lasts = shortSinceMillis != NEVER && clock.millis() - shortSinceMillis >= LASTING_MILLIS;
         return lasts ? Math.max(0, 1 - refusedShare / SHORTAGE) : 1;
     }
--- a/core/src/main/java/org/bankturn/routing/RequestPolicy.java
+++ b/core/src/main/java/org/bankturn/routing/RequestPolicy.java
@@ -285,7 +285,7 @@
         double expected = correction(service).applyTo(choice.predictedMillis());
         double latest =
                 AdmissionPolicy.maxStartDelayMillis(route.objectiveMillis(), route.priority(), mostUrgent(service));
-        return expected > latest * (request.hasComeBack() ? firstTries(service).limitShareOfReturning() : 1);
+        return expected > latest * (request.hasComeBack() ? firstTries(service).retryLimitFactor() : 1);
     }
 
     private FirstAttemptPriority firstTries(Service service) {
