--- a/core/src/main/java/org/bankturn/routing/HeldBackTargets.java
+++ b/core/src/main/java/org/bankturn/routing/HeldBackTargets.java
@@ -21,7 +21,7 @@
     }
 
     /** Returns true if one of them takes a request again in a time that is known. */
-    public boolean anyComesBack() {
+    public boolean hasKnownReleaseTime() {
         return soonestMillis < Long.MAX_VALUE;
     }
 
--- a/core/src/main/java/org/bankturn/routing/RequestPolicy.java
+++ b/core/src/main/java/org/bankturn/routing/RequestPolicy.java
@@ -216,7 +216,7 @@
 
     private NextStep.GiveUp withoutTarget(RequestProgress request) {
         HeldBackTargets heldBack = heldBack(request);
-        if (heldBack.anyComesBack()) {
+        if (heldBack.hasKnownReleaseTime()) {
             long comeBack = RetryAfter.forHeldBackTargets(heldBack.soonestMillis(), random);
             return new NextStep.GiveUp("no target left but " + heldBack, comeBack);
         }
--- a/core/src/test/java/org/bankturn/routing/TargetTableTest.java
+++ b/core/src/test/java/org/bankturn/routing/TargetTableTest.java
@@ -226,7 +226,7 @@
         assertThat(table.heldBack(wanted()).soonestMillis()).isEqualTo(2_000);
         clock.advance(2_000);
         assertThat(chosen()).isEqualTo("only");
-        assertThat(table.heldBack(wanted()).anyComesBack()).isFalse();
+        assertThat(table.heldBack(wanted()).hasKnownReleaseTime()).isFalse();
     }
 
     @Test
@@ -235,7 +235,7 @@
         state("only").noticed(new TargetNotice(OptionalDouble.empty(), 0, true), true, clock.millis(), clock.millis());
         assertThat(table.choose(wanted())).isEmpty();
         assertThat(table.heldBack(wanted())).hasToString("1 leaving");
-        assertThat(table.heldBack(wanted()).anyComesBack()).isFalse();
+        assertThat(table.heldBack(wanted()).hasKnownReleaseTime()).isFalse();
     }
 
     @Test
