--- a/core/src/main/java/org/bankturn/routing/HeldBackTargets.java
+++ b/core/src/main/java/org/bankturn/routing/HeldBackTargets.java
@@ -11,23 +11,23 @@
  */
 public final class HeldBackTargets {
     private final Map<HoldReason, Integer> counts = new EnumMap<>(HoldReason.class);
-    private long soonestMillis = Long.MAX_VALUE;
+    private long earliestReleaseMillis = Long.MAX_VALUE;
 
     HeldBackTargets() {}
 
     void add(HoldReason reason, long untilFreeMillis) {
         counts.merge(reason, 1, Integer::sum);
-        soonestMillis = Math.min(soonestMillis, untilFreeMillis);
+        earliestReleaseMillis = Math.min(earliestReleaseMillis, untilFreeMillis);
     }
 
     /** Returns true if one of them takes a request again in a time that is known. */
     public boolean hasKnownReleaseTime() {
-        return soonestMillis < Long.MAX_VALUE;
+        return earliestReleaseMillis < Long.MAX_VALUE;
     }
 
     /** Returns how long until the first of them takes a request again. */
-    public long soonestMillis() {
-        return soonestMillis;
+    public long earliestReleaseMillis() {
+        return earliestReleaseMillis;
     }
 
     /** Returns how many there are for each reason, for the log; empty if there is none. */
--- a/core/src/main/java/org/bankturn/routing/RequestPolicy.java
+++ b/core/src/main/java/org/bankturn/routing/RequestPolicy.java
@@ -217,7 +217,7 @@
     private NextStep.GiveUp withoutTarget(RequestProgress request) {
         HeldBackTargets heldBack = heldBack(request);
         if (heldBack.hasKnownReleaseTime()) {
-            long comeBack = RetryAfter.forHeldBackTargets(heldBack.soonestMillis(), random);
+            long comeBack = RetryAfter.forHeldBackTargets(heldBack.earliestReleaseMillis(), random);
             return new NextStep.GiveUp("no target left but " + heldBack, comeBack);
         }
         long comeBack = request.tried().isEmpty() ? RetryAfter.NO_TARGET_MILLIS : RetryAfter.ALL_TARGETS_TRIED_MILLIS;
--- a/core/src/test/java/org/bankturn/routing/TargetTableTest.java
+++ b/core/src/test/java/org/bankturn/routing/TargetTableTest.java
@@ -223,7 +223,7 @@
         assertThat(table.toAsk(wanted(), false)).isEmpty();
         assertThat(table.isHeldBack("only")).isTrue();
         assertThat(table.heldBack(wanted())).hasToString("1 backing_off");
-        assertThat(table.heldBack(wanted()).soonestMillis()).isEqualTo(2_000);
+        assertThat(table.heldBack(wanted()).earliestReleaseMillis()).isEqualTo(2_000);
         clock.advance(2_000);
         assertThat(chosen()).isEqualTo("only");
         assertThat(table.heldBack(wanted()).hasKnownReleaseTime()).isFalse();
