--- a/core/src/main/java/org/bankturn/routing/LoadPollSchedule.java
+++ b/core/src/main/java/org/bankturn/routing/LoadPollSchedule.java
@@ -43,7 +43,7 @@
      * @param watchedFar the others, not null
      * @param nowMillis the time
      */
-    public void watch(Set<String> watchedNear, Set<String> watchedFar, long nowMillis) {
+    public void setWatched(Set<String> watchedNear, Set<String> watchedFar, long nowMillis) {
         near.clear();
         watchedNear.forEach(id -> near.put(id, true));
         watchedFar.forEach(id -> near.put(id, false));
--- a/core/src/test/java/org/bankturn/routing/LoadPollScheduleTest.java
+++ b/core/src/test/java/org/bankturn/routing/LoadPollScheduleTest.java
@@ -25,7 +25,7 @@
     @Test
     void engines_of_the_own_hall_are_asked_more_often() {
         LoadPollSchedule questions = LoadPollSchedule.of(SETTINGS);
-        questions.watch(Set.of("near"), Set.of("far"), 0);
+        questions.setWatched(Set.of("near"), Set.of("far"), 0);
         int near = 0;
         int far = 0;
         for (long now = 0; now < SECONDS * 1_000; now += 10) {
@@ -41,7 +41,7 @@
     @Test
     void the_first_request_after_a_rest_brings_the_next_questions_forward() {
         LoadPollSchedule questions = LoadPollSchedule.of(SETTINGS);
-        questions.watch(Set.of("near"), Set.of(), 0);
+        questions.setWatched(Set.of("near"), Set.of(), 0);
         questions.next(0);
         long rested = questions.untilNextMillis(2_000);
         questions.requestSent(2_000);
@@ -51,14 +51,14 @@
     @Test
     void an_engine_that_is_no_longer_watched_is_not_asked() {
         LoadPollSchedule questions = watchingTwelve();
-        questions.watch(Set.of(), Set.of(), 0);
+        questions.setWatched(Set.of(), Set.of(), 0);
         assertThat(questions.next(100_000)).isEmpty();
         assertThat(questions.untilNextMillis(100_000)).isEqualTo(SETTINGS.farPauseMillis());
     }
 
     private static LoadPollSchedule watchingTwelve() {
         LoadPollSchedule questions = LoadPollSchedule.of(SETTINGS);
-        questions.watch(Set.of("a", "b", "c", "d", "e", "f", "g", "h"), Set.of("i", "j", "k", "l"), 0);
+        questions.setWatched(Set.of("a", "b", "c", "d", "e", "f", "g", "h"), Set.of("i", "j", "k", "l"), 0);
         return questions;
     }
 
--- a/daemon/src/main/java/org/bankturn/daemon/gateway/LoadPoller.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/LoadPoller.java
@@ -143,7 +143,7 @@
             (isNear ? near : far).add(id);
         }
         targets.watch(watched);
-        questions.watch(near, far, clock.millis());
+        questions.setWatched(near, far, clock.millis());
     }
 
     private void askLater() {
--- a/standins/src/main/java/org/bankturn/replay/ReplayedGateway.java
+++ b/standins/src/main/java/org/bankturn/replay/ReplayedGateway.java
@@ -103,7 +103,7 @@
             }
         }
         targets.watch(watched);
-        questions.watch(near, far, time.millis());
+        questions.setWatched(near, far, time.millis());
     }
 
     private void askLater() {
