--- a/core/src/main/java/org/bankturn/routing/LoadPollSchedule.java
+++ b/core/src/main/java/org/bankturn/routing/LoadPollSchedule.java
@@ -72,7 +72,7 @@
     }
 
     /** Returns how long until an engine is due, 0 if one is, and the longest pause if none is watched. */
-    public long untilNextMillis(long nowMillis) {
+    public long nextPollDelayMillis(long nowMillis) {
         long next = dueMillis.values().stream()
                 .mapToLong(Long::longValue)
                 .min()
--- a/core/src/test/java/org/bankturn/routing/LoadPollScheduleTest.java
+++ b/core/src/test/java/org/bankturn/routing/LoadPollScheduleTest.java
@@ -43,9 +43,9 @@
         LoadPollSchedule questions = LoadPollSchedule.of(SETTINGS);
         questions.setWatched(Set.of("near"), Set.of(), 0);
         questions.next(0);
-        long rested = questions.untilNextMillis(2_000);
+        long rested = questions.nextPollDelayMillis(2_000);
         questions.requestSent(2_000);
-        assertThat(questions.untilNextMillis(2_000)).isLessThan(rested).isEqualTo(SETTINGS.nearPauseMillis());
+        assertThat(questions.nextPollDelayMillis(2_000)).isLessThan(rested).isEqualTo(SETTINGS.nearPauseMillis());
     }
 
     @Test
@@ -53,7 +53,7 @@
         LoadPollSchedule questions = watchingTwelve();
         questions.setWatched(Set.of(), Set.of(), 0);
         assertThat(questions.next(100_000)).isEmpty();
-        assertThat(questions.untilNextMillis(100_000)).isEqualTo(SETTINGS.farPauseMillis());
+        assertThat(questions.nextPollDelayMillis(100_000)).isEqualTo(SETTINGS.farPauseMillis());
     }
 
     private static LoadPollSchedule watchingTwelve() {
--- a/daemon/src/main/java/org/bankturn/daemon/gateway/LoadPoller.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/LoadPoller.java
@@ -147,7 +147,7 @@
     }
 
     private void askLater() {
-        long pause = Math.max(LEAST_PAUSE_MILLIS, questions.untilNextMillis(clock.millis()));
+        long pause = Math.max(LEAST_PAUSE_MILLIS, questions.nextPollDelayMillis(clock.millis()));
         reactor.delayBackground(pause, () -> {
             askAllDue();
             askLater();
--- a/standins/src/main/java/org/bankturn/replay/ReplayedGateway.java
+++ b/standins/src/main/java/org/bankturn/replay/ReplayedGateway.java
@@ -107,7 +107,7 @@
     }
 
     private void askLater() {
-        double pause = (double) Math.max(LEAST_PAUSE_MILLIS, questions.untilNextMillis(time.millis()));
+        double pause = (double) Math.max(LEAST_PAUSE_MILLIS, questions.nextPollDelayMillis(time.millis()));
         time.after(pause, () -> {
             askAllDue();
             askLater();
