--- a/core/src/main/java/org/bankturn/routing/NextStep.java
+++ b/core/src/main/java/org/bankturn/routing/NextStep.java
@@ -20,9 +20,9 @@
      * Waits until it is known whether there is a permit for a target, or until there is one, then decides again.
      *
      * @param target the target, which names a limit, not null
-     * @param mostMillis how long to wait at most
+     * @param timeoutMillis how long to wait at most
      */
-    record AwaitPermit(TargetState target, long mostMillis) implements NextStep {}
+    record AwaitPermit(TargetState target, long timeoutMillis) implements NextStep {}
 
     /**
      * Sends it to a target.
--- a/core/src/test/java/org/bankturn/routing/RequestPolicyTest.java
+++ b/core/src/test/java/org/bankturn/routing/RequestPolicyTest.java
@@ -90,7 +90,7 @@
     void a_request_without_another_target_waits_for_the_permit_that_it_asks_for() {
         TargetState one = limitedOnlyTarget();
         NextStep.AwaitPermit wait = (NextStep.AwaitPermit) decide(request());
-        assertThat(wait.mostMillis()).isEqualTo(ROUTE.objectiveMillis() / 8);
+        assertThat(wait.timeoutMillis()).isEqualTo(ROUTE.objectiveMillis() / 8);
         assertThat(targets.takePermitsWanted()).containsExactly(one);
         answerPermit(one, true, 0);
         assertThat(decide(request())).isInstanceOf(NextStep.Send.class);
