--- a/core/src/main/java/org/bankturn/routing/NextStep.java
+++ b/core/src/main/java/org/bankturn/routing/NextStep.java
@@ -27,10 +27,10 @@
     /**
      * Sends it to a target.
      *
-     * @param choice the target and what is predicted there, not null
+     * @param candidate the target and what is predicted there, not null
      * @param leastVersion the oldest version of the weights that may run it, 0 for any
      */
-    record Send(TargetTable.Candidate choice, int leastVersion) implements NextStep {}
+    record Send(TargetTable.Candidate candidate, int leastVersion) implements NextStep {}
 
     /**
      * Gives it up: its final answer goes out at once.
--- a/core/src/test/java/org/bankturn/routing/RequestPolicyTest.java
+++ b/core/src/test/java/org/bankturn/routing/RequestPolicyTest.java
@@ -121,7 +121,7 @@
         targets.update(List.of(sighting("one", "here")));
         targets.watch(Set.of("one"));
         NextStep.Send send = (NextStep.Send) decide(request());
-        TargetState one = send.choice().target();
+        TargetState one = send.candidate().target();
         one.noticed(new TargetNotice(OptionalDouble.of(1), 0, false), true, clock.millis(), clock.millis());
         return one;
     }
--- a/standins/src/main/java/org/bankturn/replay/ReplayedGateway.java
+++ b/standins/src/main/java/org/bankturn/replay/ReplayedGateway.java
@@ -204,7 +204,7 @@
                             }
                         }));
             } else if (step instanceof NextStep.Send send) {
-                turn = new Turn(this, send.choice());
+                turn = new Turn(this, send.candidate());
                 turn.begin();
             } else if (step instanceof NextStep.GiveUp giveUp) {
                 end();
