--- a/core/src/main/java/org/bankturn/routing/NextStep.java
+++ b/core/src/main/java/org/bankturn/routing/NextStep.java
@@ -28,9 +28,9 @@
      * Sends it to a target.
      *
      * @param candidate the target and what is predicted there, not null
-     * @param leastVersion the oldest version of the weights that may run it, 0 for any
+     * @param minVersion the oldest version of the weights that may run it, 0 for any
      */
-    record Send(TargetTable.Candidate candidate, int leastVersion) implements NextStep {}
+    record Send(TargetTable.Candidate candidate, int minVersion) implements NextStep {}
 
     /**
      * Gives it up: its final answer goes out at once.
--- a/daemon/src/main/java/org/bankturn/daemon/gateway/ForwardedRequest.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/ForwardedRequest.java
@@ -112,7 +112,7 @@
         if (progress.sends() > 0) {
             gateway.metrics().retried(service().name());
         }
-        attempt = new Attempt(this, gateway, send.candidate(), send.leastVersion());
+        attempt = new Attempt(this, gateway, send.candidate(), send.minVersion());
         attempt.begin();
     }
 
