--- a/core/src/main/java/org/bankturn/routing/NextStep.java
+++ b/core/src/main/java/org/bankturn/routing/NextStep.java
@@ -36,7 +36,7 @@
      * Gives it up: its final answer goes out at once.
      *
      * @param reason why, for the log, not null
-     * @param comeBackMillis when its caller should come back, if it certainly did not run
+     * @param retryAfterMillis when its caller should come back, if it certainly did not run
      */
-    record GiveUp(String reason, long comeBackMillis) implements NextStep {}
+    record GiveUp(String reason, long retryAfterMillis) implements NextStep {}
 }
--- a/core/src/test/java/org/bankturn/routing/RequestPolicyTest.java
+++ b/core/src/test/java/org/bankturn/routing/RequestPolicyTest.java
@@ -74,7 +74,7 @@
         full("two");
         NextStep step = policy.next(request());
         assertThat(step).isInstanceOf(NextStep.GiveUp.class);
-        assertThat(((NextStep.GiveUp) step).comeBackMillis()).isBetween(300L, 5_000L);
+        assertThat(((NextStep.GiveUp) step).retryAfterMillis()).isBetween(300L, 5_000L);
     }
 
     @Test
@@ -104,7 +104,7 @@
         answerPermit(one, false, 700);
         NextStep.GiveUp refused = (NextStep.GiveUp) decide(request);
         assertThat(refused.reason()).isEqualTo("no target left but 1 rate_limited");
-        assertThat(refused.comeBackMillis()).isBetween(700L, 3_000L);
+        assertThat(refused.retryAfterMillis()).isBetween(700L, 3_000L);
     }
 
     @Test
--- a/daemon/src/main/java/org/bankturn/daemon/gateway/ForwardedRequest.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/ForwardedRequest.java
@@ -104,7 +104,7 @@
         } else if (step instanceof NextStep.Send send) {
             sendTo(send);
         } else if (step instanceof NextStep.GiveUp giveUp) {
-            giveUp(giveUp.reason(), giveUp.comeBackMillis());
+            giveUp(giveUp.reason(), giveUp.retryAfterMillis());
         }
     }
 
--- a/standins/src/main/java/org/bankturn/replay/ReplayedGateway.java
+++ b/standins/src/main/java/org/bankturn/replay/ReplayedGateway.java
@@ -211,7 +211,7 @@
                 if (progress.mayHaveRun()) {
                     call.failed();
                 } else {
-                    call.refused((double) giveUp.comeBackMillis());
+                    call.refused((double) giveUp.retryAfterMillis());
                 }
             }
         }
