--- a/core/src/main/java/org/bankturn/routing/UnansweredPolls.java
+++ b/core/src/main/java/org/bankturn/routing/UnansweredPolls.java
@@ -32,7 +32,7 @@
     }
 
     /** Returns by what the way to an engine counts at least, in milliseconds, 0 if nothing speaks against it. */
-    long wayMillis(String engine) {
+    long penaltyMillis(String engine) {
         Open question = open.get(engine);
         if (question == null) {
             return 0;
