--- a/core/src/main/java/org/bankturn/routing/TargetTable.java
+++ b/core/src/main/java/org/bankturn/routing/TargetTable.java
@@ -167,7 +167,7 @@
     private void stayedOpen(String id, long askedMillis, long openMillis) {
         TargetState state = targets.get(id);
         if (state != null && !state.heardOfLoadSince(askedMillis)) {
-            openQuestions.stayedOpen(id, askedMillis, openMillis);
+            openQuestions.pollUnanswered(id, askedMillis, openMillis);
         }
     }
 
--- a/core/src/main/java/org/bankturn/routing/UnansweredPolls.java
+++ b/core/src/main/java/org/bankturn/routing/UnansweredPolls.java
@@ -42,7 +42,7 @@
     }
 
     /** A question stayed open for as long as given; further ones count from when the first was asked. */
-    void stayedOpen(String engine, long askedMillis, long openMillis) {
+    void pollUnanswered(String engine, long askedMillis, long openMillis) {
         open.merge(
                 engine,
                 new Open(askedMillis, openMillis),
