--- a/core/src/main/java/org/bankturn/routing/TargetTable.java
+++ b/core/src/main/java/org/bankturn/routing/TargetTable.java
@@ -142,7 +142,7 @@
             state.reported(load, clock.millis() - tookMillis / 2 - ageMillis);
             state.pathTook(tookMillis);
             state.heardOfLoad(clock.millis());
-            openQuestions.answered(id);
+            openQuestions.pollAnswered(id);
         }
     }
 
--- a/core/src/main/java/org/bankturn/routing/UnansweredPolls.java
+++ b/core/src/main/java/org/bankturn/routing/UnansweredPolls.java
@@ -50,7 +50,7 @@
     }
 
     /** An engine answered. */
-    void answered(String engine) {
+    void pollAnswered(String engine) {
         open.remove(engine);
         answeredMillis = clock.millis();
     }
