--- a/core/src/main/java/org/bankturn/routing/TargetTable.java
+++ b/core/src/main/java/org/bankturn/routing/TargetTable.java
@@ -118,7 +118,7 @@
             }
         }
         gone.forEach(id -> remembered.keep(id, targets.remove(id).terms()));
-        openQuestions.forget(gone);
+        openQuestions.removeAll(gone);
         byService.clear();
         targets.values()
                 .forEach(state -> byService
--- a/core/src/main/java/org/bankturn/routing/UnansweredPolls.java
+++ b/core/src/main/java/org/bankturn/routing/UnansweredPolls.java
@@ -56,7 +56,7 @@
     }
 
     /** Forgets engines that are gone. */
-    void forget(Collection<String> gone) {
+    void removeAll(Collection<String> gone) {
         open.keySet().removeAll(gone);
     }
 }
