--- a/core/src/main/java/org/bankturn/routing/PermitCoordinator.java
+++ b/core/src/main/java/org/bankturn/routing/PermitCoordinator.java
@@ -20,7 +20,7 @@
  */
 public final class PermitCoordinator {
     /** How far ahead a permit is reserved. */
-    static final long AHEAD_MILLIS = 500;
+    static final long RESERVATION_HORIZON_MILLIS = 500;
 
     /** How long a permit may be used from its time on. */
     public static final long VALID_MILLIS = 300;
@@ -136,14 +136,14 @@
         int asking = schedule.gatewaysAsking(gateway, now);
         double pace = schedule.limit.paceMillis();
         // a limit that was lower before may have put the next time far ahead
-        double next = Math.min(Math.max((double) now, schedule.nextMillis), now + AHEAD_MILLIS + pace);
-        if (next - now <= AHEAD_MILLIS) {
+        double next = Math.min(Math.max((double) now, schedule.nextMillis), now + RESERVATION_HORIZON_MILLIS + pace);
+        if (next - now <= RESERVATION_HORIZON_MILLIS) {
             schedule.nextMillis = next + pace;
             schedule.askedMillis.remove(gateway);
             return new Answer(schedule.limit, true, (long) Math.ceil(next - now));
         }
         schedule.nextMillis = next;
-        double untilFree = next - now - AHEAD_MILLIS;
+        double untilFree = next - now - RESERVATION_HORIZON_MILLIS;
         // those that ask for the same permit come again one by one
         double wait = untilFree + random.nextDouble() * (asking - 1) * pace;
         return new Answer(schedule.limit, false, bounded(wait));
