--- a/core/src/main/java/org/bankturn/routing/PermitCoordinator.java
+++ b/core/src/main/java/org/bankturn/routing/PermitCoordinator.java
@@ -23,7 +23,7 @@
     static final long RESERVATION_HORIZON_MILLIS = 500;
 
     /** How long a permit may be used from its time on. */
-    public static final long VALID_MILLIS = 300;
+    public static final long PERMIT_VALIDITY_MILLIS = 300;
 
     /** A gateway asks again no later than that, so that it learns of the end of a limit. */
     private static final long LONGEST_WAIT_MILLIS = 4_000;
--- a/core/src/main/java/org/bankturn/routing/TargetFlowControl.java
+++ b/core/src/main/java/org/bankturn/routing/TargetFlowControl.java
@@ -170,7 +170,7 @@
         if (answer.granted()) {
             // reserved at a moment between the two: no sooner than that counted from now, no later than that from then
             permitFromMillis = nowMillis + answer.inMillis();
-            permitUntilMillis = askedMillis + answer.inMillis() + PermitCoordinator.VALID_MILLIS;
+            permitUntilMillis = askedMillis + answer.inMillis() + PermitCoordinator.PERMIT_VALIDITY_MILLIS;
         } else {
             askFromMillis = nowMillis + answer.inMillis();
         }
--- a/core/src/test/java/org/bankturn/routing/TargetFlowControlTest.java
+++ b/core/src/test/java/org/bankturn/routing/TargetFlowControlTest.java
@@ -37,7 +37,7 @@
     void a_permit_is_lost_once_its_time_is_over() {
         terms.noticed(ONE_A_SECOND, true, NOW - 10, NOW);
         permit(true, 100, NOW, NOW + 2);
-        long over = NOW + 100 + PermitCoordinator.VALID_MILLIS;
+        long over = NOW + 100 + PermitCoordinator.PERMIT_VALIDITY_MILLIS;
         assertThat(terms.takePlace(over)).contains(HoldReason.RATE_LIMITED);
         assertThat(terms.wantsPermit(over)).isTrue();
     }
@@ -45,8 +45,9 @@
     @Test
     void a_permit_that_comes_late_is_valid_no_longer_for_it() {
         terms.noticed(ONE_A_SECOND, true, NOW - 10, NOW);
-        permit(true, 0, NOW, NOW + PermitCoordinator.VALID_MILLIS);
-        assertThat(terms.takePlace(NOW + PermitCoordinator.VALID_MILLIS)).contains(HoldReason.RATE_LIMITED);
+        permit(true, 0, NOW, NOW + PermitCoordinator.PERMIT_VALIDITY_MILLIS);
+        assertThat(terms.takePlace(NOW + PermitCoordinator.PERMIT_VALIDITY_MILLIS))
+                .contains(HoldReason.RATE_LIMITED);
     }
 
     @Test
