--- a/core/src/main/java/org/bankturn/routing/PlacementSettings.java
+++ b/core/src/main/java/org/bankturn/routing/PlacementSettings.java
@@ -3,7 +3,7 @@
 /**
  * How a gateway decides which targets it watches and which of them takes a request.
  *
- * @param watchedAtLeast the engines of its own data hall that a gateway watches, if there are as many
+ * @param minWatchedLocal the engines of its own data hall that a gateway watches, if there are as many
  * @param watchedWidth engines watched for each engine that the gateway's own requests would fill
  * @param watchersAtLeast the gateways that watch each engine of a data hall, on average
  * @param watchedElsewhere the engines of other data halls that a gateway watches, at least
@@ -20,7 +20,7 @@
  * @param farPauseMillis the pause between two questions to an engine of another data hall
  */
 public record PlacementSettings(
-        int watchedAtLeast,
+        int minWatchedLocal,
         double watchedWidth,
         double watchersAtLeast,
         int watchedElsewhere,
--- a/core/src/main/java/org/bankturn/routing/WatchPlan.java
+++ b/core/src/main/java/org/bankturn/routing/WatchPlan.java
@@ -97,6 +97,6 @@
         int slots = near.stream().mapToInt(Engine::slots).max().orElse(1);
         double forOwn = settings.watchedWidth() * ownRequests / Math.max(1, slots);
         double forAll = settings.watchersAtLeast() * near.size() / gateways;
-        return (int) Math.max(settings.watchedAtLeast(), Math.ceil(Math.max(forOwn, forAll)));
+        return (int) Math.max(settings.minWatchedLocal(), Math.ceil(Math.max(forOwn, forAll)));
     }
 }
