--- a/core/src/main/java/org/bankturn/routing/PlacementSettings.java
+++ b/core/src/main/java/org/bankturn/routing/PlacementSettings.java
@@ -4,7 +4,7 @@
  * How a gateway decides which targets it watches and which of them takes a request.
  *
  * @param minWatchedLocal the engines of its own data hall that a gateway watches, if there are as many
- * @param watchedWidth engines watched for each engine that the gateway's own requests would fill
+ * @param watchedPerFilledEngine engines watched for each engine that the gateway's own requests would fill
  * @param watchersAtLeast the gateways that watch each engine of a data hall, on average
  * @param watchedElsewhere the engines of other data halls that a gateway watches, at least
  * @param watchedInAll the engines that a gateway watches, at least, if there are as many: a few halls of a few engines are
@@ -21,7 +21,7 @@
  */
 public record PlacementSettings(
         int minWatchedLocal,
-        double watchedWidth,
+        double watchedPerFilledEngine,
         double watchersAtLeast,
         int watchedElsewhere,
         int watchedInAll,
