--- a/core/src/main/java/org/bankturn/routing/WatchPlan.java
+++ b/core/src/main/java/org/bankturn/routing/WatchPlan.java
@@ -96,7 +96,7 @@
     private int width(List<Engine> near, int gateways, int ownRequests) {
         int slots = near.stream().mapToInt(Engine::slots).max().orElse(1);
         double forOwn = settings.watchedPerFilledEngine() * ownRequests / Math.max(1, slots);
-        double forAll = settings.watchersAtLeast() * near.size() / gateways;
+        double forAll = settings.minWatchersPerEngine() * near.size() / gateways;
         return (int) Math.max(settings.minWatchedLocal(), Math.ceil(Math.max(forOwn, forAll)));
     }
 }
