--- a/core/src/main/java/org/bankturn/routing/PlacementSettings.java
+++ b/core/src/main/java/org/bankturn/routing/PlacementSettings.java
@@ -6,7 +6,7 @@
  * @param minWatchedLocal the engines of its own data hall that a gateway watches, if there are as many
  * @param watchedPerFilledEngine engines watched for each engine that the gateway's own requests would fill
  * @param minWatchersPerEngine the gateways that watch each engine of a data hall, on average
- * @param watchedElsewhere the engines of other data halls that a gateway watches, at least
+ * @param minWatchedRemote the engines of other data halls that a gateway watches, at least
  * @param watchedInAll the engines that a gateway watches, at least, if there are as many: a few halls of a few engines are
  *     one pool, and a gateway that misses the free ones among them refuses what could be served
  * @param drawn the targets that are compared for a request, drawn at random
@@ -23,7 +23,7 @@
         int minWatchedLocal,
         double watchedPerFilledEngine,
         double minWatchersPerEngine,
-        int watchedElsewhere,
+        int minWatchedRemote,
         int watchedInAll,
         int drawn,
         int asked,
