--- a/core/src/main/java/org/bankturn/routing/PlacementSettings.java
+++ b/core/src/main/java/org/bankturn/routing/PlacementSettings.java
@@ -7,7 +7,7 @@
  * @param watchedPerFilledEngine engines watched for each engine that the gateway's own requests would fill
  * @param minWatchersPerEngine the gateways that watch each engine of a data hall, on average
  * @param minWatchedRemote the engines of other data halls that a gateway watches, at least
- * @param watchedInAll the engines that a gateway watches, at least, if there are as many: a few halls of a few engines are
+ * @param minWatchedTotal the engines that a gateway watches, at least, if there are as many: a few halls of a few engines are
  *     one pool, and a gateway that misses the free ones among them refuses what could be served
  * @param drawn the targets that are compared for a request, drawn at random
  * @param asked the engines that are asked for their load before a request is placed, 0 for none
@@ -24,7 +24,7 @@
         double watchedPerFilledEngine,
         double minWatchersPerEngine,
         int minWatchedRemote,
-        int watchedInAll,
+        int minWatchedTotal,
         int drawn,
         int asked,
         long freshMillis,
--- a/core/src/main/java/org/bankturn/routing/WatchPlan.java
+++ b/core/src/main/java/org/bankturn/routing/WatchPlan.java
@@ -63,7 +63,7 @@
         }
         Set<String> watched = new HashSet<>();
         stretch(near, gatewaysHere, ownRequests).forEach(engine -> watched.add(engine.id()));
-        int elsewhere = Math.max(settings.minWatchedRemote(), settings.watchedInAll() - watched.size());
+        int elsewhere = Math.max(settings.minWatchedRemote(), settings.minWatchedTotal() - watched.size());
         far.stream()
                 .sorted(Comparator.comparingLong(engine -> TextHash.of(gateway + " " + engine.id())))
                 .limit(elsewhere)
--- a/core/src/test/java/org/bankturn/routing/WatchPlanTest.java
+++ b/core/src/test/java/org/bankturn/routing/WatchPlanTest.java
@@ -54,7 +54,7 @@
         Set<String> all = new HashSet<>();
         for (int gateway = 0; gateway < 10; gateway++) {
             Set<String> watched = plan(gateway).watched(engines, gateways(10), 0);
-            assertThat(watched).hasSize(SETTINGS.watchedInAll());
+            assertThat(watched).hasSize(SETTINGS.minWatchedTotal());
             all.addAll(watched);
         }
         assertThat(all).hasSizeGreaterThan(20);
