--- a/core/src/main/java/org/bankturn/routing/CandidateSelector.java
+++ b/core/src/main/java/org/bankturn/routing/CandidateSelector.java
@@ -47,7 +47,7 @@
     }
 
     private Optional<Candidate> likelyFirst(Candidates candidates, Requirements wanted) {
-        Optional<Weighed> drawn = leastOf(freshOf(candidates.local), settings.drawn());
+        Optional<Weighed> drawn = leastOf(freshOf(candidates.local), settings.sampleSize());
         if (drawn.isPresent() && startsWithinLocalShare(drawn.get().choice(), wanted)) {
             return drawn.map(Weighed::choice);
         }
@@ -55,13 +55,14 @@
         if (here.isPresent() && startsWithinLocalShare(here.get().choice(), wanted)) {
             return here.map(Weighed::choice);
         }
-        Optional<Weighed> elsewhere = leastOf(freshOf(candidates.remote), settings.drawn());
+        Optional<Weighed> elsewhere = leastOf(freshOf(candidates.remote), settings.sampleSize());
         boolean goes = here.isEmpty()
                 || (elsewhere.isPresent()
                         && elsewhere.get().cost() + settings.otherHallMillis()
                                 < here.get().cost());
         Optional<Weighed> best = goes ? elsewhere : here;
-        return best.or(() -> leastOf(candidates.unwatched, settings.drawn())).map(Weighed::choice);
+        return best.or(() -> leastOf(candidates.unwatched, settings.sampleSize()))
+                .map(Weighed::choice);
     }
 
     /** Returns true if a request begins early enough there to stay in its data hall whatever others offer. */
--- a/core/src/main/java/org/bankturn/routing/PlacementSettings.java
+++ b/core/src/main/java/org/bankturn/routing/PlacementSettings.java
@@ -9,7 +9,7 @@
  * @param minWatchedRemote the engines of other data halls that a gateway watches, at least
  * @param minWatchedTotal the engines that a gateway watches, at least, if there are as many: a few halls of a few engines are
  *     one pool, and a gateway that misses the free ones among them refuses what could be served
- * @param drawn the targets that are compared for a request, drawn at random
+ * @param sampleSize the targets that are compared for a request, drawn at random
  * @param asked the engines that are asked for their load before a request is placed, 0 for none
  * @param freshMillis how old the news of an engine may be that is not asked again
  * @param spread how far predictions are spread at random before they are compared, as a share
@@ -25,7 +25,7 @@
         double minWatchersPerEngine,
         int minWatchedRemote,
         int minWatchedTotal,
-        int drawn,
+        int sampleSize,
         int asked,
         long freshMillis,
         double spread,
