--- a/core/src/main/java/org/bankturn/routing/CandidateSelector.java
+++ b/core/src/main/java/org/bankturn/routing/CandidateSelector.java
@@ -75,7 +75,7 @@
         long now = clock.millis();
         List<Candidate> fresh = new ArrayList<>(choices);
         fresh.removeIf(choice -> choice.target().newsMillis(now) > settings.freshMillis());
-        return settings.asked() == 0 || fresh.isEmpty() ? choices : fresh;
+        return settings.polledBeforePlacement() == 0 || fresh.isEmpty() ? choices : fresh;
     }
 
     /** Returns the least of some that are drawn, each prediction spread at random. */
--- a/core/src/main/java/org/bankturn/routing/PlacementSettings.java
+++ b/core/src/main/java/org/bankturn/routing/PlacementSettings.java
@@ -10,7 +10,7 @@
  * @param minWatchedTotal the engines that a gateway watches, at least, if there are as many: a few halls of a few engines are
  *     one pool, and a gateway that misses the free ones among them refuses what could be served
  * @param sampleSize the targets that are compared for a request, drawn at random
- * @param asked the engines that are asked for their load before a request is placed, 0 for none
+ * @param polledBeforePlacement the engines that are asked for their load before a request is placed, 0 for none
  * @param freshMillis how old the news of an engine may be that is not asked again
  * @param spread how far predictions are spread at random before they are compared, as a share
  * @param otherHallMillis how much sooner a target of another data hall must begin to be preferred
@@ -26,7 +26,7 @@
         int minWatchedRemote,
         int minWatchedTotal,
         int sampleSize,
-        int asked,
+        int polledBeforePlacement,
         long freshMillis,
         double spread,
         double otherHallMillis,
--- a/core/src/main/java/org/bankturn/routing/TargetTable.java
+++ b/core/src/main/java/org/bankturn/routing/TargetTable.java
@@ -188,7 +188,7 @@
      * @param elsewhere true to ask in other data halls
      */
     public List<String> toAsk(Requirements wanted, boolean elsewhere) {
-        if (settings.asked() == 0 || wanted.service().engine() == null) {
+        if (settings.polledBeforePlacement() == 0 || wanted.service().engine() == null) {
             return List.of();
         }
         long now = clock.millis();
@@ -199,9 +199,9 @@
                 .count();
         List<Candidate> stale = new ArrayList<>(pool);
         stale.removeIf(choice -> choice.target().newsMillis(now) <= settings.freshMillis());
-        comparison.sampleToFront(stale, settings.asked() - fresh);
+        comparison.sampleToFront(stale, settings.polledBeforePlacement() - fresh);
         return stale.stream()
-                .limit(Math.max(0, settings.asked() - fresh))
+                .limit(Math.max(0, settings.polledBeforePlacement() - fresh))
                 .map(choice -> choice.target().sighting().id())
                 .toList();
     }
--- a/standins/src/main/java/org/bankturn/replay/ReplayWorld.java
+++ b/standins/src/main/java/org/bankturn/replay/ReplayWorld.java
@@ -137,7 +137,7 @@
 
     /** Returns what the process beside an engine answers: what holds now, or what it saw last where it does not look. */
     Sample sampleOf(ReplayedEngine engine) {
-        if (settings.asked() > 0) {
+        if (settings.polledBeforePlacement() > 0) {
             return new Sample(engine.load(), time.now());
         }
         return samples.getOrDefault(engine.id(), new Sample(engine.load(), time.now()));
