--- a/core/src/main/java/org/bankturn/routing/PlacementSettings.java
+++ b/core/src/main/java/org/bankturn/routing/PlacementSettings.java
@@ -11,7 +11,7 @@
  *     one pool, and a gateway that misses the free ones among them refuses what could be served
  * @param sampleSize the targets that are compared for a request, drawn at random
  * @param polledBeforePlacement the engines that are asked for their load before a request is placed, 0 for none
- * @param freshMillis how old the news of an engine may be that is not asked again
+ * @param maxFreshAgeMillis how old the news of an engine may be that is not asked again
  * @param spread how far predictions are spread at random before they are compared, as a share
  * @param otherHallMillis how much sooner a target of another data hall must begin to be preferred
  * @param comfortableShare the share of its objective within which a request stays in its data hall, whatever others offer
@@ -27,7 +27,7 @@
         int minWatchedTotal,
         int sampleSize,
         int polledBeforePlacement,
-        long freshMillis,
+        long maxFreshAgeMillis,
         double spread,
         double otherHallMillis,
         double comfortableShare,
--- a/core/src/main/java/org/bankturn/routing/TargetTable.java
+++ b/core/src/main/java/org/bankturn/routing/TargetTable.java
@@ -195,10 +195,10 @@
         Candidates candidates = candidates(wanted, now, false);
         List<Candidate> pool = elsewhere ? candidates.remote : candidates.local;
         int fresh = (int) pool.stream()
-                .filter(choice -> choice.target().newsMillis(now) <= settings.freshMillis())
+                .filter(choice -> choice.target().newsMillis(now) <= settings.maxFreshAgeMillis())
                 .count();
         List<Candidate> stale = new ArrayList<>(pool);
-        stale.removeIf(choice -> choice.target().newsMillis(now) <= settings.freshMillis());
+        stale.removeIf(choice -> choice.target().newsMillis(now) <= settings.maxFreshAgeMillis());
         comparison.sampleToFront(stale, settings.polledBeforePlacement() - fresh);
         return stale.stream()
                 .limit(Math.max(0, settings.polledBeforePlacement() - fresh))
--- a/core/src/test/java/org/bankturn/routing/TargetTableTest.java
+++ b/core/src/test/java/org/bankturn/routing/TargetTableTest.java
@@ -50,7 +50,7 @@
         add("old", "here");
         add("new", "here");
         report("old", EngineLoad.NONE);
-        clock.advance(PlacementSettings.DEFAULT.freshMillis() + 1);
+        clock.advance(PlacementSettings.DEFAULT.maxFreshAgeMillis() + 1);
         report("new", EngineLoad.NONE);
         assertThat(table.toAsk(wanted(), false)).containsExactly("old");
         report("old", EngineLoad.NONE);
@@ -70,7 +70,7 @@
         add("old", "here");
         add("new", "here");
         report("old", EngineLoad.NONE);
-        clock.advance(PlacementSettings.DEFAULT.freshMillis() + 1);
+        clock.advance(PlacementSettings.DEFAULT.maxFreshAgeMillis() + 1);
         report("new", new EngineLoad(4, 0, 0, 0, 1, false));
         assertThat(chosen()).isEqualTo("new");
     }
