--- a/core/src/main/java/org/bankturn/routing/CandidateSelector.java
+++ b/core/src/main/java/org/bankturn/routing/CandidateSelector.java
@@ -83,7 +83,7 @@
         sampleToFront(choices, drawn);
         Weighed least = null;
         for (Candidate choice : choices.subList(0, Math.min(drawn, choices.size()))) {
-            double cost = choice.weighedMillis() * (1 + settings.spread() * random.nextDouble());
+            double cost = choice.weighedMillis() * (1 + settings.jitter() * random.nextDouble());
             if (least == null || cost < least.cost()) {
                 least = new Weighed(choice, cost);
             }
--- a/core/src/main/java/org/bankturn/routing/PlacementSettings.java
+++ b/core/src/main/java/org/bankturn/routing/PlacementSettings.java
@@ -12,7 +12,7 @@
  * @param sampleSize the targets that are compared for a request, drawn at random
  * @param polledBeforePlacement the engines that are asked for their load before a request is placed, 0 for none
  * @param maxFreshAgeMillis how old the news of an engine may be that is not asked again
- * @param spread how far predictions are spread at random before they are compared, as a share
+ * @param jitter how far predictions are spread at random before they are compared, as a share
  * @param otherHallMillis how much sooner a target of another data hall must begin to be preferred
  * @param comfortableShare the share of its objective within which a request stays in its data hall, whatever others offer
  * @param avoidsBreakOffs true if engines that will soon break off what they run count as later
@@ -28,7 +28,7 @@
         int sampleSize,
         int polledBeforePlacement,
         long maxFreshAgeMillis,
-        double spread,
+        double jitter,
         double otherHallMillis,
         double comfortableShare,
         boolean avoidsBreakOffs,
