--- a/core/src/main/java/org/bankturn/routing/CandidateSelector.java
+++ b/core/src/main/java/org/bankturn/routing/CandidateSelector.java
@@ -58,7 +58,7 @@
         Optional<Weighed> elsewhere = leastOf(freshOf(candidates.remote), settings.sampleSize());
         boolean goes = here.isEmpty()
                 || (elsewhere.isPresent()
-                        && elsewhere.get().cost() + settings.otherHallMillis()
+                        && elsewhere.get().cost() + settings.remoteHallPenaltyMillis()
                                 < here.get().cost());
         Optional<Weighed> best = goes ? elsewhere : here;
         return best.or(() -> leastOf(candidates.unwatched, settings.sampleSize()))
--- a/core/src/main/java/org/bankturn/routing/PlacementSettings.java
+++ b/core/src/main/java/org/bankturn/routing/PlacementSettings.java
@@ -13,7 +13,7 @@
  * @param polledBeforePlacement the engines that are asked for their load before a request is placed, 0 for none
  * @param maxFreshAgeMillis how old the news of an engine may be that is not asked again
  * @param jitter how far predictions are spread at random before they are compared, as a share
- * @param otherHallMillis how much sooner a target of another data hall must begin to be preferred
+ * @param remoteHallPenaltyMillis how much sooner a target of another data hall must begin to be preferred
  * @param comfortableShare the share of its objective within which a request stays in its data hall, whatever others offer
  * @param avoidsBreakOffs true if engines that will soon break off what they run count as later
  * @param nearPauseMillis the pause between two questions to an engine of the own data hall
@@ -29,7 +29,7 @@
         int polledBeforePlacement,
         long maxFreshAgeMillis,
         double jitter,
-        double otherHallMillis,
+        double remoteHallPenaltyMillis,
         double comfortableShare,
         boolean avoidsBreakOffs,
         long nearPauseMillis,
