--- a/core/src/main/java/org/bankturn/routing/CandidateSelector.java
+++ b/core/src/main/java/org/bankturn/routing/CandidateSelector.java
@@ -67,7 +67,7 @@
 
     /** Returns true if a request begins early enough there to stay in its data hall whatever others offer. */
     boolean startsWithinLocalShare(Candidate choice, Requirements wanted) {
-        return choice.weighedMillis() <= wanted.objectiveMillis() * settings.comfortableShare();
+        return choice.weighedMillis() <= wanted.objectiveMillis() * settings.localObjectiveShare();
     }
 
     /** Returns those of which there is fresh news, all if there is of none. */
--- a/core/src/main/java/org/bankturn/routing/PlacementSettings.java
+++ b/core/src/main/java/org/bankturn/routing/PlacementSettings.java
@@ -14,7 +14,7 @@
  * @param maxFreshAgeMillis how old the news of an engine may be that is not asked again
  * @param jitter how far predictions are spread at random before they are compared, as a share
  * @param remoteHallPenaltyMillis how much sooner a target of another data hall must begin to be preferred
- * @param comfortableShare the share of its objective within which a request stays in its data hall, whatever others offer
+ * @param localObjectiveShare the share of its objective within which a request stays in its data hall, whatever others offer
  * @param avoidsBreakOffs true if engines that will soon break off what they run count as later
  * @param nearPauseMillis the pause between two questions to an engine of the own data hall
  * @param farPauseMillis the pause between two questions to an engine of another data hall
@@ -30,7 +30,7 @@
         long maxFreshAgeMillis,
         double jitter,
         double remoteHallPenaltyMillis,
-        double comfortableShare,
+        double localObjectiveShare,
         boolean avoidsBreakOffs,
         long nearPauseMillis,
         long farPauseMillis) {
