--- a/core/src/main/java/org/bankturn/routing/PlacementSettings.java
+++ b/core/src/main/java/org/bankturn/routing/PlacementSettings.java
@@ -15,7 +15,7 @@
  * @param jitter how far predictions are spread at random before they are compared, as a share
  * @param remoteHallPenaltyMillis how much sooner a target of another data hall must begin to be preferred
  * @param localObjectiveShare the share of its objective within which a request stays in its data hall, whatever others offer
- * @param avoidsBreakOffs true if engines that will soon break off what they run count as later
+ * @param avoidsInterruptions true if engines that will soon break off what they run count as later
  * @param nearPauseMillis the pause between two questions to an engine of the own data hall
  * @param farPauseMillis the pause between two questions to an engine of another data hall
  */
@@ -31,7 +31,7 @@
         double jitter,
         double remoteHallPenaltyMillis,
         double localObjectiveShare,
-        boolean avoidsBreakOffs,
+        boolean avoidsInterruptions,
         long nearPauseMillis,
         long farPauseMillis) {
 
--- a/core/src/main/java/org/bankturn/routing/TargetTable.java
+++ b/core/src/main/java/org/bankturn/routing/TargetTable.java
@@ -323,7 +323,7 @@
 
     private double breakOffMillis(TargetState state, Requirements wanted, long now, double predicted) {
         EngineModel engine = wanted.service().engine();
-        if (engine == null || !settings.avoidsBreakOffs()) {
+        if (engine == null || !settings.avoidsInterruptions()) {
             return 0;
         }
         return InterruptionCost.millis(engine, state.untilBreakOffMillis(now), predicted, wanted.objectiveMillis());
