--- a/core/src/main/java/org/bankturn/routing/LoadPollSchedule.java
+++ b/core/src/main/java/org/bankturn/routing/LoadPollSchedule.java
@@ -81,7 +81,7 @@
     }
 
     private long pauseMillis(String id, long nowMillis) {
-        long pause = near.get(id) ? settings.nearPauseMillis() : settings.farPauseMillis();
+        long pause = near.get(id) ? settings.localPollIntervalMillis() : settings.farPauseMillis();
         boolean idle = nowMillis - sentMillis > IDLE_AFTER_MILLIS;
         return idle ? pause * IDLE_FACTOR : pause;
     }
--- a/core/src/main/java/org/bankturn/routing/PlacementSettings.java
+++ b/core/src/main/java/org/bankturn/routing/PlacementSettings.java
@@ -16,7 +16,7 @@
  * @param remoteHallPenaltyMillis how much sooner a target of another data hall must begin to be preferred
  * @param localObjectiveShare the share of its objective within which a request stays in its data hall, whatever others offer
  * @param avoidsInterruptions true if engines that will soon break off what they run count as later
- * @param nearPauseMillis the pause between two questions to an engine of the own data hall
+ * @param localPollIntervalMillis the pause between two questions to an engine of the own data hall
  * @param farPauseMillis the pause between two questions to an engine of another data hall
  */
 public record PlacementSettings(
@@ -32,7 +32,7 @@
         double remoteHallPenaltyMillis,
         double localObjectiveShare,
         boolean avoidsInterruptions,
-        long nearPauseMillis,
+        long localPollIntervalMillis,
         long farPauseMillis) {
 
     /** What gateways use; the reasons and measurements are in docs/design/09-decisions.md. */
--- a/core/src/test/java/org/bankturn/routing/LoadPollScheduleTest.java
+++ b/core/src/test/java/org/bankturn/routing/LoadPollScheduleTest.java
@@ -45,7 +45,9 @@
         questions.next(0);
         long rested = questions.nextPollDelayMillis(2_000);
         questions.requestSent(2_000);
-        assertThat(questions.nextPollDelayMillis(2_000)).isLessThan(rested).isEqualTo(SETTINGS.nearPauseMillis());
+        assertThat(questions.nextPollDelayMillis(2_000))
+                .isLessThan(rested)
+                .isEqualTo(SETTINGS.localPollIntervalMillis());
     }
 
     @Test
