--- a/core/src/main/java/org/bankturn/routing/LoadPollSchedule.java
+++ b/core/src/main/java/org/bankturn/routing/LoadPollSchedule.java
@@ -76,12 +76,12 @@
         long next = dueMillis.values().stream()
                 .mapToLong(Long::longValue)
                 .min()
-                .orElse(nowMillis + settings.farPauseMillis());
+                .orElse(nowMillis + settings.remotePollIntervalMillis());
         return Math.max(0, next - nowMillis);
     }
 
     private long pauseMillis(String id, long nowMillis) {
-        long pause = near.get(id) ? settings.localPollIntervalMillis() : settings.farPauseMillis();
+        long pause = near.get(id) ? settings.localPollIntervalMillis() : settings.remotePollIntervalMillis();
         boolean idle = nowMillis - sentMillis > IDLE_AFTER_MILLIS;
         return idle ? pause * IDLE_FACTOR : pause;
     }
--- a/core/src/main/java/org/bankturn/routing/PlacementSettings.java
+++ b/core/src/main/java/org/bankturn/routing/PlacementSettings.java
@@ -17,7 +17,7 @@
  * @param localObjectiveShare the share of its objective within which a request stays in its data hall, whatever others offer
  * @param avoidsInterruptions true if engines that will soon break off what they run count as later
  * @param localPollIntervalMillis the pause between two questions to an engine of the own data hall
- * @param farPauseMillis the pause between two questions to an engine of another data hall
+ * @param remotePollIntervalMillis the pause between two questions to an engine of another data hall
  */
 public record PlacementSettings(
         int minWatchedLocal,
@@ -33,7 +33,7 @@
         double localObjectiveShare,
         boolean avoidsInterruptions,
         long localPollIntervalMillis,
-        long farPauseMillis) {
+        long remotePollIntervalMillis) {
 
     /** What gateways use; the reasons and measurements are in docs/design/09-decisions.md. */
     public static final PlacementSettings DEFAULT =
--- a/core/src/test/java/org/bankturn/routing/LoadPollScheduleTest.java
+++ b/core/src/test/java/org/bankturn/routing/LoadPollScheduleTest.java
@@ -55,7 +55,7 @@
         LoadPollSchedule questions = watchingTwelve();
         questions.setWatched(Set.of(), Set.of(), 0);
         assertThat(questions.next(100_000)).isEmpty();
-        assertThat(questions.nextPollDelayMillis(100_000)).isEqualTo(SETTINGS.farPauseMillis());
+        assertThat(questions.nextPollDelayMillis(100_000)).isEqualTo(SETTINGS.remotePollIntervalMillis());
     }
 
     private static LoadPollSchedule watchingTwelve() {
