--- a/core/src/main/java/org/bankturn/routing/RateLimit.java
+++ b/core/src/main/java/org/bankturn/routing/RateLimit.java
@@ -11,7 +11,7 @@
  */
 public record RateLimit(boolean inForce, double perSecond, long asOfMillis) {
     /** A target that takes nothing gets a request that often all the same, or the end of its limit would stay unknown. */
-    public static final double LEAST_PER_SECOND = 0.1;
+    public static final double MIN_PER_SECOND = 0.1;
 
     /** A limit beyond that limits nothing that one target could run. */
     public static final double MOST_PER_SECOND = 100_000;
@@ -33,7 +33,7 @@
      * @param asOfMillis when the target said so
      */
     public static RateLimit named(double perSecond, long asOfMillis) {
-        return new RateLimit(true, Math.min(MOST_PER_SECOND, Math.max(LEAST_PER_SECOND, perSecond)), asOfMillis);
+        return new RateLimit(true, Math.min(MOST_PER_SECOND, Math.max(MIN_PER_SECOND, perSecond)), asOfMillis);
     }
 
     /** Returns what is known of a target that named no limit at a moment, not null. */
--- a/core/src/test/java/org/bankturn/routing/PermitCoordinatorTest.java
+++ b/core/src/test/java/org/bankturn/routing/PermitCoordinatorTest.java
@@ -96,6 +96,6 @@
                     .hasMessageContaining("requests a second");
         }
         assertThat(RateLimit.named(1e12, 0).perSecond()).isEqualTo(RateLimit.MOST_PER_SECOND);
-        assertThat(RateLimit.named(0, 0).perSecond()).isEqualTo(RateLimit.LEAST_PER_SECOND);
+        assertThat(RateLimit.named(0, 0).perSecond()).isEqualTo(RateLimit.MIN_PER_SECOND);
     }
 }
