--- a/core/src/main/java/org/bankturn/routing/RateLimit.java
+++ b/core/src/main/java/org/bankturn/routing/RateLimit.java
@@ -14,15 +14,15 @@
     public static final double MIN_PER_SECOND = 0.1;
 
     /** A limit beyond that limits nothing that one target could run. */
-    public static final double MOST_PER_SECOND = 100_000;
+    public static final double MAX_PER_SECOND = 100_000;
 
     private static final double MILLIS_PER_SECOND = 1_000;
 
     /** Checks the number. */
     public RateLimit {
-        if (!(perSecond >= 0 && perSecond <= MOST_PER_SECOND)) {
+        if (!(perSecond >= 0 && perSecond <= MAX_PER_SECOND)) {
             throw new IllegalArgumentException(
-                    "requests a second must be from 0 to " + MOST_PER_SECOND + ", not " + perSecond);
+                    "requests a second must be from 0 to " + MAX_PER_SECOND + ", not " + perSecond);
         }
     }
 
@@ -33,7 +33,7 @@
      * @param asOfMillis when the target said so
      */
     public static RateLimit named(double perSecond, long asOfMillis) {
-        return new RateLimit(true, Math.min(MOST_PER_SECOND, Math.max(MIN_PER_SECOND, perSecond)), asOfMillis);
+        return new RateLimit(true, Math.min(MAX_PER_SECOND, Math.max(MIN_PER_SECOND, perSecond)), asOfMillis);
     }
 
     /** Returns what is known of a target that named no limit at a moment, not null. */
--- a/core/src/test/java/org/bankturn/routing/PermitCoordinatorTest.java
+++ b/core/src/test/java/org/bankturn/routing/PermitCoordinatorTest.java
@@ -95,7 +95,7 @@
                     .isInstanceOf(IllegalArgumentException.class)
                     .hasMessageContaining("requests a second");
         }
-        assertThat(RateLimit.named(1e12, 0).perSecond()).isEqualTo(RateLimit.MOST_PER_SECOND);
+        assertThat(RateLimit.named(1e12, 0).perSecond()).isEqualTo(RateLimit.MAX_PER_SECOND);
         assertThat(RateLimit.named(0, 0).perSecond()).isEqualTo(RateLimit.MIN_PER_SECOND);
     }
 }
