--- a/core/src/main/java/org/bankturn/routing/FlowControlCache.java
+++ b/core/src/main/java/org/bankturn/routing/FlowControlCache.java
@@ -15,7 +15,7 @@
     private final Map<String, TargetFlowControl> byIncarnation = new LinkedHashMap<>();
 
     /** Remembers the terms of a start that is no longer listed, if it asked for anything; the oldest are forgotten. */
-    void keep(String incarnation, TargetFlowControl terms) {
+    void put(String incarnation, TargetFlowControl terms) {
         if (!terms.askForSomething()) {
             return;
         }
