--- a/core/src/main/java/org/bankturn/routing/FlowControlCache.java
+++ b/core/src/main/java/org/bankturn/routing/FlowControlCache.java
@@ -26,7 +26,7 @@
     }
 
     /** Returns the terms of a start that is listed, new ones if none are remembered, not null. */
-    TargetFlowControl take(String incarnation) {
+    TargetFlowControl remove(String incarnation) {
         TargetFlowControl remembered = byIncarnation.remove(incarnation);
         return remembered == null ? new TargetFlowControl() : remembered;
     }
--- a/core/src/main/java/org/bankturn/routing/TargetTable.java
+++ b/core/src/main/java/org/bankturn/routing/TargetTable.java
@@ -112,7 +112,7 @@
             gone.remove(sighting.id());
             TargetState known = targets.get(sighting.id());
             if (known == null) {
-                targets.put(sighting.id(), new TargetState(sighting, remembered.take(sighting.id())));
+                targets.put(sighting.id(), new TargetState(sighting, remembered.remove(sighting.id())));
             } else {
                 known.update(sighting);
             }
