--- a/core/src/main/java/org/bankturn/routing/RequestPolicy.java
+++ b/core/src/main/java/org/bankturn/routing/RequestPolicy.java
@@ -106,7 +106,7 @@
     }
 
     /** Returns the version that must run a request of the service, 0 for any, -1 if the service holds no weights. */
-    public int leastVersion(Service service) {
+    public int minVersion(Service service) {
         return service.weights() == null ? -1 : versionsDue(service).leastVersion(clock.millis());
     }
 
@@ -257,7 +257,7 @@
 
     private NextStep.Send send(RequestProgress request, Candidate choice) {
         request.chosen(choice.target().sighting().id());
-        return new NextStep.Send(choice, Math.max(0, leastVersion(request.service())));
+        return new NextStep.Send(choice, Math.max(0, minVersion(request.service())));
     }
 
     private Optional<Candidate> choose(RequestProgress request) {
@@ -268,7 +268,7 @@
         Service service = request.service();
         return new Requirements(
                 service,
-                leastVersion(service),
+                minVersion(service),
                 versionsDue(service),
                 request.promptTokens(),
                 request.route().objectiveMillis(),
--- a/daemon/src/main/java/org/bankturn/daemon/gateway/ForwardedRequest.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/ForwardedRequest.java
@@ -221,7 +221,7 @@
                 .with(DecisionField.SENDS, progress.sends())
                 .with(DecisionField.HELD_BACK, gateway.policy().heldBack(progress))
                 .with(DecisionField.MAY_HAVE_RUN, progress.mayHaveRun())
-                .with(DecisionField.VERSION, gateway.policy().leastVersion(service()))
+                .with(DecisionField.VERSION, gateway.policy().minVersion(service()))
                 .with(DecisionField.PREDICTED_MS, attempt == null ? 0 : attempt.predictedMillis())
                 .with(DecisionField.FIRST_EVENT_MS, attempt == null ? 0 : attempt.firstEventMillis())
                 .with(DecisionField.HELD_MS, heldMillis)
