--- a/core/src/main/java/org/bankturn/routing/RequestPolicy.java
+++ b/core/src/main/java/org/bankturn/routing/RequestPolicy.java
@@ -122,7 +122,7 @@
      * @param choice the target that has it, not null
      * @param heardMillis when the request was sent, or something came for it last
      */
-    public long silenceMillis(RequestProgress request, Candidate choice, long heardMillis) {
+    public long silenceTimeoutMillis(RequestProgress request, Candidate choice, long heardMillis) {
         boolean atWork = choice.target().isAtWork(clock.millis(), heardMillis);
         return request.lastEvent() == null
                 ? SilenceTimeout.beforeFirstMillis(request.route().objectiveMillis(), choice.predictedMillis(), atWork)
--- a/daemon/src/main/java/org/bankturn/daemon/gateway/SilenceWatch.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/SilenceWatch.java
@@ -142,7 +142,7 @@
     }
 
     private long boundMillis() {
-        return gateway.policy().silenceMillis(request.progress(), choice, heardMillis);
+        return gateway.policy().silenceTimeoutMillis(request.progress(), choice, heardMillis);
     }
 
     private String targetId() {
--- a/standins/src/main/java/org/bankturn/replay/ReplayedGateway.java
+++ b/standins/src/main/java/org/bankturn/replay/ReplayedGateway.java
@@ -382,7 +382,9 @@
         }
 
         private void watchSilence() {
-            double left = heardMillis + policy.silenceMillis(request.progress, choice, (long) heardMillis) - time.now();
+            double left = heardMillis
+                    + policy.silenceTimeoutMillis(request.progress, choice, (long) heardMillis)
+                    - time.now();
             time.after(Math.max(1, left), this::checkSilence);
         }
 
@@ -390,8 +392,8 @@
             if (over) {
                 return;
             }
-            boolean silent =
-                    time.now() - heardMillis >= policy.silenceMillis(request.progress, choice, (long) heardMillis);
+            boolean silent = time.now() - heardMillis
+                    >= policy.silenceTimeoutMillis(request.progress, choice, (long) heardMillis);
             if (!silent) {
                 watchSilence();
                 return;
