--- a/core/src/main/java/org/bankturn/routing/RequestPolicy.java
+++ b/core/src/main/java/org/bankturn/routing/RequestPolicy.java
@@ -215,7 +215,7 @@
     }
 
     private NextStep.GiveUp withoutTarget(RequestProgress request) {
-        HeldBackTargets heldBack = heldBack(request);
+        HeldBackTargets heldBack = heldBackTargets(request);
         if (heldBack.hasKnownReleaseTime()) {
             long comeBack = RetryAfter.forHeldBackTargets(heldBack.earliestReleaseMillis(), random);
             return new NextStep.GiveUp("no target left but " + heldBack, comeBack);
@@ -225,7 +225,7 @@
     }
 
     /** Returns the targets that could run a request and must not get it now, by their own wish, not null. */
-    public HeldBackTargets heldBack(RequestProgress request) {
+    public HeldBackTargets heldBackTargets(RequestProgress request) {
         return targets.heldBack(wanted(request));
     }
 
--- a/daemon/src/main/java/org/bankturn/daemon/gateway/ForwardedRequest.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/ForwardedRequest.java
@@ -144,7 +144,7 @@
                 .with(DecisionField.REQUEST, terms.id())
                 .with(DecisionField.REASON, reason)
                 .with(DecisionField.SENDS, progress.sends())
-                .with(DecisionField.HELD_BACK, gateway.policy().heldBack(progress))
+                .with(DecisionField.HELD_BACK, gateway.policy().heldBackTargets(progress))
                 .write();
         sendToNext();
     }
@@ -219,7 +219,7 @@
                 .with(DecisionField.STATUS, status)
                 .with(DecisionField.REASON, reason)
                 .with(DecisionField.SENDS, progress.sends())
-                .with(DecisionField.HELD_BACK, gateway.policy().heldBack(progress))
+                .with(DecisionField.HELD_BACK, gateway.policy().heldBackTargets(progress))
                 .with(DecisionField.MAY_HAVE_RUN, progress.mayHaveRun())
                 .with(DecisionField.VERSION, gateway.policy().minVersion(service()))
                 .with(DecisionField.PREDICTED_MS, attempt == null ? 0 : attempt.predictedMillis())
