--- a/core/src/main/java/org/bankturn/routing/RequestPolicy.java
+++ b/core/src/main/java/org/bankturn/routing/RequestPolicy.java
@@ -230,7 +230,7 @@
     }
 
     /** Returns another target for a request that a target answered with a failure, empty if the failure is passed on. */
-    public Optional<NextStep.Send> afterFailure(RequestProgress request) {
+    public Optional<NextStep.Send> retryAfterFailure(RequestProgress request) {
         boolean repeatable = request.route().kind().mayRepeat();
         if (!repeatable
                 || !mayGoElsewhere(request)
--- a/core/src/test/java/org/bankturn/routing/RequestPolicyTest.java
+++ b/core/src/test/java/org/bankturn/routing/RequestPolicyTest.java
@@ -210,7 +210,7 @@
         }
         request.sent();
         request.outcomeUnknown();
-        return asked.afterFailure(request).isPresent();
+        return asked.retryAfterFailure(request).isPresent();
     }
 
     @Test
