--- a/core/src/main/java/org/bankturn/routing/RequestPolicy.java
+++ b/core/src/main/java/org/bankturn/routing/RequestPolicy.java
@@ -233,7 +233,7 @@
     public Optional<NextStep.Send> retryAfterFailure(RequestProgress request) {
         boolean repeatable = request.route().kind().mayRepeat();
         if (!repeatable
-                || !mayGoElsewhere(request)
+                || !canRetryElsewhere(request)
                 || !retryBudget(request.service()).tryRetry()) {
             return Optional.empty();
         }
@@ -241,7 +241,7 @@
     }
 
     /** Returns true if there is a target, time and an attempt left for a request. */
-    public boolean mayGoElsewhere(RequestProgress request) {
+    public boolean canRetryElsewhere(RequestProgress request) {
         boolean left = request.sends() < request.route().maximumAttempts() && !isTimeUp(request);
         return left && choose(request).isPresent();
     }
--- a/daemon/src/main/java/org/bankturn/daemon/gateway/ForwardedRequest.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/ForwardedRequest.java
@@ -344,7 +344,7 @@
     }
 
     boolean mayGoElsewhere() {
-        return gateway.policy().mayGoElsewhere(progress);
+        return gateway.policy().canRetryElsewhere(progress);
     }
 
     /** A target answered with a failure of its own, which is passed on unless another target may try. */
--- a/standins/src/main/java/org/bankturn/replay/ReplayedGateway.java
+++ b/standins/src/main/java/org/bankturn/replay/ReplayedGateway.java
@@ -398,7 +398,7 @@
                 watchSilence();
                 return;
             }
-            if (policy.mayGoElsewhere(request.progress)) {
+            if (policy.canRetryElsewhere(request.progress)) {
                 task.drop();
                 lost(request);
             }
