--- a/core/src/main/java/org/bankturn/routing/RequestPolicy.java
+++ b/core/src/main/java/org/bankturn/routing/RequestPolicy.java
@@ -144,7 +144,7 @@
         if (request.sends() >= request.route().maximumAttempts()) {
             return giveUp("attempts used up");
         }
-        if (isTimeUp(request)) {
+        if (isDeadlineReached(request)) {
             return giveUp("no time left");
         }
         if (request.failedConnections() >= MOST_FAILED_CONNECTIONS) {
@@ -242,12 +242,12 @@
 
     /** Returns true if there is a target, time and an attempt left for a request. */
     public boolean canRetryElsewhere(RequestProgress request) {
-        boolean left = request.sends() < request.route().maximumAttempts() && !isTimeUp(request);
+        boolean left = request.sends() < request.route().maximumAttempts() && !isDeadlineReached(request);
         return left && choose(request).isPresent();
     }
 
     /** Returns true if the time of a request is over, or as good as over. */
-    public boolean isTimeUp(RequestProgress request) {
+    public boolean isDeadlineReached(RequestProgress request) {
         return request.endMillis() - clock.millis() < LEAST_REMAINING_MILLIS;
     }
 
--- a/daemon/src/main/java/org/bankturn/daemon/gateway/ForwardedRequest.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/ForwardedRequest.java
@@ -191,7 +191,7 @@
             return;
         }
         boolean mayHaveRun = progress.mayHaveRun();
-        boolean timeUp = gateway.policy().isTimeUp(progress);
+        boolean timeUp = gateway.policy().isDeadlineReached(progress);
         int status = !mayHaveRun ? 503 : timeUp ? 504 : 502;
         ended(mayHaveRun ? RequestOutcome.FAILED : RequestOutcome.REFUSED, status, reason);
         exchange.answer(gateway.dialect().ownAnswer(status, terms, mayHaveRun ? 0 : comeBackMillis), NOTHING);
