--- a/core/src/main/java/org/bankturn/routing/RequestPolicy.java
+++ b/core/src/main/java/org/bankturn/routing/RequestPolicy.java
@@ -134,7 +134,7 @@
     /** Takes in a new request, which earns a part of a retry. */
     public void arrived(RequestProgress request) {
         retryBudget(request.service()).requestSeen();
-        if (returning.hasComeBack(request.route().name(), request.endMillis() - clock.millis())) {
+        if (returning.hasComeBack(request.route().name(), request.deadlineMillis() - clock.millis())) {
             request.cameBack();
         }
     }
@@ -248,7 +248,7 @@
 
     /** Returns true if the time of a request is over, or as good as over. */
     public boolean isDeadlineReached(RequestProgress request) {
-        return request.endMillis() - clock.millis() < LEAST_REMAINING_MILLIS;
+        return request.deadlineMillis() - clock.millis() < LEAST_REMAINING_MILLIS;
     }
 
     private static NextStep giveUp(String reason) {
--- a/core/src/main/java/org/bankturn/routing/RequestProgress.java
+++ b/core/src/main/java/org/bankturn/routing/RequestProgress.java
@@ -15,7 +15,7 @@
     private final Route route;
     private final Service service;
     private final int promptTokens;
-    private final long endMillis;
+    private final long deadlineMillis;
     private final Set<String> tried = new HashSet<>();
     private int sends;
     private boolean askedHere;
@@ -43,7 +43,7 @@
         this.route = route;
         this.service = service;
         this.promptTokens = promptTokens;
-        this.endMillis = endMillis;
+        this.deadlineMillis = endMillis;
     }
 
     // ---- queries
@@ -64,8 +64,8 @@
     }
 
     /** Returns when it must have its final answer. */
-    public long endMillis() {
-        return endMillis;
+    public long deadlineMillis() {
+        return deadlineMillis;
     }
 
     /** Returns the incarnations that it was sent to, not null. */
