--- a/core/src/main/java/org/bankturn/routing/RequestPolicy.java
+++ b/core/src/main/java/org/bankturn/routing/RequestPolicy.java
@@ -220,7 +220,8 @@
             long comeBack = RetryAfter.forHeldBackTargets(heldBack.earliestReleaseMillis(), random);
             return new NextStep.GiveUp("no target left but " + heldBack, comeBack);
         }
-        long comeBack = request.tried().isEmpty() ? RetryAfter.NO_TARGET_MILLIS : RetryAfter.ALL_TARGETS_TRIED_MILLIS;
+        long comeBack =
+                request.triedTargets().isEmpty() ? RetryAfter.NO_TARGET_MILLIS : RetryAfter.ALL_TARGETS_TRIED_MILLIS;
         return new NextStep.GiveUp("no target left", comeBack);
     }
 
@@ -272,7 +273,7 @@
                 versionsDue(service),
                 request.promptTokens(),
                 request.route().objectiveMillis(),
-                request.tried());
+                request.triedTargets());
     }
 
     /** Returns true if even the chosen target would begin so late that the request is better refused now. */
--- a/core/src/main/java/org/bankturn/routing/RequestProgress.java
+++ b/core/src/main/java/org/bankturn/routing/RequestProgress.java
@@ -16,7 +16,7 @@
     private final Service service;
     private final int promptTokens;
     private final long deadlineMillis;
-    private final Set<String> tried = new HashSet<>();
+    private final Set<String> triedTargets = new HashSet<>();
     private int sends;
     private boolean askedHere;
     private boolean askedElsewhere;
@@ -69,8 +69,8 @@
     }
 
     /** Returns the incarnations that it was sent to, not null. */
-    public Set<String> tried() {
-        return Set.copyOf(tried);
+    public Set<String> triedTargets() {
+        return Set.copyOf(triedTargets);
     }
 
     /** Returns true if engines of the own data hall were asked for its sake since it was last sent. */
@@ -137,14 +137,14 @@
 
     /** A target was chosen for it. */
     void chosen(String target) {
-        tried.add(target);
+        triedTargets.add(target);
         askedHere = false;
         askedElsewhere = false;
     }
 
     /** The target that was chosen for it must not get it now; nothing left. */
     public void heldBack(String target) {
-        tried.remove(target);
+        triedTargets.remove(target);
     }
 
     /** It is about to leave for a target. */
