--- a/core/src/main/java/org/bankturn/routing/RequestPolicy.java
+++ b/core/src/main/java/org/bankturn/routing/RequestPolicy.java
@@ -157,7 +157,7 @@
     /** Returns what is to be asked before the request is placed, empty if enough is known. */
     private Optional<NextStep> question(RequestProgress request) {
         Requirements wanted = wanted(request);
-        if (!request.askedHere()) {
+        if (!request.localPolled()) {
             request.askHere();
             List<String> here = targets.toAsk(wanted, false);
             if (!here.isEmpty()) {
--- a/core/src/main/java/org/bankturn/routing/RequestProgress.java
+++ b/core/src/main/java/org/bankturn/routing/RequestProgress.java
@@ -18,7 +18,7 @@
     private final long deadlineMillis;
     private final Set<String> triedTargets = new HashSet<>();
     private int sends;
-    private boolean askedHere;
+    private boolean localPolled;
     private boolean askedElsewhere;
     private int failedConnections;
     private boolean cameBack;
@@ -74,8 +74,8 @@
     }
 
     /** Returns true if engines of the own data hall were asked for its sake since it was last sent. */
-    boolean askedHere() {
-        return askedHere;
+    boolean localPolled() {
+        return localPolled;
     }
 
     /** Returns true if engines of other data halls were asked for its sake since it was last sent. */
@@ -127,7 +127,7 @@
 
     /** Engines of the own data hall are asked for its sake. */
     void askHere() {
-        askedHere = true;
+        localPolled = true;
     }
 
     /** Engines of other data halls are asked for its sake. */
@@ -138,7 +138,7 @@
     /** A target was chosen for it. */
     void chosen(String target) {
         triedTargets.add(target);
-        askedHere = false;
+        localPolled = false;
         askedElsewhere = false;
     }
 
