--- a/core/src/main/java/org/bankturn/routing/RequestPolicy.java
+++ b/core/src/main/java/org/bankturn/routing/RequestPolicy.java
@@ -164,7 +164,7 @@
                 return Optional.of(new NextStep.PollLoad(here));
             }
         }
-        if (request.askedElsewhere()) {
+        if (request.remotePolled()) {
             return Optional.empty();
         }
         Optional<Candidate> known = targets.choose(wanted);
--- a/core/src/main/java/org/bankturn/routing/RequestProgress.java
+++ b/core/src/main/java/org/bankturn/routing/RequestProgress.java
@@ -19,7 +19,7 @@
     private final Set<String> triedTargets = new HashSet<>();
     private int sends;
     private boolean localPolled;
-    private boolean askedElsewhere;
+    private boolean remotePolled;
     private int failedConnections;
     private boolean cameBack;
     private boolean mayHaveRun;
@@ -79,8 +79,8 @@
     }
 
     /** Returns true if engines of other data halls were asked for its sake since it was last sent. */
-    boolean askedElsewhere() {
-        return askedElsewhere;
+    boolean remotePolled() {
+        return remotePolled;
     }
 
     /** Returns until when it may wait for a permit, Long.MAX_VALUE if it has not begun to. */
@@ -132,14 +132,14 @@
 
     /** Engines of other data halls are asked for its sake. */
     void askElsewhere() {
-        askedElsewhere = true;
+        remotePolled = true;
     }
 
     /** A target was chosen for it. */
     void chosen(String target) {
         triedTargets.add(target);
         localPolled = false;
-        askedElsewhere = false;
+        remotePolled = false;
     }
 
     /** The target that was chosen for it must not get it now; nothing left. */
