--- a/core/src/main/java/org/bankturn/routing/RequestPolicy.java
+++ b/core/src/main/java/org/bankturn/routing/RequestPolicy.java
@@ -158,7 +158,7 @@
     private Optional<NextStep> question(RequestProgress request) {
         Requirements wanted = wanted(request);
         if (!request.localPolled()) {
-            request.askHere();
+            request.markLocalPolled();
             List<String> here = targets.toAsk(wanted, false);
             if (!here.isEmpty()) {
                 return Optional.of(new NextStep.PollLoad(here));
--- a/core/src/main/java/org/bankturn/routing/RequestProgress.java
+++ b/core/src/main/java/org/bankturn/routing/RequestProgress.java
@@ -126,7 +126,7 @@
     }
 
     /** Engines of the own data hall are asked for its sake. */
-    void askHere() {
+    void markLocalPolled() {
         localPolled = true;
     }
 
