--- a/core/src/main/java/org/bankturn/routing/RequestPolicy.java
+++ b/core/src/main/java/org/bankturn/routing/RequestPolicy.java
@@ -171,7 +171,7 @@
         if (known.isPresent() && targets.staysHere(known.get(), wanted)) {
             return Optional.empty();
         }
-        request.askElsewhere();
+        request.markRemotePolled();
         List<String> elsewhere = targets.toAsk(wanted, true);
         return elsewhere.isEmpty() ? Optional.empty() : Optional.of(new NextStep.PollLoad(elsewhere));
     }
--- a/core/src/main/java/org/bankturn/routing/RequestProgress.java
+++ b/core/src/main/java/org/bankturn/routing/RequestProgress.java
@@ -131,7 +131,7 @@
     }
 
     /** Engines of other data halls are asked for its sake. */
-    void askElsewhere() {
+    void markRemotePolled() {
         remotePolled = true;
     }
 
