--- a/core/src/main/java/org/bankturn/routing/RequestPolicy.java
+++ b/core/src/main/java/org/bankturn/routing/RequestPolicy.java
@@ -207,7 +207,7 @@
     private Optional<NextStep> awaitPermit(RequestProgress request) {
         long now = clock.millis();
         request.waitForPermitUntil(now + Math.round(request.route().objectiveMillis() * PERMIT_WAIT_SHARE));
-        long most = request.permitWaitEndMillis() - now;
+        long most = request.permitWaitDeadlineMillis() - now;
         if (most <= 0) {
             return Optional.empty();
         }
--- a/core/src/main/java/org/bankturn/routing/RequestProgress.java
+++ b/core/src/main/java/org/bankturn/routing/RequestProgress.java
@@ -25,7 +25,7 @@
     private boolean mayHaveRun;
     private boolean earlierMayHaveRun;
     private String lastEvent;
-    private long permitWaitEndMillis = Long.MAX_VALUE;
+    private long permitWaitDeadlineMillis = Long.MAX_VALUE;
 
     /**
      * Returns the progress of a request that went nowhere yet, not null.
@@ -84,8 +84,8 @@
     }
 
     /** Returns until when it may wait for a permit, Long.MAX_VALUE if it has not begun to. */
-    long permitWaitEndMillis() {
-        return permitWaitEndMillis;
+    long permitWaitDeadlineMillis() {
+        return permitWaitDeadlineMillis;
     }
 
     /** Returns how often it left for a target. */
@@ -122,7 +122,7 @@
 
     /** It begins to wait for a permit, unless it did before. */
     void waitForPermitUntil(long millis) {
-        permitWaitEndMillis = Math.min(permitWaitEndMillis, millis);
+        permitWaitDeadlineMillis = Math.min(permitWaitDeadlineMillis, millis);
     }
 
     /** Engines of the own data hall are asked for its sake. */
