--- a/core/src/main/java/org/bankturn/routing/RequestPolicy.java
+++ b/core/src/main/java/org/bankturn/routing/RequestPolicy.java
@@ -206,7 +206,7 @@
     /** A request that caused a permit to be asked for, and has no other target, waits a moment for it: the next one comes too late. */
     private Optional<NextStep> awaitPermit(RequestProgress request) {
         long now = clock.millis();
-        request.waitForPermitUntil(now + Math.round(request.route().objectiveMillis() * PERMIT_WAIT_SHARE));
+        request.limitPermitWait(now + Math.round(request.route().objectiveMillis() * PERMIT_WAIT_SHARE));
         long most = request.permitWaitDeadlineMillis() - now;
         if (most <= 0) {
             return Optional.empty();
--- a/core/src/main/java/org/bankturn/routing/RequestProgress.java
+++ b/core/src/main/java/org/bankturn/routing/RequestProgress.java
@@ -121,7 +121,7 @@
     }
 
     /** It begins to wait for a permit, unless it did before. */
-    void waitForPermitUntil(long millis) {
+    void limitPermitWait(long millis) {
         permitWaitDeadlineMillis = Math.min(permitWaitDeadlineMillis, millis);
     }
 
