--- a/core/src/main/java/org/bankturn/routing/RequestPolicy.java
+++ b/core/src/main/java/org/bankturn/routing/RequestPolicy.java
@@ -187,7 +187,7 @@
             return withoutTarget(request);
         }
         boolean tooLate = request.sends() == 0 && isTooLate(request, choice.get());
-        if (request.sends() == 0 && !request.hasComeBack()) {
+        if (request.sends() == 0 && !request.isCallerRetry()) {
             firstTries(request.service()).recordDecision(tooLate);
         }
         if (tooLate) {
@@ -286,7 +286,8 @@
         double expected = correction(service).applyTo(choice.predictedMillis());
         double latest =
                 AdmissionPolicy.maxStartDelayMillis(route.objectiveMillis(), route.priority(), mostUrgent(service));
-        return expected > latest * (request.hasComeBack() ? firstTries(service).retryLimitFactor() : 1);
+        return expected
+                > latest * (request.isCallerRetry() ? firstTries(service).retryLimitFactor() : 1);
     }
 
     private FirstAttemptPriority firstTries(Service service) {
--- a/core/src/main/java/org/bankturn/routing/RequestProgress.java
+++ b/core/src/main/java/org/bankturn/routing/RequestProgress.java
@@ -94,7 +94,7 @@
     }
 
     /** Returns true if its caller was refused before and has come back. */
-    public boolean hasComeBack() {
+    public boolean isCallerRetry() {
         return cameBack;
     }
 
