--- a/core/src/main/java/org/bankturn/routing/RequestPolicy.java
+++ b/core/src/main/java/org/bankturn/routing/RequestPolicy.java
@@ -135,7 +135,7 @@
     public void arrived(RequestProgress request) {
         retryBudget(request.service()).requestSeen();
         if (returning.hasComeBack(request.route().name(), request.deadlineMillis() - clock.millis())) {
-            request.cameBack();
+            request.markCallerRetry();
         }
     }
 
--- a/core/src/main/java/org/bankturn/routing/RequestProgress.java
+++ b/core/src/main/java/org/bankturn/routing/RequestProgress.java
@@ -21,7 +21,7 @@
     private boolean localPolled;
     private boolean remotePolled;
     private int failedConnections;
-    private boolean cameBack;
+    private boolean markCallerRetry;
     private boolean mayHaveRun;
     private boolean earlierMayHaveRun;
     private String lastEvent;
@@ -95,7 +95,7 @@
 
     /** Returns true if its caller was refused before and has come back. */
     public boolean isCallerRetry() {
-        return cameBack;
+        return markCallerRetry;
     }
 
     /** Returns how many targets could not be connected to. */
@@ -116,8 +116,8 @@
     // ---- what happens to it
 
     /** Its caller was refused before and has come back. */
-    void cameBack() {
-        cameBack = true;
+    void markCallerRetry() {
+        markCallerRetry = true;
     }
 
     /** It begins to wait for a permit, unless it did before. */
