--- a/core/src/main/java/org/bankturn/routing/RequestPolicy.java
+++ b/core/src/main/java/org/bankturn/routing/RequestPolicy.java
@@ -257,7 +257,7 @@
     }
 
     private NextStep.Send send(RequestProgress request, Candidate choice) {
-        request.chosen(choice.target().sighting().id());
+        request.targetChosen(choice.target().sighting().id());
         return new NextStep.Send(choice, Math.max(0, minVersion(request.service())));
     }
 
--- a/core/src/main/java/org/bankturn/routing/RequestProgress.java
+++ b/core/src/main/java/org/bankturn/routing/RequestProgress.java
@@ -136,7 +136,7 @@
     }
 
     /** A target was chosen for it. */
-    void chosen(String target) {
+    void targetChosen(String target) {
         triedTargets.add(target);
         localPolled = false;
         remotePolled = false;
