--- a/core/src/main/java/org/bankturn/routing/RequestProgress.java
+++ b/core/src/main/java/org/bankturn/routing/RequestProgress.java
@@ -143,7 +143,7 @@
     }
 
     /** The target that was chosen for it must not get it now; nothing left. */
-    public void heldBack(String target) {
+    public void targetHeldBack(String target) {
         triedTargets.remove(target);
     }
 
--- a/daemon/src/main/java/org/bankturn/daemon/gateway/ForwardedRequest.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/ForwardedRequest.java
@@ -333,7 +333,7 @@
     /** The target wanted no request any more once there was a connection to it, so nothing left. */
     void heldBack(TargetSighting target, HoldReason reason) {
         gateway.metrics().heldBack(reason.label());
-        progress.heldBack(target.id());
+        progress.targetHeldBack(target.id());
         sendToNext();
     }
 
