--- a/core/src/main/java/org/bankturn/routing/RequestProgress.java
+++ b/core/src/main/java/org/bankturn/routing/RequestProgress.java
@@ -164,7 +164,7 @@
     }
 
     /** No connection to a target was made, so nothing left. */
-    public void notConnected() {
+    public void connectionFailed() {
         failedConnections++;
     }
 
--- a/daemon/src/main/java/org/bankturn/daemon/gateway/ForwardedRequest.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/ForwardedRequest.java
@@ -339,7 +339,7 @@
 
     /** No connection to the target was made, so nothing left. */
     void notConnected() {
-        progress.notConnected();
+        progress.connectionFailed();
         sendToNext();
     }
 
--- a/standins/src/main/java/org/bankturn/replay/ReplayedGateway.java
+++ b/standins/src/main/java/org/bankturn/replay/ReplayedGateway.java
@@ -290,7 +290,7 @@
             }
             finish();
             choice.target().failed(time.millis());
-            request.progress.notConnected();
+            request.progress.connectionFailed();
             request.sendToNext();
         }
 
