--- a/core/src/main/java/org/bankturn/routing/RequestProgress.java
+++ b/core/src/main/java/org/bankturn/routing/RequestProgress.java
@@ -169,7 +169,7 @@
     }
 
     /** The caller has one more whole event; one without an id leaves the last one as it was. */
-    public void passed(String eventId) {
+    public void eventForwarded(String eventId) {
         lastEvent = eventId != null ? eventId : lastEvent;
     }
 
--- a/daemon/src/main/java/org/bankturn/daemon/gateway/ForwardedRequest.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/ForwardedRequest.java
@@ -312,7 +312,7 @@
 
     /** The caller has one more whole event. */
     void passed(String eventId) {
-        progress.passed(eventId);
+        progress.eventForwarded(eventId);
     }
 
     /** The request is about to leave for a target. */
--- a/standins/src/main/java/org/bankturn/replay/ReplayedGateway.java
+++ b/standins/src/main/java/org/bankturn/replay/ReplayedGateway.java
@@ -323,7 +323,7 @@
                 choice.target().began(choice.predictedMillis(), took);
             }
             request.tokensPassed += tokens;
-            request.progress.passed("e");
+            request.progress.eventForwarded("e");
             request.call.event();
         }
 
