--- a/core/src/main/java/org/bankturn/routing/RequestPolicy.java
+++ b/core/src/main/java/org/bankturn/routing/RequestPolicy.java
@@ -124,7 +124,7 @@
      */
     public long silenceTimeoutMillis(RequestProgress request, Candidate choice, long heardMillis) {
         boolean atWork = choice.target().isAtWork(clock.millis(), heardMillis);
-        return request.lastEvent() == null
+        return request.lastEventId() == null
                 ? SilenceTimeout.beforeFirstMillis(request.route().objectiveMillis(), choice.predictedMillis(), atWork)
                 : SilenceTimeout.withinStreamMillis(atWork);
     }
--- a/core/src/main/java/org/bankturn/routing/RequestProgress.java
+++ b/core/src/main/java/org/bankturn/routing/RequestProgress.java
@@ -24,7 +24,7 @@
     private boolean markCallerRetry;
     private boolean mayHaveRun;
     private boolean earlierMayHaveRun;
-    private String lastEvent;
+    private String lastEventId;
     private long permitWaitDeadlineMillis = Long.MAX_VALUE;
 
     /**
@@ -109,8 +109,8 @@
     }
 
     /** Returns the id of the last event that the caller has whole, null if there is none. */
-    public String lastEvent() {
-        return lastEvent;
+    public String lastEventId() {
+        return lastEventId;
     }
 
     // ---- what happens to it
@@ -170,7 +170,7 @@
 
     /** The caller has one more whole event; one without an id leaves the last one as it was. */
     public void eventForwarded(String eventId) {
-        lastEvent = eventId != null ? eventId : lastEvent;
+        lastEventId = eventId != null ? eventId : lastEventId;
     }
 
     @Override
--- a/daemon/src/main/java/org/bankturn/daemon/gateway/ForwardedRequest.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/ForwardedRequest.java
@@ -140,7 +140,7 @@
     /** Sends the request to another target, if one may still have it. */
     void retry(String reason) {
         gateway.log()
-                .line(progress.lastEvent() == null ? DecisionKind.RETRIED : DecisionKind.RESUMED)
+                .line(progress.lastEventId() == null ? DecisionKind.RETRIED : DecisionKind.RESUMED)
                 .with(DecisionField.REQUEST, terms.id())
                 .with(DecisionField.REASON, reason)
                 .with(DecisionField.SENDS, progress.sends())
@@ -307,7 +307,7 @@
 
     /** Returns the id of the last event that the caller has whole, null if there is none. */
     String lastEvent() {
-        return progress.lastEvent();
+        return progress.lastEventId();
     }
 
     /** The caller has one more whole event. */
