--- a/core/src/main/java/org/bankturn/routing/RequestPolicy.java
+++ b/core/src/main/java/org/bankturn/routing/RequestPolicy.java
@@ -30,7 +30,7 @@
     private static final double PERMIT_WAIT_SHARE = 0.125;
 
     /** What a request earns of the share that is allowed; the rest is for what budgets keep. */
-    private static final double RETRY_SHARE_EARNED = 1 / (1 + RetryBudget.KEPT_SHARE);
+    private static final double RETRY_SHARE_EARNED = 1 / (1 + RetryBudget.CARRY_OVER_SHARE);
 
     /** Until a gateway sees itself among the others it has no part of what they share. */
     private static final int UNKNOWN_GATEWAYS = Integer.MAX_VALUE;
--- a/core/src/main/java/org/bankturn/routing/RetryBudget.java
+++ b/core/src/main/java/org/bankturn/routing/RetryBudget.java
@@ -18,7 +18,7 @@
  */
 public final class RetryBudget {
     /** What may be kept besides the allowance, as a share of what the requests of a window earn. */
-    public static final double KEPT_SHARE = 0.25;
+    public static final double CARRY_OVER_SHARE = 0.25;
 
     /** The part of the allowance that may be kept; the rest is earned with time. */
     private static final double ALLOWANCE_KEPT = 0.5;
@@ -109,7 +109,7 @@
         double withTime = (1 - ALLOWANCE_KEPT) * allowance * Math.max(0, now - countedMillis) / windowMillis;
         countedMillis = now;
         // a part of a retry may always be kept, or the smallest budgets would never have a whole one
-        double kept = Math.max(1, ALLOWANCE_KEPT * allowance + KEPT_SHARE * share * requestsOfWindow());
+        double kept = Math.max(1, ALLOWANCE_KEPT * allowance + CARRY_OVER_SHARE * share * requestsOfWindow());
         earned = Math.min(kept, earned + withTime + more);
     }
 
--- a/core/src/test/java/org/bankturn/routing/RetryBudgetTest.java
+++ b/core/src/test/java/org/bankturn/routing/RetryBudgetTest.java
@@ -54,7 +54,7 @@
     @Test
     void in_no_window_there_are_more_retries_than_its_requests_and_those_just_before_allow() {
         UniformRandomProvider random = RandomSource.XO_RO_SHI_RO_128_PP.create(7);
-        double earned = ALLOWED_SHARE / (1 + RetryBudget.KEPT_SHARE);
+        double earned = ALLOWED_SHARE / (1 + RetryBudget.CARRY_OVER_SHARE);
         RetryBudget budget = RetryBudget.of(earned, 2, WINDOW_MILLIS, clock);
         List<Long> requests = new ArrayList<>();
         List<Long> retries = new ArrayList<>();
