--- a/core/src/main/java/org/bankturn/routing/RequestPolicy.java
+++ b/core/src/main/java/org/bankturn/routing/RequestPolicy.java
@@ -96,7 +96,7 @@
         }
         if (gateways == UNKNOWN_GATEWAYS || there > gateways) {
             gateways = there;
-            retryBudgets.values().forEach(budget -> budget.allow(allowance()));
+            retryBudgets.values().forEach(budget -> budget.setAllowance(allowance()));
         }
     }
 
--- a/core/src/main/java/org/bankturn/routing/RetryBudget.java
+++ b/core/src/main/java/org/bankturn/routing/RetryBudget.java
@@ -75,7 +75,7 @@
     }
 
     /** Changes what is allowed on top of the share, when processes come that have a part of it. */
-    public synchronized void allow(int newAllowance) {
+    public synchronized void setAllowance(int newAllowance) {
         if (newAllowance < 0) {
             throw new IllegalArgumentException("allowance must be 0 or more: " + newAllowance);
         }
