--- a/core/src/main/java/org/bankturn/routing/RetryBudget.java
+++ b/core/src/main/java/org/bankturn/routing/RetryBudget.java
@@ -84,7 +84,7 @@
     }
 
     /** Counts a request, which earns a part of a retry. */
-    public synchronized void requestSeen() {
+    public synchronized void recordRequest() {
         current().requests++;
         earn(share);
     }
--- a/core/src/test/java/org/bankturn/routing/RetryBudgetTest.java
+++ b/core/src/test/java/org/bankturn/routing/RetryBudgetTest.java
@@ -60,7 +60,7 @@
         List<Long> retries = new ArrayList<>();
         for (int step = 0; step < 20_000; step++) {
             clock.advance(random.nextInt(10));
-            budget.requestSeen();
+            budget.recordRequest();
             requests.add(clock.millis());
             if (step / 500 % 3 == 0 && budget.tryRetry()) {
                 retries.add(clock.millis());
@@ -89,7 +89,7 @@
     private void requests(RetryBudget budget, int count, long gapMillis) {
         for (int request = 0; request < count; request++) {
             clock.advance(gapMillis);
-            budget.requestSeen();
+            budget.recordRequest();
         }
     }
 
--- a/core/src/test/java/org/bankturn/routing/RoutingTest.java
+++ b/core/src/test/java/org/bankturn/routing/RoutingTest.java
@@ -22,18 +22,18 @@
 class RoutingTest {
     private static final String MANIFEST = "a".repeat(64);
     private static final String FILE = """
-            name: all
-            number: 1
-            dataHalls: [{name: here, region: r}, {name: there, region: r}, {name: abroad, region: s}]
-            models:
-              - {name: m, dataHalls: [here, there], version: v, policy: origin-bytes, entersServiceAt: 1}
-            versions: [{model: m, name: v, manifest: %s, origin: '10.0.0.9:1'}]
-            services: [{name: chat, model: m, requestsAtOnce: 2}, {name: plain, requestsAtOnce: 2}]
-            clientAccounts:
-              - {name: wide, weight: 1, dataHalls: [here, there, abroad]}
-              - {name: narrow, weight: 1, dataHalls: [here]}
-            boxes:
-            """.formatted(MANIFEST);
+        name: all
+        number: 1
+        dataHalls: [{name: here, region: r}, {name: there, region: r}, {name: abroad, region: s}]
+        models:
+          - {name: m, dataHalls: [here, there], version: v, policy: origin-bytes, entersServiceAt: 1}
+        versions: [{model: m, name: v, manifest: %s, origin: '10.0.0.9:1'}]
+        services: [{name: chat, model: m, requestsAtOnce: 2}, {name: plain, requestsAtOnce: 2}]
+        clientAccounts:
+          - {name: wide, weight: 1, dataHalls: [here, there, abroad]}
+          - {name: narrow, weight: 1, dataHalls: [here]}
+        boxes:
+        """.formatted(MANIFEST);
 
     private final ManualClock clock = ManualClock.startingAt(1_000);
     private final TargetView view = TargetView.using(clock);
@@ -128,7 +128,7 @@
         RetryBudget budget = RetryBudget.of(0.1, 5, 10_000, clock);
         int retries = 0;
         for (int request = 0; request < 1_000; request++) {
-            budget.requestSeen();
+            budget.recordRequest();
             retries += budget.tryRetry() ? 1 : 0;
         }
         assertThat(retries).isBetween(95, 105);
--- a/daemon/src/main/java/org/bankturn/daemon/entry/EntryServlet.java
+++ b/daemon/src/main/java/org/bankturn/daemon/entry/EntryServlet.java
@@ -112,7 +112,7 @@
         if (decision instanceof AdmissionDecision.Refused refused) {
             throw new RefusedException(refused.code(), "", refused.retryAfterMillis());
         }
-        state.retryBudget().requestSeen();
+        state.retryBudget().recordRequest();
         Passage passage = new Passage(request, state.telemetry().startHop("entry", traceparent));
         return request.hasKey() ? claimThenRun(passage) : run(passage);
     }
