--- a/core/src/main/java/org/bankturn/routing/CallerRetryDetector.java
+++ b/core/src/main/java/org/bankturn/routing/CallerRetryDetector.java
@@ -42,7 +42,7 @@
     }
 
     /** Takes in a request that has just come, and returns true if its caller has come back. */
-    boolean hasComeBack(String route, long patienceMillis) {
+    boolean isRetry(String route, long patienceMillis) {
         Longest known = longest.getOrDefault(route, new Longest(clock.millis(), 0, 0));
         Longest newer = known.with(clock.millis(), patienceMillis);
         longest.put(route, newer);
--- a/core/src/main/java/org/bankturn/routing/RequestPolicy.java
+++ b/core/src/main/java/org/bankturn/routing/RequestPolicy.java
@@ -134,7 +134,7 @@
     /** Takes in a new request, which earns a part of a retry. */
     public void arrived(RequestProgress request) {
         retryBudget(request.service()).recordRequest();
-        if (returning.hasComeBack(request.route().name(), request.deadlineMillis() - clock.millis())) {
+        if (returning.isRetry(request.route().name(), request.deadlineMillis() - clock.millis())) {
             request.markCallerRetry();
         }
     }
