--- a/core/src/main/java/org/bankturn/routing/RequestPolicy.java
+++ b/core/src/main/java/org/bankturn/routing/RequestPolicy.java
@@ -125,7 +125,8 @@
     public long silenceTimeoutMillis(RequestProgress request, Candidate choice, long heardMillis) {
         boolean atWork = choice.target().isAtWork(clock.millis(), heardMillis);
         return request.lastEventId() == null
-                ? SilenceTimeout.beforeFirstMillis(request.route().objectiveMillis(), choice.predictedMillis(), atWork)
+                ? SilenceTimeout.beforeFirstEventMillis(
+                        request.route().objectiveMillis(), choice.predictedMillis(), atWork)
                 : SilenceTimeout.withinStreamMillis(atWork);
     }
 
--- a/core/src/main/java/org/bankturn/routing/SilenceTimeout.java
+++ b/core/src/main/java/org/bankturn/routing/SilenceTimeout.java
@@ -34,7 +34,7 @@
      * @param predictedMillis when it was predicted to come
      * @param othersAnswered true if the target answered other requests of late
      */
-    public static long beforeFirstMillis(long objectiveMillis, double predictedMillis, boolean othersAnswered) {
+    public static long beforeFirstEventMillis(long objectiveMillis, double predictedMillis, boolean othersAnswered) {
         double bound = Math.max(LEAST_MILLIS, Math.max(objectiveMillis * OBJECTIVES, predictedMillis * PREDICTIONS));
         return Math.round(bound * (othersAnswered ? WHILE_OTHERS_ARE_ANSWERED : 1));
     }
--- a/core/src/test/java/org/bankturn/routing/RequestPolicyTest.java
+++ b/core/src/test/java/org/bankturn/routing/RequestPolicyTest.java
@@ -230,9 +230,9 @@
 
     @Test
     void a_target_that_answers_others_is_given_longer() {
-        long alone = SilenceTimeout.beforeFirstMillis(600, 200, false);
-        assertThat(SilenceTimeout.beforeFirstMillis(600, 200, true)).isGreaterThan(alone);
-        assertThat(SilenceTimeout.beforeFirstMillis(600, 2_000, false)).isEqualTo(4_000);
+        long alone = SilenceTimeout.beforeFirstEventMillis(600, 200, false);
+        assertThat(SilenceTimeout.beforeFirstEventMillis(600, 200, true)).isGreaterThan(alone);
+        assertThat(SilenceTimeout.beforeFirstEventMillis(600, 2_000, false)).isEqualTo(4_000);
         assertThat(SilenceTimeout.withinStreamMillis(true)).isGreaterThan(SilenceTimeout.withinStreamMillis(false));
     }
 
--- a/core/src/test/java/org/bankturn/routing/SilenceReplay.java
+++ b/core/src/test/java/org/bankturn/routing/SilenceReplay.java
@@ -148,7 +148,7 @@
 
     private static long bound(Request request) {
         return request.words == 0
-                ? SilenceTimeout.beforeFirstMillis(OBJECTIVE_MILLIS, BETWEEN_WORDS_MILLIS, false)
+                ? SilenceTimeout.beforeFirstEventMillis(OBJECTIVE_MILLIS, BETWEEN_WORDS_MILLIS, false)
                 : SilenceTimeout.withinStreamMillis(false);
     }
 
