--- a/core/src/main/java/org/bankturn/routing/RequestPolicy.java
+++ b/core/src/main/java/org/bankturn/routing/RequestPolicy.java
@@ -127,7 +127,7 @@
         return request.lastEventId() == null
                 ? SilenceTimeout.beforeFirstEventMillis(
                         request.route().objectiveMillis(), choice.predictedMillis(), atWork)
-                : SilenceTimeout.withinStreamMillis(atWork);
+                : SilenceTimeout.betweenEventsMillis(atWork);
     }
 
     // ---- decisions
--- a/core/src/main/java/org/bankturn/routing/SilenceTimeout.java
+++ b/core/src/main/java/org/bankturn/routing/SilenceTimeout.java
@@ -40,7 +40,7 @@
     }
 
     /** Returns the bound once events have come. */
-    public static long withinStreamMillis(boolean othersAnswered) {
+    public static long betweenEventsMillis(boolean othersAnswered) {
         return Math.round(WITHIN_STREAM_MILLIS * (othersAnswered ? WHILE_OTHERS_ARE_ANSWERED : 1));
     }
 }
--- a/core/src/test/java/org/bankturn/routing/RequestPolicyTest.java
+++ b/core/src/test/java/org/bankturn/routing/RequestPolicyTest.java
@@ -233,7 +233,7 @@
         long alone = SilenceTimeout.beforeFirstEventMillis(600, 200, false);
         assertThat(SilenceTimeout.beforeFirstEventMillis(600, 200, true)).isGreaterThan(alone);
         assertThat(SilenceTimeout.beforeFirstEventMillis(600, 2_000, false)).isEqualTo(4_000);
-        assertThat(SilenceTimeout.withinStreamMillis(true)).isGreaterThan(SilenceTimeout.withinStreamMillis(false));
+        assertThat(SilenceTimeout.betweenEventsMillis(true)).isGreaterThan(SilenceTimeout.betweenEventsMillis(false));
     }
 
     private void halfFull(String id) {
--- a/core/src/test/java/org/bankturn/routing/SilenceReplay.java
+++ b/core/src/test/java/org/bankturn/routing/SilenceReplay.java
@@ -149,7 +149,7 @@
     private static long bound(Request request) {
         return request.words == 0
                 ? SilenceTimeout.beforeFirstEventMillis(OBJECTIVE_MILLIS, BETWEEN_WORDS_MILLIS, false)
-                : SilenceTimeout.withinStreamMillis(false);
+                : SilenceTimeout.betweenEventsMillis(false);
     }
 
     private void word(Request request) {
