--- a/core/src/main/java/org/bankturn/routing/ShutdownSchedule.java
+++ b/core/src/main/java/org/bankturn/routing/ShutdownSchedule.java
@@ -18,7 +18,7 @@
     private ShutdownSchedule() {}
 
     /** Returns true once no new callers are sent here any more. */
-    public static boolean isNoticed(long sinceStopMillis) {
+    public static boolean isTrafficDrained(long sinceStopMillis) {
         return sinceStopMillis >= NOTICED_MILLIS;
     }
 
--- a/daemon/src/main/java/org/bankturn/daemon/gateway/Gateway.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/Gateway.java
@@ -211,7 +211,7 @@
 
     private void checkStopped(long since, SettablePromise<Void> stopped) {
         long waited = clock.millis() - since;
-        boolean noticed = ShutdownSchedule.isNoticed(waited);
+        boolean noticed = ShutdownSchedule.isTrafficDrained(waited);
         if (noticed) {
             takenOut = true;
             callers.closeResting();
