--- a/core/src/main/java/org/bankturn/routing/ShutdownSchedule.java
+++ b/core/src/main/java/org/bankturn/routing/ShutdownSchedule.java
@@ -23,7 +23,7 @@
     }
 
     /** Returns true once the process must end, whatever is still under way. */
-    public static boolean isOver(long sinceStopMillis, long allowedMillis) {
+    public static boolean mustExit(long sinceStopMillis, long allowedMillis) {
         return sinceStopMillis >= allowedMillis - MARGIN_MILLIS;
     }
 }
--- a/daemon/src/main/java/org/bankturn/daemon/gateway/Gateway.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/Gateway.java
@@ -217,7 +217,7 @@
             callers.closeResting();
         }
         boolean done = noticed && callers.underWay() == 0;
-        if (done || ShutdownSchedule.isOver(waited, settings.stopMillis())) {
+        if (done || ShutdownSchedule.mustExit(waited, settings.stopMillis())) {
             log.line(DecisionKind.STOP)
                     .with(DecisionField.WAITED_MS, waited)
                     .with(DecisionField.UNDER_WAY, callers.underWay())
