--- a/core/src/main/java/org/bankturn/routing/TargetLoad.java
+++ b/core/src/main/java/org/bankturn/routing/TargetLoad.java
@@ -18,7 +18,7 @@
     private final AtomicLong latencyMicros = new AtomicLong(FIRST_GUESS_MICROS);
 
     /** Counts a request as begun. */
-    public void begun() {
+    public void requestStarted() {
         inFlight.incrementAndGet();
     }
 
--- a/daemon/src/main/java/org/bankturn/daemon/entry/Dispatcher.java
+++ b/daemon/src/main/java/org/bankturn/daemon/entry/Dispatcher.java
@@ -84,7 +84,7 @@
 
     private Promise<AttemptOutcome<Begun>> send(Attempt attempt, Box box) {
         TargetLoad load = state.loadOf(box.name());
-        load.begun();
+        load.requestStarted();
         long startNanos = System.nanoTime();
         long remaining =
                 Math.max(1, attempt.request().dueMillis() - state.clock().millis());
