--- a/core/src/main/java/org/bankturn/routing/TargetLoad.java
+++ b/core/src/main/java/org/bankturn/routing/TargetLoad.java
@@ -23,7 +23,7 @@
     }
 
     /** Counts a request as ended. */
-    public void ended() {
+    public void requestEnded() {
         inFlight.decrementAndGet();
     }
 
--- a/daemon/src/main/java/org/bankturn/daemon/entry/Dispatcher.java
+++ b/daemon/src/main/java/org/bankturn/daemon/entry/Dispatcher.java
@@ -91,7 +91,7 @@
         BackendClient.Exchange exchange = client.send(requestTo(box, attempt));
         return Promises.timeout(remaining, exchange.response())
                 .map(response -> began(box, response, load, startNanos), failure -> {
-                    load.ended();
+                    load.requestEnded();
                     state.targets().failed(box.name());
                     return exchange.witness().neverConnected()
                             ? new AttemptOutcome.NotRun<Begun>(NotRunProof.neverConnected())
@@ -102,7 +102,7 @@
     private AttemptOutcome<Begun> began(Box box, HttpResponse response, TargetLoad load, long startNanos) {
         Optional<ResultCode> rejected = rejection(response);
         if (rejected.isPresent()) {
-            load.ended();
+            load.requestEnded();
             if (rejected.get() == ResultCode.NOT_RUN_LEAVING) {
                 state.targets().refusedAsLeaving(box.name());
             }
--- a/daemon/src/main/java/org/bankturn/daemon/entry/EntryServlet.java
+++ b/daemon/src/main/java/org/bankturn/daemon/entry/EntryServlet.java
@@ -148,7 +148,7 @@
         ChannelSupplier<ByteBuf> body = begun.response()
                 .takeBodyStream()
                 .withEndOfStream(end -> end.whenComplete((nothing, failure) -> {
-                    begun.load().ended();
+                    begun.load().requestEnded();
                     ResultCode code = failure == null ? ResultCode.REQUEST_ANSWERED : ResultCode.OUTCOME_UNKNOWN;
                     passage.end(code.number());
                 }));
@@ -223,7 +223,7 @@
         noteFirstByte(passage);
         HttpResponse response = begun.response();
         return response.loadBody(MAXIMUM_KEYED_ANSWER_BYTES)
-                .whenComplete(begun.load()::ended)
+                .whenComplete(begun.load()::requestEnded)
                 .then(
                         body -> {
                             RecordedAnswer answer = new RecordedAnswer(
