--- a/core/src/main/java/org/bankturn/routing/TargetLoad.java
+++ b/core/src/main/java/org/bankturn/routing/TargetLoad.java
@@ -32,7 +32,7 @@
      *
      * @param micros the time in microseconds
      */
-    public void observed(long micros) {
+    public void recordLatency(long micros) {
         latencyMicros.updateAndGet(old -> micros > old ? micros : old - (old - micros) / FALL_DIVISOR);
     }
 
--- a/daemon/src/main/java/org/bankturn/daemon/entry/Dispatcher.java
+++ b/daemon/src/main/java/org/bankturn/daemon/entry/Dispatcher.java
@@ -110,7 +110,7 @@
                     ? new AttemptOutcome.NotRun<>(NotRunProof.rejectedByTargetProcess(rejected.get()))
                     : new AttemptOutcome.Unknown<>(rejected.get().description());
         }
-        load.observed((System.nanoTime() - startNanos) / NANOS_PER_MICRO);
+        load.recordLatency((System.nanoTime() - startNanos) / NANOS_PER_MICRO);
         return new AttemptOutcome.Answered<>(new Begun(box, response, load));
     }
 
