--- a/core/src/main/java/org/bankturn/routing/TargetState.java
+++ b/core/src/main/java/org/bankturn/routing/TargetState.java
@@ -42,7 +42,7 @@
 
     private TargetSighting sighting;
     private int inFlight;
-    private long unreadTokens;
+    private long pendingPromptTokens;
     private int seenVersion;
     private int failuresInARow;
     private long avoidedUntilMillis;
@@ -75,8 +75,8 @@
     }
 
     /** Returns the prompt tokens of the gateway's own requests that are not read yet. */
-    public long unreadTokens() {
-        return unreadTokens;
+    public long pendingPromptTokens() {
+        return pendingPromptTokens;
     }
 
     /** Returns how much longer its first events take than predicted, smoothed; 1 is as predicted. */
@@ -244,12 +244,12 @@
     public void begin(int promptTokens, long nowMillis) {
         inFlight++;
         sentMillis.addLast(nowMillis);
-        unreadTokens += promptTokens;
+        pendingPromptTokens += promptTokens;
     }
 
     /** The engine has read a request's prompt, or never will. */
     public void promptRead(int promptTokens) {
-        unreadTokens -= promptTokens;
+        pendingPromptTokens -= promptTokens;
     }
 
     /**
--- a/core/src/main/java/org/bankturn/routing/TargetTable.java
+++ b/core/src/main/java/org/bankturn/routing/TargetTable.java
@@ -366,7 +366,8 @@
         EngineLoad load = state.load(now);
         int sentSince = load == null ? state.inFlight() : state.sentSinceLoad() - state.endedSinceLoad();
         EngineLoad assumed = load == null ? EngineLoad.NONE : load;
-        return FirstEventEstimate.of(engine).millis(assumed, sentSince, state.unreadTokens(), wanted.promptTokens())
+        return FirstEventEstimate.of(engine)
+                        .millis(assumed, sentSince, state.pendingPromptTokens(), wanted.promptTokens())
                 * Math.max(1, state.lateness());
     }
 }
