--- a/core/src/main/java/org/bankturn/routing/TargetState.java
+++ b/core/src/main/java/org/bankturn/routing/TargetState.java
@@ -46,7 +46,7 @@
     private int seenVersion;
     private int failuresInARow;
     private long avoidedUntilMillis;
-    private double lateness = 1.0;
+    private double latencyRatio = 1.0;
     private EngineLoad load;
     private long loadMillis;
     private long breaksOffMillis = Long.MIN_VALUE / 2;
@@ -80,8 +80,8 @@
     }
 
     /** Returns how much longer its first events take than predicted, smoothed; 1 is as predicted. */
-    public double lateness() {
-        return lateness;
+    public double latencyRatio() {
+        return latencyRatio;
     }
 
     /** Returns the newest version of the weights that it is known to hold. */
@@ -323,7 +323,7 @@
     private void succeeded(double tookAgainstPredicted) {
         failuresInARow = 0;
         avoidedUntilMillis = 0;
-        lateness += SMOOTHING * (Math.min(MOST_LATENESS, tookAgainstPredicted) - lateness);
+        latencyRatio += SMOOTHING * (Math.min(MOST_LATENESS, tookAgainstPredicted) - latencyRatio);
     }
 
     /** Avoids the target for a while that doubles with each failure in a row, and returns how long. */
--- a/core/src/main/java/org/bankturn/routing/TargetTable.java
+++ b/core/src/main/java/org/bankturn/routing/TargetTable.java
@@ -361,13 +361,13 @@
     private static double predictedMillis(TargetState state, Requirements wanted, long now) {
         EngineModel engine = wanted.service().engine();
         if (engine == null) {
-            return (state.inFlight() + 1) * PLAIN_MILLIS * state.lateness();
+            return (state.inFlight() + 1) * PLAIN_MILLIS * state.latencyRatio();
         }
         EngineLoad load = state.load(now);
         int sentSince = load == null ? state.inFlight() : state.sentSinceLoad() - state.endedSinceLoad();
         EngineLoad assumed = load == null ? EngineLoad.NONE : load;
         return FirstEventEstimate.of(engine)
                         .millis(assumed, sentSince, state.pendingPromptTokens(), wanted.promptTokens())
-                * Math.max(1, state.lateness());
+                * Math.max(1, state.latencyRatio());
     }
 }
