--- a/core/src/main/java/org/bankturn/routing/TargetState.java
+++ b/core/src/main/java/org/bankturn/routing/TargetState.java
@@ -95,7 +95,7 @@
     }
 
     /** Returns true if the engine said lately that it takes nothing new. */
-    public boolean isChanging(long nowMillis) {
+    public boolean isChangingWeights(long nowMillis) {
         EngineLoad lately = load(nowMillis);
         return lately != null && lately.changing();
     }
--- a/core/src/main/java/org/bankturn/routing/TargetTable.java
+++ b/core/src/main/java/org/bankturn/routing/TargetTable.java
@@ -310,7 +310,7 @@
             return;
         }
         boolean usual = wanted.service().engine() == null || isWatched(state);
-        if (state.isAvoided(now) || state.isChanging(now)) {
+        if (state.isAvoided(now) || state.isChangingWeights(now)) {
             candidates.avoided.add(choice);
         } else if (!usual) {
             candidates.unwatched.add(choice);
