--- a/core/src/main/java/org/bankturn/routing/TargetState.java
+++ b/core/src/main/java/org/bankturn/routing/TargetState.java
@@ -101,7 +101,7 @@
     }
 
     /** Returns how long until the engine breaks off what it runs, 0 or less if it did or is not known to. */
-    public long untilBreakOffMillis(long nowMillis) {
+    public long untilInterruptionMillis(long nowMillis) {
         return breaksOffMillis - nowMillis;
     }
 
--- a/core/src/main/java/org/bankturn/routing/TargetTable.java
+++ b/core/src/main/java/org/bankturn/routing/TargetTable.java
@@ -326,7 +326,7 @@
         if (engine == null || !settings.avoidsInterruptions()) {
             return 0;
         }
-        return InterruptionCost.millis(engine, state.untilBreakOffMillis(now), predicted, wanted.objectiveMillis());
+        return InterruptionCost.millis(engine, state.untilInterruptionMillis(now), predicted, wanted.objectiveMillis());
     }
 
     /** Returns by how much the path may have become slower since it was last used, at most. */
