--- a/core/src/main/java/org/bankturn/routing/TargetState.java
+++ b/core/src/main/java/org/bankturn/routing/TargetState.java
@@ -50,7 +50,7 @@
     private EngineLoad load;
     private long loadMillis;
     private long breaksOffMillis = Long.MIN_VALUE / 2;
-    private long pathMillis;
+    private long roundTripMillis;
     private final ReceiveTimes words = ReceiveTimes.remembering(AT_WORK_MILLIS);
     private long heardOfLoadMillis = Long.MIN_VALUE / 2;
     private final Deque<Long> sentMillis = new ArrayDeque<>();
@@ -106,8 +106,8 @@
     }
 
     /** Returns how long the way there and back took last. */
-    public long pathMillis() {
-        return pathMillis;
+    public long roundTripMillis() {
+        return roundTripMillis;
     }
 
     /** Returns the gateway's own requests that were sent since the engine last told its load. */
@@ -297,7 +297,7 @@
 
     /** Takes in how long the process beside the engine took to answer. */
     void pathTook(long millis) {
-        pathMillis = millis;
+        roundTripMillis = millis;
     }
 
     /**
--- a/core/src/main/java/org/bankturn/routing/TargetTable.java
+++ b/core/src/main/java/org/bankturn/routing/TargetTable.java
@@ -302,7 +302,8 @@
         }
         // counted one by one, questions that no engine answers would have most requests refused
         long way = Math.max(
-                state.pathMillis(), openQuestions.penaltyMillis(state.sighting().id()));
+                state.roundTripMillis(),
+                openQuestions.penaltyMillis(state.sighting().id()));
         double predicted = predictedMillis(state, wanted, now) + way;
         Candidate choice = new Candidate(state, predicted, way, breakOffMillis(state, wanted, now, predicted));
         double unknownMillis = sends ? unknownPathMillis(state, wanted, now) : 0;
