--- a/core/src/main/java/org/bankturn/routing/CandidateSelector.java
+++ b/core/src/main/java/org/bankturn/routing/CandidateSelector.java
@@ -74,7 +74,7 @@
     private List<Candidate> freshOf(List<Candidate> choices) {
         long now = clock.millis();
         List<Candidate> fresh = new ArrayList<>(choices);
-        fresh.removeIf(choice -> choice.target().newsMillis(now) > settings.maxFreshAgeMillis());
+        fresh.removeIf(choice -> choice.target().loadAgeMillis(now) > settings.maxFreshAgeMillis());
         return settings.polledBeforePlacement() == 0 || fresh.isEmpty() ? choices : fresh;
     }
 
--- a/core/src/main/java/org/bankturn/routing/TargetState.java
+++ b/core/src/main/java/org/bankturn/routing/TargetState.java
@@ -121,7 +121,7 @@
     }
 
     /** Returns how old the news of the engine's load is. */
-    public long newsMillis(long nowMillis) {
+    public long loadAgeMillis(long nowMillis) {
         return load == null ? Long.MAX_VALUE : nowMillis - loadMillis;
     }
 
--- a/core/src/main/java/org/bankturn/routing/TargetTable.java
+++ b/core/src/main/java/org/bankturn/routing/TargetTable.java
@@ -195,10 +195,10 @@
         Candidates candidates = candidates(wanted, now, false);
         List<Candidate> pool = elsewhere ? candidates.remote : candidates.local;
         int fresh = (int) pool.stream()
-                .filter(choice -> choice.target().newsMillis(now) <= settings.maxFreshAgeMillis())
+                .filter(choice -> choice.target().loadAgeMillis(now) <= settings.maxFreshAgeMillis())
                 .count();
         List<Candidate> stale = new ArrayList<>(pool);
-        stale.removeIf(choice -> choice.target().newsMillis(now) <= settings.maxFreshAgeMillis());
+        stale.removeIf(choice -> choice.target().loadAgeMillis(now) <= settings.maxFreshAgeMillis());
         comparison.sampleToFront(stale, settings.polledBeforePlacement() - fresh);
         return stale.stream()
                 .limit(Math.max(0, settings.polledBeforePlacement() - fresh))
@@ -333,7 +333,7 @@
     /** Returns by how much the path may have become slower since it was last used, at most. */
     private static double unknownPathMillis(TargetState state, Requirements wanted, long now) {
         boolean hasNews = wanted.service().engine() != null;
-        return hasNews ? Math.min(MOST_PATH_MILLIS, state.newsMillis(now)) : 0;
+        return hasNews ? Math.min(MOST_PATH_MILLIS, state.loadAgeMillis(now)) : 0;
     }
 
     /** Returns true if the target is in the own data hall and a request begins comfortably in time there. */
