--- a/core/src/main/java/org/bankturn/routing/TargetState.java
+++ b/core/src/main/java/org/bankturn/routing/TargetState.java
@@ -44,7 +44,7 @@
     private int inFlight;
     private long pendingPromptTokens;
     private int seenVersion;
-    private int failuresInARow;
+    private int consecutiveFailures;
     private long avoidedUntilMillis;
     private double latencyRatio = 1.0;
     private EngineLoad load;
@@ -126,8 +126,8 @@
     }
 
     /** Returns the failures since the last success. */
-    public int failuresInARow() {
-        return failuresInARow;
+    public int consecutiveFailures() {
+        return consecutiveFailures;
     }
 
     /** Returns true if the target should get nothing now, because it failed or was full. */
@@ -321,15 +321,16 @@
     }
 
     private void succeeded(double tookAgainstPredicted) {
-        failuresInARow = 0;
+        consecutiveFailures = 0;
         avoidedUntilMillis = 0;
         latencyRatio += SMOOTHING * (Math.min(MOST_LATENESS, tookAgainstPredicted) - latencyRatio);
     }
 
     /** Avoids the target for a while that doubles with each failure in a row, and returns how long. */
     public long failed(long nowMillis) {
-        failuresInARow++;
-        long avoidance = Math.min(MOST_AVOIDANCE_MILLIS, FIRST_AVOIDANCE_MILLIS << Math.min(4, failuresInARow - 1));
+        consecutiveFailures++;
+        long avoidance =
+                Math.min(MOST_AVOIDANCE_MILLIS, FIRST_AVOIDANCE_MILLIS << Math.min(4, consecutiveFailures - 1));
         avoidedUntilMillis = nowMillis + avoidance;
         return avoidance;
     }
--- a/daemon/src/main/java/org/bankturn/daemon/gateway/Attempt.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/Attempt.java
@@ -273,7 +273,7 @@
                 .with(DecisionField.REQUEST, terms.id())
                 .with(DecisionField.FINGERPRINT, request.fingerprint())
                 .with(DecisionField.REASON, reason)
-                .with(DecisionField.FAILURES, target.failuresInARow())
+                .with(DecisionField.FAILURES, target.consecutiveFailures())
                 .with(DecisionField.AVOIDED_MS, avoidedMillis)
                 .write();
     }
