--- a/core/src/main/java/org/bankturn/routing/RequestPolicy.java
+++ b/core/src/main/java/org/bankturn/routing/RequestPolicy.java
@@ -123,7 +123,7 @@
      * @param heardMillis when the request was sent, or something came for it last
      */
     public long silenceTimeoutMillis(RequestProgress request, Candidate choice, long heardMillis) {
-        boolean atWork = choice.target().isAtWork(clock.millis(), heardMillis);
+        boolean atWork = choice.target().hasRecentActivity(clock.millis(), heardMillis);
         return request.lastEventId() == null
                 ? SilenceTimeout.beforeFirstEventMillis(
                         request.route().objectiveMillis(), choice.predictedMillis(), atWork)
--- a/core/src/main/java/org/bankturn/routing/TargetState.java
+++ b/core/src/main/java/org/bankturn/routing/TargetState.java
@@ -142,7 +142,7 @@
      * @param nowMillis the time
      * @param openAtMillis the moment
      */
-    public boolean isAtWork(long nowMillis, long openAtMillis) {
+    public boolean hasRecentActivity(long nowMillis, long openAtMillis) {
         return words.anyOnConnectionsOpenAt(openAtMillis, nowMillis);
     }
 
--- a/daemon/src/main/java/org/bankturn/daemon/gateway/SilenceWatch.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/SilenceWatch.java
@@ -125,7 +125,7 @@
         noted = true;
         TargetState target = choice.target();
         boolean wasWell = connection.hasCarried() || begun;
-        boolean spokeToOthers = target.isAtWork(now(), heardMillis);
+        boolean spokeToOthers = target.hasRecentActivity(now(), heardMillis);
         blamesTarget = !wasWell || spokeToOthers;
         if (!blamesTarget) {
             gateway.trust().timedOut(now() - silentMillis() / 2);
