--- a/core/src/main/java/org/bankturn/routing/TargetState.java
+++ b/core/src/main/java/org/bankturn/routing/TargetState.java
@@ -55,11 +55,11 @@
     private long heardOfLoadMillis = Long.MIN_VALUE / 2;
     private final Deque<Long> sentMillis = new ArrayDeque<>();
     private final Deque<Long> endedMillis = new ArrayDeque<>();
-    private final TargetFlowControl terms;
+    private final TargetFlowControl flowControl;
 
     TargetState(TargetSighting sighting, TargetFlowControl terms) {
         this.sighting = sighting;
-        this.terms = terms;
+        this.flowControl = terms;
     }
 
     // ---- queries
@@ -148,42 +148,42 @@
 
     /** Returns what is known of the requests a second that it takes from all gateways together, not null. */
     public RateLimit rateLimit() {
-        return terms.limit();
+        return flowControl.limit();
     }
 
     /** Returns what the target asks of this gateway, not null. */
-    TargetFlowControl terms() {
-        return terms;
+    TargetFlowControl flowControl() {
+        return flowControl;
     }
 
     /** Returns why the target must get no request from this gateway now, empty if it may, not null. */
     public Optional<HoldReason> heldBack(long nowMillis) {
-        return terms.heldBack(nowMillis);
+        return flowControl.heldBack(nowMillis);
     }
 
     /** Returns how long until a target that is held back may get a request, as far as is known. */
     long untilFreeMillis(long nowMillis) {
-        return terms.untilFreeMillis(nowMillis);
+        return flowControl.untilFreeMillis(nowMillis);
     }
 
     /** Returns true if a permit may be there within a time: one is held for later, or is being asked for. */
     boolean mayGetPermitWithin(long millis, long nowMillis) {
-        return terms.mayGetPermitWithin(millis, nowMillis);
+        return flowControl.mayGetPermitWithin(millis, nowMillis);
     }
 
     /** Returns how long until the permit that is held may be used, 0 if none is held. */
     public long untilPermitMillis(long nowMillis) {
-        return terms.untilHeldPermitMillis(nowMillis);
+        return flowControl.untilHeldPermitMillis(nowMillis);
     }
 
     /** Returns true if a permit is being asked for. */
     public boolean isAskingPermit() {
-        return terms.isAsking();
+        return flowControl.isAsking();
     }
 
     /** Returns true if a permit should be asked for, because a request could use one. */
     boolean wantsPermit(long nowMillis) {
-        return terms.wantsPermit(nowMillis);
+        return flowControl.wantsPermit(nowMillis);
     }
 
     // ---- what is learned
@@ -198,7 +198,7 @@
      * @return what is new in it, not null
      */
     public Set<NoticeChange> noticed(TargetNotice notice, boolean whole, long sentMillis, long nowMillis) {
-        return terms.noticed(notice, whole, sentMillis, nowMillis);
+        return flowControl.noticed(notice, whole, sentMillis, nowMillis);
     }
 
     /**
@@ -207,12 +207,12 @@
      * @return why the request must not be sent, empty if it may, and then a permit is used; not null
      */
     public Optional<HoldReason> takePlace(long nowMillis) {
-        return terms.takePlace(nowMillis);
+        return flowControl.takePlace(nowMillis);
     }
 
     /** A permit for the target is being asked for. */
     public void permitAsked() {
-        terms.permitAsked();
+        flowControl.permitAsked();
     }
 
     /**
@@ -223,12 +223,12 @@
      * @param nowMillis the time
      */
     public void permitAnswered(PermitCoordinator.Answer answer, long askedMillis, long nowMillis) {
-        terms.permitAnswered(answer, askedMillis, nowMillis);
+        flowControl.permitAnswered(answer, askedMillis, nowMillis);
     }
 
     /** The coordinator of the target's permits did not answer. */
     public void permitUnanswered(long nowMillis) {
-        terms.permitUnanswered(nowMillis);
+        flowControl.permitUnanswered(nowMillis);
     }
 
     void update(TargetSighting newer) {
--- a/core/src/main/java/org/bankturn/routing/TargetTable.java
+++ b/core/src/main/java/org/bankturn/routing/TargetTable.java
@@ -117,7 +117,7 @@
                 known.update(sighting);
             }
         }
-        gone.forEach(id -> remembered.put(id, targets.remove(id).terms()));
+        gone.forEach(id -> remembered.put(id, targets.remove(id).flowControl()));
         openQuestions.removeAll(gone);
         byService.clear();
         targets.values()
