--- a/core/src/main/java/org/bankturn/routing/TargetState.java
+++ b/core/src/main/java/org/bankturn/routing/TargetState.java
@@ -162,7 +162,7 @@
     }
 
     /** Returns how long until a target that is held back may get a request, as far as is known. */
-    long untilFreeMillis(long nowMillis) {
+    long untilReleaseMillis(long nowMillis) {
         return flowControl.untilFreeMillis(nowMillis);
     }
 
--- a/core/src/main/java/org/bankturn/routing/TargetTable.java
+++ b/core/src/main/java/org/bankturn/routing/TargetTable.java
@@ -241,7 +241,7 @@
         HeldBackTargets heldBack = new HeldBackTargets();
         for (TargetState state : byService.getOrDefault(wanted.service().name(), List.of())) {
             if (mayTake(state, wanted)) {
-                state.heldBack(now).ifPresent(reason -> heldBack.add(reason, state.untilFreeMillis(now)));
+                state.heldBack(now).ifPresent(reason -> heldBack.add(reason, state.untilReleaseMillis(now)));
             }
         }
         return heldBack;
@@ -253,7 +253,7 @@
         return byService.getOrDefault(wanted.service().name(), List.of()).stream()
                 .filter(state -> mayTake(state, wanted) && state.mayGetPermitWithin(millis, now))
                 .min(Comparator.comparing((TargetState state) -> !isNear(state))
-                        .thenComparing(state -> state.untilFreeMillis(now)));
+                        .thenComparing(state -> state.untilReleaseMillis(now)));
     }
 
     /** Returns how many targets are held back now, for each reason, not null. */
