--- a/core/src/main/java/org/bankturn/routing/TargetState.java
+++ b/core/src/main/java/org/bankturn/routing/TargetState.java
@@ -172,7 +172,7 @@
     }
 
     /** Returns how long until the permit that is held may be used, 0 if none is held. */
-    public long untilPermitMillis(long nowMillis) {
+    public long untilPermitUsableMillis(long nowMillis) {
         return flowControl.untilHeldPermitMillis(nowMillis);
     }
 
--- a/daemon/src/main/java/org/bankturn/daemon/gateway/PermitCalls.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/PermitCalls.java
@@ -114,7 +114,7 @@
             waiting.computeIfAbsent(target, key -> new ArrayList<>()).add(ready);
             reactor.delayBackground(mostMillis, () -> ready.trySet(null));
         } else {
-            long untilPermit = Math.min(mostMillis, target.untilPermitMillis(clock.millis()));
+            long untilPermit = Math.min(mostMillis, target.untilPermitUsableMillis(clock.millis()));
             reactor.delayBackground(Math.max(1, untilPermit), () -> ready.trySet(null));
         }
         return ready;
