--- a/core/src/main/java/org/bankturn/routing/TargetState.java
+++ b/core/src/main/java/org/bankturn/routing/TargetState.java
@@ -177,7 +177,7 @@
     }
 
     /** Returns true if a permit is being asked for. */
-    public boolean isAskingPermit() {
+    public boolean isPermitPending() {
         return flowControl.isAsking();
     }
 
--- a/daemon/src/main/java/org/bankturn/daemon/gateway/PermitCalls.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/PermitCalls.java
@@ -110,7 +110,7 @@
      */
     Promise<Void> await(TargetState target, long mostMillis) {
         SettablePromise<Void> ready = new SettablePromise<>();
-        if (target.isAskingPermit()) {
+        if (target.isPermitPending()) {
             waiting.computeIfAbsent(target, key -> new ArrayList<>()).add(ready);
             reactor.delayBackground(mostMillis, () -> ready.trySet(null));
         } else {
