--- a/core/src/main/java/org/bankturn/routing/TargetState.java
+++ b/core/src/main/java/org/bankturn/routing/TargetState.java
@@ -182,7 +182,7 @@
     }
 
     /** Returns true if a permit should be asked for, because a request could use one. */
-    boolean wantsPermit(long nowMillis) {
+    boolean needsPermit(long nowMillis) {
         return flowControl.wantsPermit(nowMillis);
     }
 
--- a/core/src/main/java/org/bankturn/routing/TargetTable.java
+++ b/core/src/main/java/org/bankturn/routing/TargetTable.java
@@ -222,7 +222,7 @@
 
     private void wantPermits(List<TargetState> heldBack) {
         long now = clock.millis();
-        heldBack.stream().filter(state -> state.wantsPermit(now)).forEach(permitsWanted::add);
+        heldBack.stream().filter(state -> state.needsPermit(now)).forEach(permitsWanted::add);
     }
 
     /** Returns the targets for which requests could have used a permit since this was last asked, not null. */
