--- a/core/src/main/java/org/bankturn/routing/TargetState.java
+++ b/core/src/main/java/org/bankturn/routing/TargetState.java
@@ -197,7 +197,7 @@
      * @param nowMillis the time
      * @return what is new in it, not null
      */
-    public Set<NoticeChange> noticed(TargetNotice notice, boolean whole, long sentMillis, long nowMillis) {
+    public Set<NoticeChange> applyNotice(TargetNotice notice, boolean whole, long sentMillis, long nowMillis) {
         return flowControl.noticed(notice, whole, sentMillis, nowMillis);
     }
 
--- a/core/src/test/java/org/bankturn/routing/RequestPolicyTest.java
+++ b/core/src/test/java/org/bankturn/routing/RequestPolicyTest.java
@@ -122,7 +122,7 @@
         targets.watch(Set.of("one"));
         NextStep.Send send = (NextStep.Send) decide(request());
         TargetState one = send.candidate().target();
-        one.noticed(new TargetNotice(OptionalDouble.of(1), 0, false), true, clock.millis(), clock.millis());
+        one.applyNotice(new TargetNotice(OptionalDouble.of(1), 0, false), true, clock.millis(), clock.millis());
         return one;
     }
 
--- a/core/src/test/java/org/bankturn/routing/TargetTableTest.java
+++ b/core/src/test/java/org/bankturn/routing/TargetTableTest.java
@@ -218,7 +218,7 @@
     void a_target_that_is_held_back_is_not_taken_even_if_there_is_no_other() {
         add("only", "here");
         TargetState only = state("only");
-        only.noticed(new TargetNotice(OptionalDouble.empty(), 2_000, false), false, clock.millis(), clock.millis());
+        only.applyNotice(new TargetNotice(OptionalDouble.empty(), 2_000, false), false, clock.millis(), clock.millis());
         assertThat(table.choose(wanted())).isEmpty();
         assertThat(table.toAsk(wanted(), false)).isEmpty();
         assertThat(table.isHeldBack("only")).isTrue();
@@ -232,7 +232,8 @@
     @Test
     void a_target_that_leaves_does_not_come_back() {
         add("only", "here");
-        state("only").noticed(new TargetNotice(OptionalDouble.empty(), 0, true), true, clock.millis(), clock.millis());
+        state("only")
+                .applyNotice(new TargetNotice(OptionalDouble.empty(), 0, true), true, clock.millis(), clock.millis());
         assertThat(table.choose(wanted())).isEmpty();
         assertThat(table.heldBack(wanted())).hasToString("1 leaving");
         assertThat(table.heldBack(wanted()).hasKnownReleaseTime()).isFalse();
@@ -242,7 +243,7 @@
     void a_limited_target_is_asked_permits_for_once_and_goes_first_while_there_is_one() {
         add("limited", "here");
         TargetState limited = state("limited");
-        limited.noticed(LIMITED, true, clock.millis(), clock.millis());
+        limited.applyNotice(LIMITED, true, clock.millis(), clock.millis());
         add("other", "here");
         report("other", EngineLoad.NONE);
         report("limited", new EngineLoad(4, 0, 0, 0, 1, false));
@@ -262,7 +263,7 @@
     void permits_of_another_hall_are_wanted_only_by_requests_that_would_leave() {
         add("far", "there");
         TargetState far = state("far");
-        far.noticed(LIMITED, true, clock.millis(), clock.millis());
+        far.applyNotice(LIMITED, true, clock.millis(), clock.millis());
         add("near", "here");
         report("near", EngineLoad.NONE);
         assertThat(chosen()).isEqualTo("near");
@@ -276,7 +277,7 @@
     @Test
     void a_target_that_is_listed_again_has_asked_for_what_it_asked_for() {
         add("cut", "here");
-        state("cut").noticed(new TargetNotice(OptionalDouble.of(1), 0, true), true, clock.millis(), clock.millis());
+        state("cut").applyNotice(new TargetNotice(OptionalDouble.of(1), 0, true), true, clock.millis(), clock.millis());
         sightings.clear();
         add("other", "here");
         clock.advance(5_000);
@@ -288,7 +289,8 @@
     void a_target_that_starts_again_has_asked_for_nothing() {
         add("first", "here");
         state("first")
-                .noticed(new TargetNotice(OptionalDouble.of(1), 2_000, true), false, clock.millis(), clock.millis());
+                .applyNotice(
+                        new TargetNotice(OptionalDouble.of(1), 2_000, true), false, clock.millis(), clock.millis());
         assertThat(table.choose(wanted())).isEmpty();
         sightings.clear();
         add("second", "here");
--- a/daemon/src/main/java/org/bankturn/daemon/gateway/Attempt.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/Attempt.java
@@ -162,7 +162,7 @@
             gateway.metrics().targetNoticed(ServingMetrics.NOTICE_UNREADABLE);
             noticeLine("unreadable").with(DecisionField.ERROR, field).write();
         }
-        for (NoticeChange change : target.noticed(read.notice(), read.isSuccess(), sentMillis, now())) {
+        for (NoticeChange change : target.applyNotice(read.notice(), read.isSuccess(), sentMillis, now())) {
             gateway.metrics().targetNoticed(change.label());
             noticeLine(change.label())
                     .with(DecisionField.PER_SECOND, target.rateLimit().perSecond())
