--- a/core/src/main/java/org/bankturn/routing/TargetState.java
+++ b/core/src/main/java/org/bankturn/routing/TargetState.java
@@ -206,7 +206,7 @@
      *
      * @return why the request must not be sent, empty if it may, and then a permit is used; not null
      */
-    public Optional<HoldReason> takePlace(long nowMillis) {
+    public Optional<HoldReason> acquire(long nowMillis) {
         return flowControl.takePlace(nowMillis);
     }
 
--- a/core/src/test/java/org/bankturn/routing/TargetTableTest.java
+++ b/core/src/test/java/org/bankturn/routing/TargetTableTest.java
@@ -255,7 +255,7 @@
         limited.permitAnswered(
                 new PermitCoordinator.Answer(limited.rateLimit(), true, 0), clock.millis(), clock.millis());
         assertThat(chosen()).isEqualTo("limited");
-        assertThat(limited.takePlace(clock.millis())).isEmpty();
+        assertThat(limited.acquire(clock.millis())).isEmpty();
         assertThat(chosen()).isEqualTo("other");
     }
 
--- a/daemon/src/main/java/org/bankturn/daemon/gateway/Attempt.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/Attempt.java
@@ -119,7 +119,7 @@
 
     /** Gives the request back if the target wants none by now; what it asks for may have come while the connection was made. */
     private boolean isHeldBack(TargetConnection opened) {
-        Optional<HoldReason> reason = target.takePlace(now());
+        Optional<HoldReason> reason = target.acquire(now());
         if (reason.isEmpty()) {
             return false;
         }
