--- a/core/src/main/java/org/bankturn/routing/TargetState.java
+++ b/core/src/main/java/org/bankturn/routing/TargetState.java
@@ -211,7 +211,7 @@
     }
 
     /** A permit for the target is being asked for. */
-    public void permitAsked() {
+    public void permitRequested() {
         flowControl.permitAsked();
     }
 
--- a/core/src/test/java/org/bankturn/routing/RequestPolicyTest.java
+++ b/core/src/test/java/org/bankturn/routing/RequestPolicyTest.java
@@ -112,7 +112,7 @@
         TargetState one = limitedOnlyTarget();
         RequestProgress request = request();
         assertThat(decide(request)).isInstanceOf(NextStep.AwaitPermit.class);
-        one.permitAsked();
+        one.permitRequested();
         clock.advance(ROUTE.objectiveMillis() / 8);
         assertThat(decide(request)).isInstanceOf(NextStep.GiveUp.class);
     }
@@ -127,7 +127,7 @@
     }
 
     private void answerPermit(TargetState target, boolean granted, long inMillis) {
-        target.permitAsked();
+        target.permitRequested();
         target.permitAnswered(
                 new PermitCoordinator.Answer(target.rateLimit(), granted, inMillis), clock.millis(), clock.millis());
     }
--- a/core/src/test/java/org/bankturn/routing/TargetTableTest.java
+++ b/core/src/test/java/org/bankturn/routing/TargetTableTest.java
@@ -249,7 +249,7 @@
         report("limited", new EngineLoad(4, 0, 0, 0, 1, false));
         assertThat(chosen()).isEqualTo("other");
         assertThat(table.takePermitsWanted()).containsExactly(limited);
-        limited.permitAsked();
+        limited.permitRequested();
         assertThat(chosen()).isEqualTo("other");
         assertThat(table.takePermitsWanted()).isEmpty();
         limited.permitAnswered(
--- a/daemon/src/main/java/org/bankturn/daemon/gateway/PermitCalls.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/PermitCalls.java
@@ -136,7 +136,7 @@
 
     private void askFor(TargetState target) {
         long askedMillis = clock.millis();
-        target.permitAsked();
+        target.permitRequested();
         ask(target, true).whenComplete((answer, failure) -> {
             if (failure == null) {
                 answered(target, answer, askedMillis);
