--- a/core/src/main/java/org/bankturn/routing/TargetState.java
+++ b/core/src/main/java/org/bankturn/routing/TargetState.java
@@ -236,7 +236,7 @@
     }
 
     /** Takes in the version that an answer was made with. */
-    public void sawVersion(int version) {
+    public void versionObserved(int version) {
         seenVersion = Math.max(seenVersion, version);
     }
 
--- a/daemon/src/main/java/org/bankturn/daemon/gateway/Attempt.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/Attempt.java
@@ -149,7 +149,7 @@
         head = received;
         answer = read;
         if (read.weightsVersion() > 0) {
-            target.sawVersion(read.weightsVersion());
+            target.versionObserved(read.weightsVersion());
         }
         if (!read.isMisdirected()) {
             noticed(read);
