--- a/core/src/main/java/org/bankturn/routing/TargetState.java
+++ b/core/src/main/java/org/bankturn/routing/TargetState.java
@@ -241,7 +241,7 @@
     }
 
     /** A request is on its way there. */
-    public void begin(int promptTokens, long nowMillis) {
+    public void requestStarted(int promptTokens, long nowMillis) {
         inFlight++;
         sentMillis.addLast(nowMillis);
         pendingPromptTokens += promptTokens;
--- a/core/src/test/java/org/bankturn/routing/TargetTableTest.java
+++ b/core/src/test/java/org/bankturn/routing/TargetTableTest.java
@@ -136,7 +136,7 @@
         add("near", "here");
         TargetState state = table.choose(wanted()).orElseThrow().target();
         long sent = clock.millis();
-        state.begin(100, sent);
+        state.requestStarted(100, sent);
         clock.advance(10);
         report("near", new EngineLoad(1, 0, 0, 0, 1, false));
         double busy = predicted();
--- a/daemon/src/main/java/org/bankturn/daemon/gateway/Attempt.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/Attempt.java
@@ -66,7 +66,7 @@
     }
 
     void begin() {
-        target.begin(terms.promptTokens(), beganMillis);
+        target.requestStarted(terms.promptTokens(), beganMillis);
         long mostRest = route.kind().mayRepeat() ? Long.MAX_VALUE : MOST_REST_UNREPEATABLE_MILLIS;
         TargetConnection rested = gateway.connections().take(targetId(), now(), mostRest);
         Promise<TargetConnection> connected = rested != null
--- a/standins/src/main/java/org/bankturn/replay/ReplayedGateway.java
+++ b/standins/src/main/java/org/bankturn/replay/ReplayedGateway.java
@@ -257,7 +257,7 @@
         }
 
         void begin() {
-            choice.target().begin(request.progress.promptTokens(), time.millis());
+            choice.target().requestStarted(request.progress.promptTokens(), time.millis());
             if (engine.isDown()) {
                 time.after(2 * way, this::refusedConnection);
                 return;
