--- a/core/src/main/java/org/bankturn/routing/TargetState.java
+++ b/core/src/main/java/org/bankturn/routing/TargetState.java
@@ -258,7 +258,7 @@
      * @param sentAtMillis when it was sent
      * @param nowMillis the time
      */
-    public void end(long sentAtMillis, long nowMillis) {
+    public void requestEnded(long sentAtMillis, long nowMillis) {
         inFlight--;
         boolean counted = !sentMillis.removeFirstOccurrence(sentAtMillis);
         if (counted) {
--- a/core/src/test/java/org/bankturn/routing/TargetTableTest.java
+++ b/core/src/test/java/org/bankturn/routing/TargetTableTest.java
@@ -142,7 +142,7 @@
         double busy = predicted();
         clock.advance(10);
         state.promptRead(100);
-        state.end(sent, clock.millis());
+        state.requestEnded(sent, clock.millis());
         assertThat(predicted()).isLessThan(busy);
     }
 
--- a/daemon/src/main/java/org/bankturn/daemon/gateway/Attempt.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/Attempt.java
@@ -337,7 +337,7 @@
 
     private void finish(boolean whole) {
         over = true;
-        target.end(beganMillis, now());
+        target.requestEnded(beganMillis, now());
         if (promptPending) {
             promptPending = false;
             target.promptRead(terms.promptTokens());
--- a/standins/src/main/java/org/bankturn/replay/ReplayedGateway.java
+++ b/standins/src/main/java/org/bankturn/replay/ReplayedGateway.java
@@ -413,7 +413,7 @@
 
         private void finish() {
             over = true;
-            choice.target().end((long) beganMillis, time.millis());
+            choice.target().requestEnded((long) beganMillis, time.millis());
             if (promptPending) {
                 promptPending = false;
                 choice.target().promptRead(request.progress.promptTokens());
