--- a/core/src/main/java/org/bankturn/routing/TargetState.java
+++ b/core/src/main/java/org/bankturn/routing/TargetState.java
@@ -267,7 +267,7 @@
     }
 
     /** Takes in what the engine said of its load at a moment. */
-    void reported(EngineLoad newer, long atMillis) {
+    void loadReported(EngineLoad newer, long atMillis) {
         load = newer;
         loadMillis = atMillis;
         forgetUntil(sentMillis, atMillis);
--- a/core/src/main/java/org/bankturn/routing/TargetTable.java
+++ b/core/src/main/java/org/bankturn/routing/TargetTable.java
@@ -139,7 +139,7 @@
     public void reported(String id, EngineLoad load, long ageMillis, long tookMillis) {
         TargetState state = targets.get(id);
         if (state != null) {
-            state.reported(load, clock.millis() - tookMillis / 2 - ageMillis);
+            state.loadReported(load, clock.millis() - tookMillis / 2 - ageMillis);
             state.pathTook(tookMillis);
             state.heardOfLoad(clock.millis());
             openQuestions.pollAnswered(id);
