--- a/core/src/main/java/org/bankturn/routing/TargetState.java
+++ b/core/src/main/java/org/bankturn/routing/TargetState.java
@@ -281,7 +281,7 @@
     }
 
     /** The process beside the engine said when the engine will break off what it runs. */
-    void breaksOffAt(long millis) {
+    void interruptionAnnounced(long millis) {
         breaksOffMillis = millis;
     }
 
--- a/core/src/main/java/org/bankturn/routing/TargetTable.java
+++ b/core/src/main/java/org/bankturn/routing/TargetTable.java
@@ -150,7 +150,7 @@
     public void breaksOff(String id, long afterMillis) {
         TargetState state = targets.get(id);
         if (state != null) {
-            state.breaksOffAt(clock.millis() + afterMillis);
+            state.interruptionAnnounced(clock.millis() + afterMillis);
         }
     }
 
