--- a/core/src/main/java/org/bankturn/routing/TargetState.java
+++ b/core/src/main/java/org/bankturn/routing/TargetState.java
@@ -286,7 +286,7 @@
     }
 
     /** The process beside the engine answered a question. */
-    void heardOfLoad(long nowMillis) {
+    void pollAnswered(long nowMillis) {
         heardOfLoadMillis = nowMillis;
     }
 
--- a/core/src/main/java/org/bankturn/routing/TargetTable.java
+++ b/core/src/main/java/org/bankturn/routing/TargetTable.java
@@ -141,7 +141,7 @@
         if (state != null) {
             state.loadReported(load, clock.millis() - tookMillis / 2 - ageMillis);
             state.pathTook(tookMillis);
-            state.heardOfLoad(clock.millis());
+            state.pollAnswered(clock.millis());
             openQuestions.pollAnswered(id);
         }
     }
