--- a/core/src/main/java/org/bankturn/routing/TargetState.java
+++ b/core/src/main/java/org/bankturn/routing/TargetState.java
@@ -291,7 +291,7 @@
     }
 
     /** Returns true if the process beside the engine answered a question after that moment. */
-    boolean heardOfLoadSince(long millis) {
+    boolean hasAnsweredPollSince(long millis) {
         return heardOfLoadMillis >= millis;
     }
 
--- a/core/src/main/java/org/bankturn/routing/TargetTable.java
+++ b/core/src/main/java/org/bankturn/routing/TargetTable.java
@@ -166,7 +166,7 @@
 
     private void stayedOpen(String id, long askedMillis, long openMillis) {
         TargetState state = targets.get(id);
-        if (state != null && !state.heardOfLoadSince(askedMillis)) {
+        if (state != null && !state.hasAnsweredPollSince(askedMillis)) {
             openQuestions.pollUnanswered(id, askedMillis, openMillis);
         }
     }
