--- a/core/src/main/java/org/bankturn/routing/TargetState.java
+++ b/core/src/main/java/org/bankturn/routing/TargetState.java
@@ -296,7 +296,7 @@
     }
 
     /** Takes in how long the process beside the engine took to answer. */
-    void pathTook(long millis) {
+    void roundTripMeasured(long millis) {
         roundTripMillis = millis;
     }
 
--- a/core/src/main/java/org/bankturn/routing/TargetTable.java
+++ b/core/src/main/java/org/bankturn/routing/TargetTable.java
@@ -140,7 +140,7 @@
         TargetState state = targets.get(id);
         if (state != null) {
             state.loadReported(load, clock.millis() - tookMillis / 2 - ageMillis);
-            state.pathTook(tookMillis);
+            state.roundTripMeasured(tookMillis);
             state.pollAnswered(clock.millis());
             openQuestions.pollAnswered(id);
         }
