--- a/core/src/main/java/org/bankturn/routing/TargetState.java
+++ b/core/src/main/java/org/bankturn/routing/TargetState.java
@@ -306,7 +306,7 @@
      * @param nowMillis the time
      * @param openedMillis when the connection was opened that it came on
      */
-    public void heard(long nowMillis, long openedMillis) {
+    public void dataReceived(long nowMillis, long openedMillis) {
         words.heard(openedMillis, nowMillis);
     }
 
--- a/daemon/src/main/java/org/bankturn/daemon/gateway/SilenceWatch.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/SilenceWatch.java
@@ -85,7 +85,7 @@
         heardMillis = now();
         begun = true;
         gateway.trust().dataReceived(connection.openedMillis());
-        choice.target().heard(heardMillis, connection.openedMillis());
+        choice.target().dataReceived(heardMillis, connection.openedMillis());
     }
 
     /** The request is no longer at the target. */
--- a/standins/src/main/java/org/bankturn/replay/ReplayedGateway.java
+++ b/standins/src/main/java/org/bankturn/replay/ReplayedGateway.java
@@ -314,7 +314,7 @@
                 return;
             }
             heardMillis = time.now();
-            choice.target().heard(time.millis(), 0);
+            choice.target().dataReceived(time.millis(), 0);
             if (promptPending) {
                 promptPending = false;
                 choice.target().promptRead(request.progress.promptTokens());
