--- a/core/src/main/java/org/bankturn/routing/TargetState.java
+++ b/core/src/main/java/org/bankturn/routing/TargetState.java
@@ -311,7 +311,7 @@
     }
 
     /** An engine's first event came, that long after the request was sent. */
-    public void began(double predictedMillis, long tookMillis) {
+    public void firstEventReceived(double predictedMillis, long tookMillis) {
         succeeded(tookMillis / Math.max(LEAST_PREDICTED_MILLIS, predictedMillis));
     }
 
--- a/daemon/src/main/java/org/bankturn/daemon/gateway/Attempt.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/Attempt.java
@@ -232,7 +232,7 @@
             double predicted = choice.predictedMillis();
             gateway.policy().correction(request.service()).observed(predicted, (double) firstEventMillis);
             gateway.metrics().firstEventPredicted(request.service().name(), predicted, firstEventMillis);
-            target.began(predicted, firstEventMillis);
+            target.firstEventReceived(predicted, firstEventMillis);
         }
     }
 
--- a/standins/src/main/java/org/bankturn/replay/ReplayedGateway.java
+++ b/standins/src/main/java/org/bankturn/replay/ReplayedGateway.java
@@ -320,7 +320,7 @@
                 choice.target().promptRead(request.progress.promptTokens());
                 long took = (long) (time.now() - beganMillis);
                 policy.correction(request.progress.service()).observed(choice.predictedMillis(), (double) took);
-                choice.target().began(choice.predictedMillis(), took);
+                choice.target().firstEventReceived(choice.predictedMillis(), took);
             }
             request.tokensPassed += tokens;
             request.progress.eventForwarded("e");
