--- a/core/src/main/java/org/bankturn/routing/TargetState.java
+++ b/core/src/main/java/org/bankturn/routing/TargetState.java
@@ -316,7 +316,7 @@
     }
 
     /** A plain service answered, that long after the request was sent. */
-    public void answered(long tookMillis) {
+    public void responseReceived(long tookMillis) {
         succeeded(tookMillis / PLAIN_ANSWER_MILLIS);
     }
 
--- a/daemon/src/main/java/org/bankturn/daemon/gateway/Attempt.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/Attempt.java
@@ -258,7 +258,7 @@
         } else if (streams()) {
             endStream();
         } else {
-            target.answered(now() - beganMillis);
+            target.responseReceived(now() - beganMillis);
             passAnswer();
         }
     }
