--- a/core/src/main/java/org/bankturn/routing/TargetState.java
+++ b/core/src/main/java/org/bankturn/routing/TargetState.java
@@ -327,7 +327,7 @@
     }
 
     /** Avoids the target for a while that doubles with each failure in a row, and returns how long. */
-    public long failed(long nowMillis) {
+    public long requestFailed(long nowMillis) {
         consecutiveFailures++;
         long avoidance =
                 Math.min(MOST_AVOIDANCE_MILLIS, FIRST_AVOIDANCE_MILLIS << Math.min(4, consecutiveFailures - 1));
--- a/core/src/test/java/org/bankturn/routing/TargetTableTest.java
+++ b/core/src/test/java/org/bankturn/routing/TargetTableTest.java
@@ -79,7 +79,7 @@
     void a_target_that_failed_is_taken_only_if_there_is_no_other() {
         add("failed", "here");
         Candidate only = table.choose(wanted()).orElseThrow();
-        only.target().failed(clock.millis());
+        only.target().requestFailed(clock.millis());
         assertThat(chosen()).isEqualTo("failed");
         add("other", "there");
         assertThat(chosen()).isEqualTo("other");
--- a/daemon/src/main/java/org/bankturn/daemon/gateway/Attempt.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/Attempt.java
@@ -265,7 +265,7 @@
 
     /** Avoids the target for a while and says so. */
     private void targetFailed(String reason) {
-        long avoidedMillis = target.failed(now());
+        long avoidedMillis = target.requestFailed(now());
         gateway.metrics().targetFailed(request.service().name());
         gateway.log()
                 .line(DecisionKind.HEALTH)
--- a/standins/src/main/java/org/bankturn/replay/ReplayedGateway.java
+++ b/standins/src/main/java/org/bankturn/replay/ReplayedGateway.java
@@ -289,7 +289,7 @@
                 return;
             }
             finish();
-            choice.target().failed(time.millis());
+            choice.target().requestFailed(time.millis());
             request.progress.connectionFailed();
             request.sendToNext();
         }
@@ -375,7 +375,7 @@
                 return;
             }
             finish();
-            choice.target().failed(time.millis());
+            choice.target().requestFailed(time.millis());
             world.tally().takenAway(lost.progress.promptTokens());
             lost.progress.outcomeUnknown();
             lost.sendToNext();
