--- a/core/src/main/java/org/bankturn/routing/TargetState.java
+++ b/core/src/main/java/org/bankturn/routing/TargetState.java
@@ -336,7 +336,7 @@
     }
 
     /** Avoids the target for a moment because it is full. */
-    public void full(long nowMillis) {
+    public void markFull(long nowMillis) {
         avoidedUntilMillis = Math.max(avoidedUntilMillis, nowMillis + FULL_MILLIS);
     }
 
--- a/daemon/src/main/java/org/bankturn/daemon/gateway/Attempt.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/Attempt.java
@@ -248,7 +248,7 @@
         }
         finish(true);
         if (answer.notRun()) {
-            target.full(now());
+            target.markFull(now());
             request.notRun();
             request.retry("target did not run it: " + answer.status());
         } else if (answer.status() >= SERVER_ERROR) {
--- a/standins/src/main/java/org/bankturn/replay/ReplayedGateway.java
+++ b/standins/src/main/java/org/bankturn/replay/ReplayedGateway.java
@@ -299,7 +299,7 @@
                 return;
             }
             finish();
-            choice.target().full(time.millis());
+            choice.target().markFull(time.millis());
             request.progress.notRun();
             request.sendToNext();
         }
