--- a/core/src/main/java/org/bankturn/routing/TargetTable.java
+++ b/core/src/main/java/org/bankturn/routing/TargetTable.java
@@ -53,7 +53,7 @@
      * What a target must be to take a request.
      *
      * @param service the service, not null
-     * @param leastVersion the version of the weights that it must hold, 0 for any, -1 if the service holds none
+     * @param minVersion the version of the weights that it must hold, 0 for any, -1 if the service holds none
      * @param due when requests must begin on newer weights, not null
      * @param promptTokens the size of its prompt
      * @param objectiveMillis the time within which its first answer is in time
@@ -61,7 +61,7 @@
      */
     public record Requirements(
             Service service,
-            int leastVersion,
+            int minVersion,
             VersionDeadlines due,
             int promptTokens,
             long objectiveMillis,
@@ -351,7 +351,7 @@
 
     private static boolean mayTake(TargetState state, Requirements wanted) {
         TargetSighting sighting = state.sighting();
-        boolean holds = wanted.leastVersion() < 0 || state.heldVersion() >= Math.max(1, wanted.leastVersion());
+        boolean holds = wanted.minVersion() < 0 || state.heldVersion() >= Math.max(1, wanted.minVersion());
         return sighting.service().equals(wanted.service().name())
                 && !sighting.draining()
                 && holds
