--- a/core/src/main/java/org/bankturn/routing/TargetTable.java
+++ b/core/src/main/java/org/bankturn/routing/TargetTable.java
@@ -54,7 +54,7 @@
      *
      * @param service the service, not null
      * @param minVersion the version of the weights that it must hold, 0 for any, -1 if the service holds none
-     * @param due when requests must begin on newer weights, not null
+     * @param deadlines when requests must begin on newer weights, not null
      * @param promptTokens the size of its prompt
      * @param objectiveMillis the time within which its first answer is in time
      * @param excluded the incarnations that were tried, not null
@@ -62,7 +62,7 @@
     public record Requirements(
             Service service,
             int minVersion,
-            VersionDeadlines due,
+            VersionDeadlines deadlines,
             int promptTokens,
             long objectiveMillis,
             Set<String> excluded) {}
@@ -307,7 +307,7 @@
         double predicted = predictedMillis(state, wanted, now) + way;
         Candidate choice = new Candidate(state, predicted, way, breakOffMillis(state, wanted, now, predicted));
         double unknownMillis = sends ? unknownPathMillis(state, wanted, now) : 0;
-        if (!wanted.due().mayBegin(state.heldVersion(), now, choice.predictedMillis() + unknownMillis)) {
+        if (!wanted.deadlines().mayBegin(state.heldVersion(), now, choice.predictedMillis() + unknownMillis)) {
             return;
         }
         boolean usual = wanted.service().engine() == null || isWatched(state);
