--- a/core/src/main/java/org/bankturn/routing/RequestPolicy.java
+++ b/core/src/main/java/org/bankturn/routing/RequestPolicy.java
@@ -195,7 +195,7 @@
             correction(request.service()).refused();
             return new NextStep.GiveUp(
                     "would begin after " + Math.round(choice.get().predictedMillis()) + " ms, "
-                            + choice.get().wayMillis() + " ms of it on the way",
+                            + choice.get().roundTripMillis() + " ms of it on the way",
                     RetryAfter.forBusyEngines(request.service().engine(), random));
         }
         if (request.sends() > 0 && !retryBudget(request.service()).tryRetry()) {
--- a/core/src/main/java/org/bankturn/routing/TargetTable.java
+++ b/core/src/main/java/org/bankturn/routing/TargetTable.java
@@ -72,10 +72,10 @@
      *
      * @param target the target, not null
      * @param predictedMillis the time until the first event
-     * @param wayMillis the part of it that is the way there and back
+     * @param roundTripMillis the part of it that is the way there and back
      * @param breakOffMillis what counts beside it, because the target will soon break off what it runs
      */
-    public record Candidate(TargetState target, double predictedMillis, long wayMillis, double breakOffMillis) {
+    public record Candidate(TargetState target, double predictedMillis, long roundTripMillis, double breakOffMillis) {
         /** Returns what is compared, in milliseconds. */
         double weighedMillis() {
             return predictedMillis + breakOffMillis;
