--- a/core/src/main/java/org/bankturn/routing/TargetTable.java
+++ b/core/src/main/java/org/bankturn/routing/TargetTable.java
@@ -73,12 +73,13 @@
      * @param target the target, not null
      * @param predictedMillis the time until the first event
      * @param roundTripMillis the part of it that is the way there and back
-     * @param breakOffMillis what counts beside it, because the target will soon break off what it runs
+     * @param interruptionMillis what counts beside it, because the target will soon break off what it runs
      */
-    public record Candidate(TargetState target, double predictedMillis, long roundTripMillis, double breakOffMillis) {
+    public record Candidate(
+            TargetState target, double predictedMillis, long roundTripMillis, double interruptionMillis) {
         /** Returns what is compared, in milliseconds. */
         double weighedMillis() {
-            return predictedMillis + breakOffMillis;
+            return predictedMillis + interruptionMillis;
         }
     }
 
