--- a/core/src/main/java/org/bankturn/routing/CandidateSelector.java
+++ b/core/src/main/java/org/bankturn/routing/CandidateSelector.java
@@ -67,7 +67,7 @@
 
     /** Returns true if a request begins early enough there to stay in its data hall whatever others offer. */
     boolean startsWithinLocalShare(Candidate choice, Requirements wanted) {
-        return choice.weighedMillis() <= wanted.objectiveMillis() * settings.localObjectiveShare();
+        return choice.costMillis() <= wanted.objectiveMillis() * settings.localObjectiveShare();
     }
 
     /** Returns those of which there is fresh news, all if there is of none. */
@@ -83,7 +83,7 @@
         sampleToFront(choices, drawn);
         Weighed least = null;
         for (Candidate choice : choices.subList(0, Math.min(drawn, choices.size()))) {
-            double cost = choice.weighedMillis() * (1 + settings.jitter() * random.nextDouble());
+            double cost = choice.costMillis() * (1 + settings.jitter() * random.nextDouble());
             if (least == null || cost < least.cost()) {
                 least = new Weighed(choice, cost);
             }
--- a/core/src/main/java/org/bankturn/routing/TargetTable.java
+++ b/core/src/main/java/org/bankturn/routing/TargetTable.java
@@ -78,7 +78,7 @@
     public record Candidate(
             TargetState target, double predictedMillis, long roundTripMillis, double interruptionMillis) {
         /** Returns what is compared, in milliseconds. */
-        double weighedMillis() {
+        double costMillis() {
             return predictedMillis + interruptionMillis;
         }
     }
