--- a/core/src/main/java/org/bankturn/routing/TargetTable.java
+++ b/core/src/main/java/org/bankturn/routing/TargetTable.java
@@ -125,12 +125,12 @@
                 .forEach(state -> byService
                         .computeIfAbsent(state.sighting().service(), key -> new ArrayList<>())
                         .add(state));
-        watch(watched);
+        setWatched(watched);
         return gone;
     }
 
     /** Takes in which engines the gateway asks for their load; others are used only where these would be late. */
-    public void watch(Set<String> ids) {
+    public void setWatched(Set<String> ids) {
         watched = Set.copyOf(ids);
         watchedStates =
                 targets.values().stream().filter(state -> isWatched(state)).toList();
--- a/core/src/test/java/org/bankturn/routing/RequestPolicyTest.java
+++ b/core/src/test/java/org/bankturn/routing/RequestPolicyTest.java
@@ -47,7 +47,7 @@
                 ServingConfiguration.of(1, List.of(ROUTE), List.of(SERVICE), ClientLimits.DEFAULT, List.of()),
                 OptionalInt.of(OWN_PART));
         targets.update(List.of(sighting("one", "here"), sighting("two", "there")));
-        targets.watch(Set.of("one", "two"));
+        targets.setWatched(Set.of("one", "two"));
     }
 
     @Test
@@ -119,7 +119,7 @@
 
     private TargetState limitedOnlyTarget() {
         targets.update(List.of(sighting("one", "here")));
-        targets.watch(Set.of("one"));
+        targets.setWatched(Set.of("one"));
         NextStep.Send send = (NextStep.Send) decide(request());
         TargetState one = send.candidate().target();
         one.applyNotice(new TargetNotice(OptionalDouble.of(1), 0, false), true, clock.millis(), clock.millis());
--- a/core/src/test/java/org/bankturn/routing/RetriesAcrossRestartsTest.java
+++ b/core/src/test/java/org/bankturn/routing/RetriesAcrossRestartsTest.java
@@ -65,7 +65,7 @@
             UniformRandomProvider random = RandomSource.XO_RO_SHI_RO_128_PP.create(7);
             TargetTable targets = TargetTable.of(clock, "here", PlacementSettings.DEFAULT, random);
             targets.update(ENGINES);
-            targets.watch(ENGINES.stream().map(TargetSighting::id).collect(Collectors.toSet()));
+            targets.setWatched(ENGINES.stream().map(TargetSighting::id).collect(Collectors.toSet()));
             policy = RequestPolicy.of(clock, targets, new RetryLimits(SHARE, ALLOWANCE, WINDOW_MILLIS), random);
             sees(gatewaysSeen);
         }
--- a/core/src/test/java/org/bankturn/routing/TargetTableTest.java
+++ b/core/src/test/java/org/bankturn/routing/TargetTableTest.java
@@ -200,7 +200,7 @@
         table.update(sightings);
         Set<String> ids = new HashSet<>();
         sightings.forEach(each -> ids.add(each.id()));
-        table.watch(ids);
+        table.setWatched(ids);
     }
 
     private void report(String id, EngineLoad load) {
--- a/daemon/src/main/java/org/bankturn/daemon/gateway/LoadPoller.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/LoadPoller.java
@@ -142,7 +142,7 @@
             boolean isNear = published.targets().get(id).dataHall().equals(settings.dataHall());
             (isNear ? near : far).add(id);
         }
-        targets.watch(watched);
+        targets.setWatched(watched);
         questions.setWatched(near, far, clock.millis());
     }
 
--- a/standins/src/main/java/org/bankturn/replay/ReplayedGateway.java
+++ b/standins/src/main/java/org/bankturn/replay/ReplayedGateway.java
@@ -102,7 +102,7 @@
                 (each.dataHall().equals(dataHall) ? near : far).add(each.id());
             }
         }
-        targets.watch(watched);
+        targets.setWatched(watched);
         questions.setWatched(near, far, time.millis());
     }
 
