--- a/core/src/main/java/org/bankturn/routing/TargetTable.java
+++ b/core/src/main/java/org/bankturn/routing/TargetTable.java
@@ -137,7 +137,7 @@
     }
 
     /** Takes in what a target's engine said of its load. */
-    public void reported(String id, EngineLoad load, long ageMillis, long tookMillis) {
+    public void loadReported(String id, EngineLoad load, long ageMillis, long tookMillis) {
         TargetState state = targets.get(id);
         if (state != null) {
             state.loadReported(load, clock.millis() - tookMillis / 2 - ageMillis);
--- a/core/src/test/java/org/bankturn/routing/RequestPolicyTest.java
+++ b/core/src/test/java/org/bankturn/routing/RequestPolicyTest.java
@@ -54,7 +54,7 @@
     void engines_are_asked_once_and_then_the_request_is_placed() {
         RequestProgress request = request();
         assertThat(policy.next(request)).isEqualTo(new NextStep.PollLoad(List.of("one")));
-        targets.reported("one", EngineLoad.NONE, 0, 2);
+        targets.loadReported("one", EngineLoad.NONE, 0, 2);
         assertThat(policy.next(request)).isInstanceOf(NextStep.Send.class);
     }
 
@@ -82,7 +82,7 @@
         full("one");
         RequestProgress request = request();
         assertThat(policy.next(request)).isEqualTo(new NextStep.PollLoad(List.of("two")));
-        targets.reported("two", EngineLoad.NONE, 0, 4);
+        targets.loadReported("two", EngineLoad.NONE, 0, 4);
         assertThat(policy.next(request)).isInstanceOf(NextStep.Send.class);
     }
 
@@ -237,11 +237,11 @@
     }
 
     private void halfFull(String id) {
-        targets.reported(id, new EngineLoad(4, 0, 0, 0, 1, false), 0, 2);
+        targets.loadReported(id, new EngineLoad(4, 0, 0, 0, 1, false), 0, 2);
     }
 
     private void full(String id) {
-        targets.reported(id, new EngineLoad(8, 8, 0, 0, 1, false), 0, 2);
+        targets.loadReported(id, new EngineLoad(8, 8, 0, 0, 1, false), 0, 2);
     }
 
     private RequestProgress request() {
--- a/core/src/test/java/org/bankturn/routing/TargetTableTest.java
+++ b/core/src/test/java/org/bankturn/routing/TargetTableTest.java
@@ -204,7 +204,7 @@
     }
 
     private void report(String id, EngineLoad load) {
-        table.reported(id, load, 0, 2);
+        table.loadReported(id, load, 0, 2);
     }
 
     private TargetState state(String id) {
--- a/daemon/src/main/java/org/bankturn/daemon/gateway/LoadPoller.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/LoadPoller.java
@@ -174,7 +174,7 @@
             boolean answered = failure == null && reply instanceof NodeReply.Load;
             metrics.loadQuestionEnded(answered);
             if (answered && reply instanceof NodeReply.Load told && told.load() != null) {
-                targets.reported(id, told.load(), told.ageMillis(), tookMillis);
+                targets.loadReported(id, told.load(), told.ageMillis(), tookMillis);
                 targets.breaksOff(id, told.breaksOffInMillis());
             } else {
                 targets.unheard(id, tookMillis);
--- a/standins/src/main/java/org/bankturn/replay/ReplayedGateway.java
+++ b/standins/src/main/java/org/bankturn/replay/ReplayedGateway.java
@@ -135,7 +135,7 @@
         ReplayWorld.Sample sample = world.sampleOf(engine);
         time.after(2 * way, () -> {
             long ageMillis = (long) (time.now() - way - sample.atMillis());
-            targets.reported(engine.id(), sample.load(), ageMillis, (long) (2 * way));
+            targets.loadReported(engine.id(), sample.load(), ageMillis, (long) (2 * way));
             if (engine.changesInMillis() > 0) {
                 targets.breaksOff(engine.id(), (long) engine.changesInMillis());
             }
