--- a/core/src/main/java/org/bankturn/routing/TargetTable.java
+++ b/core/src/main/java/org/bankturn/routing/TargetTable.java
@@ -148,7 +148,7 @@
     }
 
     /** Takes in that a target's engine breaks off what it runs after a while, counted from now. */
-    public void breaksOff(String id, long afterMillis) {
+    public void interruptionAnnounced(String id, long afterMillis) {
         TargetState state = targets.get(id);
         if (state != null) {
             state.interruptionAnnounced(clock.millis() + afterMillis);
--- a/core/src/test/java/org/bankturn/routing/TargetTableTest.java
+++ b/core/src/test/java/org/bankturn/routing/TargetTableTest.java
@@ -168,7 +168,7 @@
         report("turning", EngineLoad.NONE);
         report("staying", new EngineLoad(4, 0, 0, 0, 1, false));
         assertThat(chosen()).isEqualTo("turning");
-        table.breaksOff("turning", 400);
+        table.interruptionAnnounced("turning", 400);
         assertThat(chosen()).isEqualTo("staying");
         report("staying", new EngineLoad(8, 8, 0, 0, 1, false));
         assertThat(chosen()).isEqualTo("turning");
@@ -178,7 +178,7 @@
     void an_engine_that_has_broken_off_is_as_good_as_others_again() {
         add("turning", "here");
         add("staying", "here");
-        table.breaksOff("turning", 400);
+        table.interruptionAnnounced("turning", 400);
         clock.advance(401);
         report("turning", EngineLoad.NONE);
         report("staying", new EngineLoad(4, 0, 0, 0, 1, false));
@@ -191,7 +191,7 @@
         add("staying", "here");
         report("turning", EngineLoad.NONE);
         report("staying", new EngineLoad(4, 0, 0, 0, 1, false));
-        table.breaksOff("turning", 6_000);
+        table.interruptionAnnounced("turning", 6_000);
         assertThat(chosen()).isEqualTo("turning");
     }
 
--- a/daemon/src/main/java/org/bankturn/daemon/gateway/LoadPoller.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/LoadPoller.java
@@ -175,7 +175,7 @@
             metrics.loadQuestionEnded(answered);
             if (answered && reply instanceof NodeReply.Load told && told.load() != null) {
                 targets.loadReported(id, told.load(), told.ageMillis(), tookMillis);
-                targets.breaksOff(id, told.breaksOffInMillis());
+                targets.interruptionAnnounced(id, told.breaksOffInMillis());
             } else {
                 targets.unheard(id, tookMillis);
             }
--- a/standins/src/main/java/org/bankturn/replay/ReplayedGateway.java
+++ b/standins/src/main/java/org/bankturn/replay/ReplayedGateway.java
@@ -137,7 +137,7 @@
             long ageMillis = (long) (time.now() - way - sample.atMillis());
             targets.loadReported(engine.id(), sample.load(), ageMillis, (long) (2 * way));
             if (engine.changesInMillis() > 0) {
-                targets.breaksOff(engine.id(), (long) engine.changesInMillis());
+                targets.interruptionAnnounced(engine.id(), (long) engine.changesInMillis());
             }
             then.run();
         });
