--- a/core/src/main/java/org/bankturn/routing/TargetTable.java
+++ b/core/src/main/java/org/bankturn/routing/TargetTable.java
@@ -156,7 +156,7 @@
     }
 
     /** Takes in that nothing was heard of a target's engine for a while. */
-    public void unheard(String id, long tookMillis) {
+    public void pollFailed(String id, long tookMillis) {
         stayedOpen(id, clock.millis() - tookMillis, Math.max(UNHEARD_MILLIS, tookMillis));
     }
 
--- a/daemon/src/main/java/org/bankturn/daemon/gateway/LoadPoller.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/LoadPoller.java
@@ -177,7 +177,7 @@
                 targets.loadReported(id, told.load(), told.ageMillis(), tookMillis);
                 targets.interruptionAnnounced(id, told.breaksOffInMillis());
             } else {
-                targets.unheard(id, tookMillis);
+                targets.pollFailed(id, tookMillis);
             }
             return Promise.complete();
         });
