--- a/core/src/main/java/org/bankturn/routing/TargetTable.java
+++ b/core/src/main/java/org/bankturn/routing/TargetTable.java
@@ -161,7 +161,7 @@
     }
 
     /** Takes in that a question to a target's engine, asked at a moment, is still open longer than a request should wait. */
-    public void unheardSince(String id, long askedMillis) {
+    public void pollOverdue(String id, long askedMillis) {
         stayedOpen(id, askedMillis, UNHEARD_MILLIS);
     }
 
--- a/core/src/test/java/org/bankturn/routing/TargetTableTest.java
+++ b/core/src/test/java/org/bankturn/routing/TargetTableTest.java
@@ -90,7 +90,7 @@
         add("silent", "here");
         long asked = clock.millis();
         clock.advance(25);
-        table.unheardSince("silent", asked);
+        table.pollOverdue("silent", asked);
         assertThat(predicted()).isGreaterThan(400);
         report("silent", EngineLoad.NONE);
         assertThat(predicted()).isLessThan(200);
@@ -111,8 +111,8 @@
         clock.advance(300);
         long asked = clock.millis();
         clock.advance(25);
-        table.unheardSince("one", asked);
-        table.unheardSince("other", asked);
+        table.pollOverdue("one", asked);
+        table.pollOverdue("other", asked);
         assertThat(predicted()).isLessThan(200);
     }
 
@@ -123,8 +123,8 @@
         add("well", "here");
         long asked = clock.millis();
         clock.advance(25);
-        table.unheardSince("one", asked);
-        table.unheardSince("other", asked);
+        table.pollOverdue("one", asked);
+        table.pollOverdue("other", asked);
         report("well", EngineLoad.NONE);
         assertThat(chosen()).isEqualTo("well");
         Requirements elsewhere = new Requirements(SERVICE, -1, VersionDeadlines.none(), 1_000, 600, Set.of("well"));
--- a/daemon/src/main/java/org/bankturn/daemon/gateway/LoadPoller.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/LoadPoller.java
@@ -105,7 +105,7 @@
         Promises.all(ids.stream().map(this::ask).toList()).whenComplete(() -> answered.trySet(null));
         reactor.delayBackground(QUESTION_MILLIS, () -> {
             if (answered.trySet(null)) {
-                ids.forEach(id -> targets.unheardSince(id, clock.millis() - QUESTION_MILLIS));
+                ids.forEach(id -> targets.pollOverdue(id, clock.millis() - QUESTION_MILLIS));
             }
         });
         return answered;
