--- a/core/src/main/java/org/bankturn/routing/RequestPolicy.java
+++ b/core/src/main/java/org/bankturn/routing/RequestPolicy.java
@@ -160,7 +160,7 @@
         Requirements wanted = wanted(request);
         if (!request.localPolled()) {
             request.markLocalPolled();
-            List<String> here = targets.toAsk(wanted, false);
+            List<String> here = targets.targetsToPoll(wanted, false);
             if (!here.isEmpty()) {
                 return Optional.of(new NextStep.PollLoad(here));
             }
@@ -173,7 +173,7 @@
             return Optional.empty();
         }
         request.markRemotePolled();
-        List<String> elsewhere = targets.toAsk(wanted, true);
+        List<String> elsewhere = targets.targetsToPoll(wanted, true);
         return elsewhere.isEmpty() ? Optional.empty() : Optional.of(new NextStep.PollLoad(elsewhere));
     }
 
--- a/core/src/main/java/org/bankturn/routing/TargetTable.java
+++ b/core/src/main/java/org/bankturn/routing/TargetTable.java
@@ -188,7 +188,7 @@
      * @param wanted what a target must be, not null
      * @param elsewhere true to ask in other data halls
      */
-    public List<String> toAsk(Requirements wanted, boolean elsewhere) {
+    public List<String> targetsToPoll(Requirements wanted, boolean elsewhere) {
         if (settings.polledBeforePlacement() == 0 || wanted.service().engine() == null) {
             return List.of();
         }
--- a/core/src/test/java/org/bankturn/routing/TargetTableTest.java
+++ b/core/src/test/java/org/bankturn/routing/TargetTableTest.java
@@ -52,17 +52,17 @@
         report("old", EngineLoad.NONE);
         clock.advance(PlacementSettings.DEFAULT.maxFreshAgeMillis() + 1);
         report("new", EngineLoad.NONE);
-        assertThat(table.toAsk(wanted(), false)).containsExactly("old");
+        assertThat(table.targetsToPoll(wanted(), false)).containsExactly("old");
         report("old", EngineLoad.NONE);
-        assertThat(table.toAsk(wanted(), false)).isEmpty();
+        assertThat(table.targetsToPoll(wanted(), false)).isEmpty();
     }
 
     @Test
     void engines_of_other_halls_are_asked_only_for_a_request_that_would_leave() {
         add("near", "here");
         add("far", "there");
-        assertThat(table.toAsk(wanted(), false)).containsExactly("near");
-        assertThat(table.toAsk(wanted(), true)).containsExactly("far");
+        assertThat(table.targetsToPoll(wanted(), false)).containsExactly("near");
+        assertThat(table.targetsToPoll(wanted(), true)).containsExactly("far");
     }
 
     @Test
@@ -156,7 +156,7 @@
         assertThat(table.choose(wanted(due))).isPresent();
         clock.advance(600);
         assertThat(table.choose(wanted(due))).isEmpty();
-        assertThat(table.toAsk(wanted(due), false)).containsExactly("near");
+        assertThat(table.targetsToPoll(wanted(due), false)).containsExactly("near");
         report("near", EngineLoad.NONE);
         assertThat(table.choose(wanted(due))).isPresent();
     }
@@ -220,7 +220,7 @@
         TargetState only = state("only");
         only.applyNotice(new TargetNotice(OptionalDouble.empty(), 2_000, false), false, clock.millis(), clock.millis());
         assertThat(table.choose(wanted())).isEmpty();
-        assertThat(table.toAsk(wanted(), false)).isEmpty();
+        assertThat(table.targetsToPoll(wanted(), false)).isEmpty();
         assertThat(table.isHeldBack("only")).isTrue();
         assertThat(table.heldBack(wanted())).hasToString("1 backing_off");
         assertThat(table.heldBack(wanted()).earliestReleaseMillis()).isEqualTo(2_000);
