--- a/core/src/main/java/org/bankturn/routing/RequestPolicy.java
+++ b/core/src/main/java/org/bankturn/routing/RequestPolicy.java
@@ -169,7 +169,7 @@
             return Optional.empty();
         }
         Optional<Candidate> known = targets.choose(wanted);
-        if (known.isPresent() && targets.staysHere(known.get(), wanted)) {
+        if (known.isPresent() && targets.staysLocal(known.get(), wanted)) {
             return Optional.empty();
         }
         request.markRemotePolled();
--- a/core/src/main/java/org/bankturn/routing/TargetTable.java
+++ b/core/src/main/java/org/bankturn/routing/TargetTable.java
@@ -215,7 +215,7 @@
         Candidates candidates = candidates(wanted, clock.millis(), true);
         Optional<Candidate> choice = comparison.best(candidates, wanted);
         wantPermits(candidates.heldBackLocal);
-        if (choice.isEmpty() || !staysHere(choice.get(), wanted)) {
+        if (choice.isEmpty() || !staysLocal(choice.get(), wanted)) {
             wantPermits(candidates.heldBackRemote);
         }
         return choice;
@@ -338,7 +338,7 @@
     }
 
     /** Returns true if the target is in the own data hall and a request begins comfortably in time there. */
-    public boolean staysHere(Candidate choice, Requirements wanted) {
+    public boolean staysLocal(Candidate choice, Requirements wanted) {
         return isNear(choice.target()) && comparison.startsWithinLocalShare(choice, wanted);
     }
 
