--- a/core/src/main/java/org/bankturn/routing/RequestPolicy.java
+++ b/core/src/main/java/org/bankturn/routing/RequestPolicy.java
@@ -212,7 +212,8 @@
         if (most <= 0) {
             return Optional.empty();
         }
-        return targets.permitWithin(most, wanted(request)).map(target -> new NextStep.AwaitPermit(target, most));
+        return targets.targetWithPermitWithin(most, wanted(request))
+                .map(target -> new NextStep.AwaitPermit(target, most));
     }
 
     private NextStep.GiveUp withoutTarget(RequestProgress request) {
--- a/core/src/main/java/org/bankturn/routing/TargetTable.java
+++ b/core/src/main/java/org/bankturn/routing/TargetTable.java
@@ -249,7 +249,7 @@
     }
 
     /** Returns a target that a request could be sent to within a time, if a permit comes, not null. */
-    Optional<TargetState> permitWithin(long millis, Requirements wanted) {
+    Optional<TargetState> targetWithPermitWithin(long millis, Requirements wanted) {
         long now = clock.millis();
         return byService.getOrDefault(wanted.service().name(), List.of()).stream()
                 .filter(state -> mayTake(state, wanted) && state.mayGetPermitWithin(millis, now))
