--- a/core/src/main/java/org/bankturn/routing/TargetTable.java
+++ b/core/src/main/java/org/bankturn/routing/TargetTable.java
@@ -227,7 +227,7 @@
     }
 
     /** Returns the targets for which requests could have used a permit since this was last asked, not null. */
-    public List<TargetState> takePermitsWanted() {
+    public List<TargetState> drainPermitRequests() {
         if (permitsWanted.isEmpty()) {
             return List.of();
         }
--- a/core/src/test/java/org/bankturn/routing/RequestPolicyTest.java
+++ b/core/src/test/java/org/bankturn/routing/RequestPolicyTest.java
@@ -91,7 +91,7 @@
         TargetState one = limitedOnlyTarget();
         NextStep.AwaitPermit wait = (NextStep.AwaitPermit) decide(request());
         assertThat(wait.timeoutMillis()).isEqualTo(ROUTE.objectiveMillis() / 8);
-        assertThat(targets.takePermitsWanted()).containsExactly(one);
+        assertThat(targets.drainPermitRequests()).containsExactly(one);
         answerPermit(one, true, 0);
         assertThat(decide(request())).isInstanceOf(NextStep.Send.class);
     }
--- a/core/src/test/java/org/bankturn/routing/TargetTableTest.java
+++ b/core/src/test/java/org/bankturn/routing/TargetTableTest.java
@@ -248,10 +248,10 @@
         report("other", EngineLoad.NONE);
         report("limited", new EngineLoad(4, 0, 0, 0, 1, false));
         assertThat(chosen()).isEqualTo("other");
-        assertThat(table.takePermitsWanted()).containsExactly(limited);
+        assertThat(table.drainPermitRequests()).containsExactly(limited);
         limited.permitRequested();
         assertThat(chosen()).isEqualTo("other");
-        assertThat(table.takePermitsWanted()).isEmpty();
+        assertThat(table.drainPermitRequests()).isEmpty();
         limited.permitAnswered(
                 new PermitCoordinator.Answer(limited.rateLimit(), true, 0), clock.millis(), clock.millis());
         assertThat(chosen()).isEqualTo("limited");
@@ -267,10 +267,10 @@
         add("near", "here");
         report("near", EngineLoad.NONE);
         assertThat(chosen()).isEqualTo("near");
-        assertThat(table.takePermitsWanted()).isEmpty();
+        assertThat(table.drainPermitRequests()).isEmpty();
         report("near", FULL);
         assertThat(chosen()).isEqualTo("near");
-        assertThat(table.takePermitsWanted()).containsExactly(far);
+        assertThat(table.drainPermitRequests()).containsExactly(far);
     }
 
     /** Cut off from the control group for a while, a target is dropped and listed again; it is the same start of it. */
--- a/daemon/src/main/java/org/bankturn/daemon/gateway/PermitCalls.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/PermitCalls.java
@@ -96,7 +96,7 @@
 
     /** Asks for the permits that requests could have used. */
     void askForWanted() {
-        for (TargetState target : targets.takePermitsWanted()) {
+        for (TargetState target : targets.drainPermitRequests()) {
             askFor(target);
         }
     }
