--- a/core/src/main/java/org/bankturn/routing/TargetFlowControl.java
+++ b/core/src/main/java/org/bankturn/routing/TargetFlowControl.java
@@ -14,7 +14,7 @@
  */
 final class TargetFlowControl {
     /** A target that asks for a longer wait is tried again then: the number may be an error. */
-    static final long MOST_BACK_OFF_MILLIS = 3_600_000;
+    static final long MAX_BACK_OFF_MILLIS = 3_600_000;
 
     /** A coordinator that does not answer may be starting again. */
     private static final long UNANSWERED_PAUSE_MILLIS = 500;
@@ -118,7 +118,7 @@
             learn(RateLimit.none(sentMillis), changes);
         }
         if (notice.backOffMillis() > 0) {
-            long until = nowMillis + Math.min(MOST_BACK_OFF_MILLIS, notice.backOffMillis());
+            long until = nowMillis + Math.min(MAX_BACK_OFF_MILLIS, notice.backOffMillis());
             // answers pass each other, so that a shorter wait may have been asked for earlier
             backOffUntilMillis = Math.max(backOffUntilMillis, until);
             changes.add(NoticeChange.BACKS_OFF);
--- a/core/src/test/java/org/bankturn/routing/TargetFlowControlTest.java
+++ b/core/src/test/java/org/bankturn/routing/TargetFlowControlTest.java
@@ -103,10 +103,9 @@
     @Test
     void a_wait_of_ages_ends_within_an_hour() {
         terms.noticed(new TargetNotice(OptionalDouble.empty(), Long.MAX_VALUE, false), false, NOW - 10, NOW);
-        assertThat(terms.takePlace(NOW + TargetFlowControl.MOST_BACK_OFF_MILLIS - 1))
+        assertThat(terms.takePlace(NOW + TargetFlowControl.MAX_BACK_OFF_MILLIS - 1))
                 .contains(HoldReason.BACKING_OFF);
-        assertThat(terms.takePlace(NOW + TargetFlowControl.MOST_BACK_OFF_MILLIS))
-                .isEmpty();
+        assertThat(terms.takePlace(NOW + TargetFlowControl.MAX_BACK_OFF_MILLIS)).isEmpty();
     }
 
     @Test
