--- a/core/src/main/java/org/bankturn/routing/TargetFlowControl.java
+++ b/core/src/main/java/org/bankturn/routing/TargetFlowControl.java
@@ -48,7 +48,7 @@
     }
 
     /** Returns how long until the target may get a request, as far as is known; Long.MAX_VALUE for never. */
-    long untilFreeMillis(long nowMillis) {
+    long untilReleaseMillis(long nowMillis) {
         if (leaving) {
             return Long.MAX_VALUE;
         }
--- a/core/src/main/java/org/bankturn/routing/TargetState.java
+++ b/core/src/main/java/org/bankturn/routing/TargetState.java
@@ -163,7 +163,7 @@
 
     /** Returns how long until a target that is held back may get a request, as far as is known. */
     long untilReleaseMillis(long nowMillis) {
-        return flowControl.untilFreeMillis(nowMillis);
+        return flowControl.untilReleaseMillis(nowMillis);
     }
 
     /** Returns true if a permit may be there within a time: one is held for later, or is being asked for. */
--- a/core/src/test/java/org/bankturn/routing/TargetFlowControlTest.java
+++ b/core/src/test/java/org/bankturn/routing/TargetFlowControlTest.java
@@ -96,7 +96,7 @@
                 .containsExactly(NoticeChange.BACKS_OFF);
         terms.noticed(new TargetNotice(OptionalDouble.empty(), 1_000, false), false, NOW - 10, NOW + 5);
         assertThat(terms.takePlace(NOW + 2_999)).contains(HoldReason.BACKING_OFF);
-        assertThat(terms.untilFreeMillis(NOW + 1_000)).isEqualTo(2_000);
+        assertThat(terms.untilReleaseMillis(NOW + 1_000)).isEqualTo(2_000);
         assertThat(terms.takePlace(NOW + 3_000)).isEmpty();
     }
 
@@ -115,7 +115,7 @@
         assertThat(terms.noticed(TargetNotice.NONE, true, NOW + 5, NOW + 10)).containsExactly(NoticeChange.LIMIT_ENDED);
         assertThat(terms.takePlace(NOW + 60_000)).contains(HoldReason.LEAVING);
         assertThat(terms.wantsPermit(NOW + 60_000)).isFalse();
-        assertThat(terms.untilFreeMillis(NOW + 60_000)).isEqualTo(Long.MAX_VALUE);
+        assertThat(terms.untilReleaseMillis(NOW + 60_000)).isEqualTo(Long.MAX_VALUE);
     }
 
     @Test
@@ -123,6 +123,6 @@
         terms.noticed(new TargetNotice(OptionalDouble.of(1), 500, false), false, NOW - 10, NOW);
         assertThat(terms.wantsPermit(NOW + 499)).isFalse();
         assertThat(terms.wantsPermit(NOW + 500)).isTrue();
-        assertThat(terms.untilFreeMillis(NOW)).isEqualTo(1_000);
+        assertThat(terms.untilReleaseMillis(NOW)).isEqualTo(1_000);
     }
 }
