--- a/core/src/main/java/org/bankturn/routing/TargetFlowControl.java
+++ b/core/src/main/java/org/bankturn/routing/TargetFlowControl.java
@@ -57,13 +57,13 @@
     }
 
     /** Returns how long until the permit that is held may be used, 0 if none is held. */
-    long untilHeldPermitMillis(long nowMillis) {
+    long untilPermitUsableMillis(long nowMillis) {
         return permitUntilMillis > nowMillis ? Math.max(0, permitFromMillis - nowMillis) : 0;
     }
 
     private long untilPermitMillis(long nowMillis) {
         if (permitUntilMillis > nowMillis) {
-            return untilHeldPermitMillis(nowMillis);
+            return untilPermitUsableMillis(nowMillis);
         }
         return Math.max(0, askFromMillis - nowMillis) + Math.round(limit.paceMillis());
     }
--- a/core/src/main/java/org/bankturn/routing/TargetState.java
+++ b/core/src/main/java/org/bankturn/routing/TargetState.java
@@ -173,7 +173,7 @@
 
     /** Returns how long until the permit that is held may be used, 0 if none is held. */
     public long untilPermitUsableMillis(long nowMillis) {
-        return flowControl.untilHeldPermitMillis(nowMillis);
+        return flowControl.untilPermitUsableMillis(nowMillis);
     }
 
     /** Returns true if a permit is being asked for. */
