--- a/core/src/main/java/org/bankturn/routing/FlowControlCache.java
+++ b/core/src/main/java/org/bankturn/routing/FlowControlCache.java
@@ -16,7 +16,7 @@
 
     /** Remembers the terms of a start that is no longer listed, if it asked for anything; the oldest are forgotten. */
     void put(String incarnation, TargetFlowControl terms) {
-        if (!terms.askForSomething()) {
+        if (!terms.hasConstraints()) {
             return;
         }
         byIncarnation.put(incarnation, terms);
--- a/core/src/main/java/org/bankturn/routing/TargetFlowControl.java
+++ b/core/src/main/java/org/bankturn/routing/TargetFlowControl.java
@@ -69,7 +69,7 @@
     }
 
     /** Returns true if the target asked for something that may still hold. */
-    boolean askForSomething() {
+    boolean hasConstraints() {
         return leaving || limit.inForce() || backOffUntilMillis > NEVER;
     }
 
