--- a/core/src/main/java/org/bankturn/routing/TargetFlowControl.java
+++ b/core/src/main/java/org/bankturn/routing/TargetFlowControl.java
@@ -74,7 +74,7 @@
     }
 
     /** Returns true if a permit should be asked for, because a request could use one. */
-    boolean wantsPermit(long nowMillis) {
+    boolean needsPermit(long nowMillis) {
         boolean wantsRequests = !leaving && nowMillis >= backOffUntilMillis;
         return wantsRequests
                 && limit.inForce()
@@ -87,7 +87,7 @@
     boolean mayGetPermitWithin(long millis, long nowMillis) {
         boolean wantsRequests = !leaving && nowMillis >= backOffUntilMillis;
         boolean isHeld = nowMillis < permitUntilMillis && permitFromMillis <= nowMillis + millis;
-        return wantsRequests && limit.inForce() && (isHeld || asking || wantsPermit(nowMillis));
+        return wantsRequests && limit.inForce() && (isHeld || asking || needsPermit(nowMillis));
     }
 
     /** Returns true if a permit is being asked for. */
--- a/core/src/main/java/org/bankturn/routing/TargetState.java
+++ b/core/src/main/java/org/bankturn/routing/TargetState.java
@@ -183,7 +183,7 @@
 
     /** Returns true if a permit should be asked for, because a request could use one. */
     boolean needsPermit(long nowMillis) {
-        return flowControl.wantsPermit(nowMillis);
+        return flowControl.needsPermit(nowMillis);
     }
 
     // ---- what is learned
--- a/core/src/test/java/org/bankturn/routing/RateLimitReplay.java
+++ b/core/src/test/java/org/bankturn/routing/RateLimitReplay.java
@@ -110,7 +110,7 @@
             if (way == Way.PARTS) {
                 return !terms.limit().inForce() || takePart();
             }
-            if (terms.wantsPermit(now)) {
+            if (terms.needsPermit(now)) {
                 askForPermit();
             }
             return terms.takePlace(now).isEmpty();
--- a/core/src/test/java/org/bankturn/routing/TargetFlowControlTest.java
+++ b/core/src/test/java/org/bankturn/routing/TargetFlowControlTest.java
@@ -19,14 +19,14 @@
     @Test
     void a_target_that_asked_for_nothing_gets_requests() {
         assertThat(terms.takePlace(NOW)).isEmpty();
-        assertThat(terms.wantsPermit(NOW)).isFalse();
+        assertThat(terms.needsPermit(NOW)).isFalse();
     }
 
     @Test
     void a_limited_target_gets_one_request_for_each_permit_and_none_without() {
         assertThat(terms.noticed(ONE_A_SECOND, true, NOW - 10, NOW)).containsExactly(NoticeChange.LIMIT_NAMED);
         assertThat(terms.takePlace(NOW)).contains(HoldReason.RATE_LIMITED);
-        assertThat(terms.wantsPermit(NOW)).isTrue();
+        assertThat(terms.needsPermit(NOW)).isTrue();
         permit(true, 100, NOW, NOW + 2);
         assertThat(terms.takePlace(NOW + 50)).contains(HoldReason.RATE_LIMITED);
         assertThat(terms.takePlace(NOW + 102)).isEmpty();
@@ -39,7 +39,7 @@
         permit(true, 100, NOW, NOW + 2);
         long over = NOW + 100 + PermitCoordinator.PERMIT_VALIDITY_MILLIS;
         assertThat(terms.takePlace(over)).contains(HoldReason.RATE_LIMITED);
-        assertThat(terms.wantsPermit(over)).isTrue();
+        assertThat(terms.needsPermit(over)).isTrue();
     }
 
     @Test
@@ -54,8 +54,8 @@
     void a_gateway_asks_again_when_it_was_told_to_and_not_before() {
         terms.noticed(ONE_A_SECOND, true, NOW - 10, NOW);
         permit(false, 700, NOW, NOW + 2);
-        assertThat(terms.wantsPermit(NOW + 701)).isFalse();
-        assertThat(terms.wantsPermit(NOW + 702)).isTrue();
+        assertThat(terms.needsPermit(NOW + 701)).isFalse();
+        assertThat(terms.needsPermit(NOW + 702)).isTrue();
     }
 
     @Test
@@ -114,15 +114,15 @@
                 .containsExactlyInAnyOrder(NoticeChange.LIMIT_NAMED, NoticeChange.BACKS_OFF, NoticeChange.LEAVES);
         assertThat(terms.noticed(TargetNotice.NONE, true, NOW + 5, NOW + 10)).containsExactly(NoticeChange.LIMIT_ENDED);
         assertThat(terms.takePlace(NOW + 60_000)).contains(HoldReason.LEAVING);
-        assertThat(terms.wantsPermit(NOW + 60_000)).isFalse();
+        assertThat(terms.needsPermit(NOW + 60_000)).isFalse();
         assertThat(terms.untilReleaseMillis(NOW + 60_000)).isEqualTo(Long.MAX_VALUE);
     }
 
     @Test
     void a_target_that_waits_and_is_limited_is_asked_no_permit_for() {
         terms.noticed(new TargetNotice(OptionalDouble.of(1), 500, false), false, NOW - 10, NOW);
-        assertThat(terms.wantsPermit(NOW + 499)).isFalse();
-        assertThat(terms.wantsPermit(NOW + 500)).isTrue();
+        assertThat(terms.needsPermit(NOW + 499)).isFalse();
+        assertThat(terms.needsPermit(NOW + 500)).isTrue();
         assertThat(terms.untilReleaseMillis(NOW)).isEqualTo(1_000);
     }
 }
