--- a/core/src/main/java/org/bankturn/routing/TargetFlowControl.java
+++ b/core/src/main/java/org/bankturn/routing/TargetFlowControl.java
@@ -91,7 +91,7 @@
     }
 
     /** Returns true if a permit is being asked for. */
-    boolean isAsking() {
+    boolean isPermitPending() {
         return asking;
     }
 
--- a/core/src/main/java/org/bankturn/routing/TargetState.java
+++ b/core/src/main/java/org/bankturn/routing/TargetState.java
@@ -178,7 +178,7 @@
 
     /** Returns true if a permit is being asked for. */
     public boolean isPermitPending() {
-        return flowControl.isAsking();
+        return flowControl.isPermitPending();
     }
 
     /** Returns true if a permit should be asked for, because a request could use one. */
