--- a/core/src/main/java/org/bankturn/routing/TargetFlowControl.java
+++ b/core/src/main/java/org/bankturn/routing/TargetFlowControl.java
@@ -110,7 +110,7 @@
      * @param nowMillis the time
      * @return what is new in it, not null
      */
-    Set<NoticeChange> noticed(TargetNotice notice, boolean whole, long sentMillis, long nowMillis) {
+    Set<NoticeChange> applyNotice(TargetNotice notice, boolean whole, long sentMillis, long nowMillis) {
         Set<NoticeChange> changes = EnumSet.noneOf(NoticeChange.class);
         if (notice.requestsPerSecond().isPresent()) {
             learn(RateLimit.named(notice.requestsPerSecond().getAsDouble(), nowMillis), changes);
--- a/core/src/main/java/org/bankturn/routing/TargetState.java
+++ b/core/src/main/java/org/bankturn/routing/TargetState.java
@@ -198,7 +198,7 @@
      * @return what is new in it, not null
      */
     public Set<NoticeChange> applyNotice(TargetNotice notice, boolean whole, long sentMillis, long nowMillis) {
-        return flowControl.noticed(notice, whole, sentMillis, nowMillis);
+        return flowControl.applyNotice(notice, whole, sentMillis, nowMillis);
     }
 
     /**
--- a/core/src/test/java/org/bankturn/routing/RateLimitReplay.java
+++ b/core/src/test/java/org/bankturn/routing/RateLimitReplay.java
@@ -144,7 +144,7 @@
             boolean limited = now < LIMIT_ENDS_MILLIS;
             TargetNotice notice =
                     new TargetNotice(limited ? OptionalDouble.of(perSecond) : OptionalDouble.empty(), 0, false);
-            boolean changed = !terms.noticed(notice, true, sentMillis, now).isEmpty();
+            boolean changed = !terms.applyNotice(notice, true, sentMillis, now).isEmpty();
             if (limited) {
                 toldMillis = Math.min(toldMillis, now);
             } else if (changed && way == Way.PERMITS) {
--- a/core/src/test/java/org/bankturn/routing/TargetFlowControlTest.java
+++ b/core/src/test/java/org/bankturn/routing/TargetFlowControlTest.java
@@ -24,7 +24,7 @@
 
     @Test
     void a_limited_target_gets_one_request_for_each_permit_and_none_without() {
-        assertThat(terms.noticed(ONE_A_SECOND, true, NOW - 10, NOW)).containsExactly(NoticeChange.LIMIT_NAMED);
+        assertThat(terms.applyNotice(ONE_A_SECOND, true, NOW - 10, NOW)).containsExactly(NoticeChange.LIMIT_NAMED);
         assertThat(terms.takePlace(NOW)).contains(HoldReason.RATE_LIMITED);
         assertThat(terms.needsPermit(NOW)).isTrue();
         permit(true, 100, NOW, NOW + 2);
@@ -35,7 +35,7 @@
 
     @Test
     void a_permit_is_lost_once_its_time_is_over() {
-        terms.noticed(ONE_A_SECOND, true, NOW - 10, NOW);
+        terms.applyNotice(ONE_A_SECOND, true, NOW - 10, NOW);
         permit(true, 100, NOW, NOW + 2);
         long over = NOW + 100 + PermitCoordinator.PERMIT_VALIDITY_MILLIS;
         assertThat(terms.takePlace(over)).contains(HoldReason.RATE_LIMITED);
@@ -44,7 +44,7 @@
 
     @Test
     void a_permit_that_comes_late_is_valid_no_longer_for_it() {
-        terms.noticed(ONE_A_SECOND, true, NOW - 10, NOW);
+        terms.applyNotice(ONE_A_SECOND, true, NOW - 10, NOW);
         permit(true, 0, NOW, NOW + PermitCoordinator.PERMIT_VALIDITY_MILLIS);
         assertThat(terms.takePlace(NOW + PermitCoordinator.PERMIT_VALIDITY_MILLIS))
                 .contains(HoldReason.RATE_LIMITED);
@@ -52,7 +52,7 @@
 
     @Test
     void a_gateway_asks_again_when_it_was_told_to_and_not_before() {
-        terms.noticed(ONE_A_SECOND, true, NOW - 10, NOW);
+        terms.applyNotice(ONE_A_SECOND, true, NOW - 10, NOW);
         permit(false, 700, NOW, NOW + 2);
         assertThat(terms.needsPermit(NOW + 701)).isFalse();
         assertThat(terms.needsPermit(NOW + 702)).isTrue();
@@ -60,31 +60,34 @@
 
     @Test
     void an_answer_to_a_request_that_was_sent_before_the_limit_was_named_does_not_end_it() {
-        terms.noticed(ONE_A_SECOND, true, NOW - 10, NOW);
-        assertThat(terms.noticed(TargetNotice.NONE, true, NOW - 5, NOW + 20)).isEmpty();
+        terms.applyNotice(ONE_A_SECOND, true, NOW - 10, NOW);
+        assertThat(terms.applyNotice(TargetNotice.NONE, true, NOW - 5, NOW + 20))
+                .isEmpty();
         assertThat(terms.limit().inForce()).isTrue();
-        assertThat(terms.noticed(TargetNotice.NONE, true, NOW + 1, NOW + 20)).containsExactly(NoticeChange.LIMIT_ENDED);
+        assertThat(terms.applyNotice(TargetNotice.NONE, true, NOW + 1, NOW + 20))
+                .containsExactly(NoticeChange.LIMIT_ENDED);
         assertThat(terms.takePlace(NOW + 20)).isEmpty();
     }
 
     @Test
     void a_rejection_that_names_no_limit_does_not_end_it() {
-        terms.noticed(ONE_A_SECOND, true, NOW - 10, NOW);
-        assertThat(terms.noticed(TargetNotice.NONE, false, NOW + 1, NOW + 20)).isEmpty();
+        terms.applyNotice(ONE_A_SECOND, true, NOW - 10, NOW);
+        assertThat(terms.applyNotice(TargetNotice.NONE, false, NOW + 1, NOW + 20))
+                .isEmpty();
         assertThat(terms.limit().inForce()).isTrue();
     }
 
     @Test
     void a_limit_that_changes_or_is_named_again_goes_on() {
-        terms.noticed(ONE_A_SECOND, true, NOW - 10, NOW);
-        assertThat(terms.noticed(ONE_A_SECOND, true, NOW + 5, NOW + 10)).isEmpty();
+        terms.applyNotice(ONE_A_SECOND, true, NOW - 10, NOW);
+        assertThat(terms.applyNotice(ONE_A_SECOND, true, NOW + 5, NOW + 10)).isEmpty();
         TargetNotice two = new TargetNotice(OptionalDouble.of(2), 0, false);
-        assertThat(terms.noticed(two, true, NOW + 15, NOW + 20)).containsExactly(NoticeChange.LIMIT_CHANGED);
+        assertThat(terms.applyNotice(two, true, NOW + 15, NOW + 20)).containsExactly(NoticeChange.LIMIT_CHANGED);
     }
 
     @Test
     void the_end_of_a_limit_that_another_gateway_saw_counts_here() {
-        terms.noticed(ONE_A_SECOND, true, NOW - 10, NOW);
+        terms.applyNotice(ONE_A_SECOND, true, NOW - 10, NOW);
         terms.permitAsked();
         terms.permitAnswered(new PermitCoordinator.Answer(RateLimit.none(NOW + 50), false, 0), NOW + 40, NOW + 60);
         assertThat(terms.takePlace(NOW + 60)).isEmpty();
@@ -92,9 +95,9 @@
 
     @Test
     void a_target_that_asked_to_wait_gets_nothing_until_the_longest_wait_is_over() {
-        assertThat(terms.noticed(new TargetNotice(OptionalDouble.empty(), 3_000, false), false, NOW - 10, NOW))
+        assertThat(terms.applyNotice(new TargetNotice(OptionalDouble.empty(), 3_000, false), false, NOW - 10, NOW))
                 .containsExactly(NoticeChange.BACKS_OFF);
-        terms.noticed(new TargetNotice(OptionalDouble.empty(), 1_000, false), false, NOW - 10, NOW + 5);
+        terms.applyNotice(new TargetNotice(OptionalDouble.empty(), 1_000, false), false, NOW - 10, NOW + 5);
         assertThat(terms.takePlace(NOW + 2_999)).contains(HoldReason.BACKING_OFF);
         assertThat(terms.untilReleaseMillis(NOW + 1_000)).isEqualTo(2_000);
         assertThat(terms.takePlace(NOW + 3_000)).isEmpty();
@@ -102,7 +105,7 @@
 
     @Test
     void a_wait_of_ages_ends_within_an_hour() {
-        terms.noticed(new TargetNotice(OptionalDouble.empty(), Long.MAX_VALUE, false), false, NOW - 10, NOW);
+        terms.applyNotice(new TargetNotice(OptionalDouble.empty(), Long.MAX_VALUE, false), false, NOW - 10, NOW);
         assertThat(terms.takePlace(NOW + TargetFlowControl.MAX_BACK_OFF_MILLIS - 1))
                 .contains(HoldReason.BACKING_OFF);
         assertThat(terms.takePlace(NOW + TargetFlowControl.MAX_BACK_OFF_MILLIS)).isEmpty();
@@ -110,9 +113,10 @@
 
     @Test
     void a_leaving_target_gets_nothing_whatever_else_it_says() {
-        assertThat(terms.noticed(new TargetNotice(OptionalDouble.of(1), 10, true), true, NOW - 10, NOW))
+        assertThat(terms.applyNotice(new TargetNotice(OptionalDouble.of(1), 10, true), true, NOW - 10, NOW))
                 .containsExactlyInAnyOrder(NoticeChange.LIMIT_NAMED, NoticeChange.BACKS_OFF, NoticeChange.LEAVES);
-        assertThat(terms.noticed(TargetNotice.NONE, true, NOW + 5, NOW + 10)).containsExactly(NoticeChange.LIMIT_ENDED);
+        assertThat(terms.applyNotice(TargetNotice.NONE, true, NOW + 5, NOW + 10))
+                .containsExactly(NoticeChange.LIMIT_ENDED);
         assertThat(terms.takePlace(NOW + 60_000)).contains(HoldReason.LEAVING);
         assertThat(terms.needsPermit(NOW + 60_000)).isFalse();
         assertThat(terms.untilReleaseMillis(NOW + 60_000)).isEqualTo(Long.MAX_VALUE);
@@ -120,7 +124,7 @@
 
     @Test
     void a_target_that_waits_and_is_limited_is_asked_no_permit_for() {
-        terms.noticed(new TargetNotice(OptionalDouble.of(1), 500, false), false, NOW - 10, NOW);
+        terms.applyNotice(new TargetNotice(OptionalDouble.of(1), 500, false), false, NOW - 10, NOW);
         assertThat(terms.needsPermit(NOW + 499)).isFalse();
         assertThat(terms.needsPermit(NOW + 500)).isTrue();
         assertThat(terms.untilReleaseMillis(NOW)).isEqualTo(1_000);
