--- a/core/src/main/java/org/bankturn/routing/TargetFlowControl.java
+++ b/core/src/main/java/org/bankturn/routing/TargetFlowControl.java
@@ -142,7 +142,7 @@
     }
 
     /** A request is about to leave for the target; returns why it must not, or empty and uses the permit, if there is one. */
-    Optional<HoldReason> takePlace(long nowMillis) {
+    Optional<HoldReason> acquire(long nowMillis) {
         Optional<HoldReason> reason = heldBack(nowMillis);
         if (reason.isEmpty()) {
             permitUntilMillis = NEVER;
--- a/core/src/main/java/org/bankturn/routing/TargetState.java
+++ b/core/src/main/java/org/bankturn/routing/TargetState.java
@@ -207,7 +207,7 @@
      * @return why the request must not be sent, empty if it may, and then a permit is used; not null
      */
     public Optional<HoldReason> acquire(long nowMillis) {
-        return flowControl.takePlace(nowMillis);
+        return flowControl.acquire(nowMillis);
     }
 
     /** A permit for the target is being asked for. */
--- a/core/src/test/java/org/bankturn/routing/RateLimitReplay.java
+++ b/core/src/test/java/org/bankturn/routing/RateLimitReplay.java
@@ -113,7 +113,7 @@
             if (terms.needsPermit(now)) {
                 askForPermit();
             }
-            return terms.takePlace(now).isEmpty();
+            return terms.acquire(now).isEmpty();
         }
 
         private boolean takePart() {
--- a/core/src/test/java/org/bankturn/routing/TargetFlowControlTest.java
+++ b/core/src/test/java/org/bankturn/routing/TargetFlowControlTest.java
@@ -18,19 +18,19 @@
 
     @Test
     void a_target_that_asked_for_nothing_gets_requests() {
-        assertThat(terms.takePlace(NOW)).isEmpty();
+        assertThat(terms.acquire(NOW)).isEmpty();
         assertThat(terms.needsPermit(NOW)).isFalse();
     }
 
     @Test
     void a_limited_target_gets_one_request_for_each_permit_and_none_without() {
         assertThat(terms.applyNotice(ONE_A_SECOND, true, NOW - 10, NOW)).containsExactly(NoticeChange.LIMIT_NAMED);
-        assertThat(terms.takePlace(NOW)).contains(HoldReason.RATE_LIMITED);
+        assertThat(terms.acquire(NOW)).contains(HoldReason.RATE_LIMITED);
         assertThat(terms.needsPermit(NOW)).isTrue();
         permit(true, 100, NOW, NOW + 2);
-        assertThat(terms.takePlace(NOW + 50)).contains(HoldReason.RATE_LIMITED);
-        assertThat(terms.takePlace(NOW + 102)).isEmpty();
-        assertThat(terms.takePlace(NOW + 103)).contains(HoldReason.RATE_LIMITED);
+        assertThat(terms.acquire(NOW + 50)).contains(HoldReason.RATE_LIMITED);
+        assertThat(terms.acquire(NOW + 102)).isEmpty();
+        assertThat(terms.acquire(NOW + 103)).contains(HoldReason.RATE_LIMITED);
     }
 
     @Test
@@ -38,7 +38,7 @@
         terms.applyNotice(ONE_A_SECOND, true, NOW - 10, NOW);
         permit(true, 100, NOW, NOW + 2);
         long over = NOW + 100 + PermitCoordinator.PERMIT_VALIDITY_MILLIS;
-        assertThat(terms.takePlace(over)).contains(HoldReason.RATE_LIMITED);
+        assertThat(terms.acquire(over)).contains(HoldReason.RATE_LIMITED);
         assertThat(terms.needsPermit(over)).isTrue();
     }
 
@@ -46,7 +46,7 @@
     void a_permit_that_comes_late_is_valid_no_longer_for_it() {
         terms.applyNotice(ONE_A_SECOND, true, NOW - 10, NOW);
         permit(true, 0, NOW, NOW + PermitCoordinator.PERMIT_VALIDITY_MILLIS);
-        assertThat(terms.takePlace(NOW + PermitCoordinator.PERMIT_VALIDITY_MILLIS))
+        assertThat(terms.acquire(NOW + PermitCoordinator.PERMIT_VALIDITY_MILLIS))
                 .contains(HoldReason.RATE_LIMITED);
     }
 
@@ -66,7 +66,7 @@
         assertThat(terms.limit().inForce()).isTrue();
         assertThat(terms.applyNotice(TargetNotice.NONE, true, NOW + 1, NOW + 20))
                 .containsExactly(NoticeChange.LIMIT_ENDED);
-        assertThat(terms.takePlace(NOW + 20)).isEmpty();
+        assertThat(terms.acquire(NOW + 20)).isEmpty();
     }
 
     @Test
@@ -90,7 +90,7 @@
         terms.applyNotice(ONE_A_SECOND, true, NOW - 10, NOW);
         terms.permitAsked();
         terms.permitAnswered(new PermitCoordinator.Answer(RateLimit.none(NOW + 50), false, 0), NOW + 40, NOW + 60);
-        assertThat(terms.takePlace(NOW + 60)).isEmpty();
+        assertThat(terms.acquire(NOW + 60)).isEmpty();
     }
 
     @Test
@@ -98,17 +98,17 @@
         assertThat(terms.applyNotice(new TargetNotice(OptionalDouble.empty(), 3_000, false), false, NOW - 10, NOW))
                 .containsExactly(NoticeChange.BACKS_OFF);
         terms.applyNotice(new TargetNotice(OptionalDouble.empty(), 1_000, false), false, NOW - 10, NOW + 5);
-        assertThat(terms.takePlace(NOW + 2_999)).contains(HoldReason.BACKING_OFF);
+        assertThat(terms.acquire(NOW + 2_999)).contains(HoldReason.BACKING_OFF);
         assertThat(terms.untilReleaseMillis(NOW + 1_000)).isEqualTo(2_000);
-        assertThat(terms.takePlace(NOW + 3_000)).isEmpty();
+        assertThat(terms.acquire(NOW + 3_000)).isEmpty();
     }
 
     @Test
     void a_wait_of_ages_ends_within_an_hour() {
         terms.applyNotice(new TargetNotice(OptionalDouble.empty(), Long.MAX_VALUE, false), false, NOW - 10, NOW);
-        assertThat(terms.takePlace(NOW + TargetFlowControl.MAX_BACK_OFF_MILLIS - 1))
+        assertThat(terms.acquire(NOW + TargetFlowControl.MAX_BACK_OFF_MILLIS - 1))
                 .contains(HoldReason.BACKING_OFF);
-        assertThat(terms.takePlace(NOW + TargetFlowControl.MAX_BACK_OFF_MILLIS)).isEmpty();
+        assertThat(terms.acquire(NOW + TargetFlowControl.MAX_BACK_OFF_MILLIS)).isEmpty();
     }
 
     @Test
@@ -117,7 +117,7 @@
                 .containsExactlyInAnyOrder(NoticeChange.LIMIT_NAMED, NoticeChange.BACKS_OFF, NoticeChange.LEAVES);
         assertThat(terms.applyNotice(TargetNotice.NONE, true, NOW + 5, NOW + 10))
                 .containsExactly(NoticeChange.LIMIT_ENDED);
-        assertThat(terms.takePlace(NOW + 60_000)).contains(HoldReason.LEAVING);
+        assertThat(terms.acquire(NOW + 60_000)).contains(HoldReason.LEAVING);
         assertThat(terms.needsPermit(NOW + 60_000)).isFalse();
         assertThat(terms.untilReleaseMillis(NOW + 60_000)).isEqualTo(Long.MAX_VALUE);
     }
