--- a/core/src/main/java/org/bankturn/routing/TargetFlowControl.java
+++ b/core/src/main/java/org/bankturn/routing/TargetFlowControl.java
@@ -153,7 +153,7 @@
     // ---- permits
 
     /** A permit is being asked for. */
-    void permitAsked() {
+    void permitRequested() {
         asking = true;
     }
 
--- a/core/src/main/java/org/bankturn/routing/TargetState.java
+++ b/core/src/main/java/org/bankturn/routing/TargetState.java
@@ -212,7 +212,7 @@
 
     /** A permit for the target is being asked for. */
     public void permitRequested() {
-        flowControl.permitAsked();
+        flowControl.permitRequested();
     }
 
     /**
--- a/core/src/test/java/org/bankturn/routing/RateLimitReplay.java
+++ b/core/src/test/java/org/bankturn/routing/RateLimitReplay.java
@@ -169,7 +169,7 @@
         private void askForPermit() {
             TargetFlowControl start = terms;
             long askedMillis = now;
-            terms.permitAsked();
+            terms.permitRequested();
             Optional<Gateway> other = responsible();
             boolean[] answered = {false};
             other.ifPresent(asked -> message(asked, () -> {
--- a/core/src/test/java/org/bankturn/routing/TargetFlowControlTest.java
+++ b/core/src/test/java/org/bankturn/routing/TargetFlowControlTest.java
@@ -12,7 +12,7 @@
     private final TargetFlowControl terms = new TargetFlowControl();
 
     private void permit(boolean granted, long inMillis, long askedMillis, long nowMillis) {
-        terms.permitAsked();
+        terms.permitRequested();
         terms.permitAnswered(new PermitCoordinator.Answer(terms.limit(), granted, inMillis), askedMillis, nowMillis);
     }
 
@@ -88,7 +88,7 @@
     @Test
     void the_end_of_a_limit_that_another_gateway_saw_counts_here() {
         terms.applyNotice(ONE_A_SECOND, true, NOW - 10, NOW);
-        terms.permitAsked();
+        terms.permitRequested();
         terms.permitAnswered(new PermitCoordinator.Answer(RateLimit.none(NOW + 50), false, 0), NOW + 40, NOW + 60);
         assertThat(terms.acquire(NOW + 60)).isEmpty();
     }
