--- a/core/src/main/java/org/bankturn/routing/RequestPolicy.java
+++ b/core/src/main/java/org/bankturn/routing/RequestPolicy.java
@@ -107,7 +107,7 @@
 
     /** Returns the version that must run a request of the service, 0 for any, -1 if the service holds no weights. */
     public int minVersion(Service service) {
-        return service.weights() == null ? -1 : versionsDue(service).leastVersion(clock.millis());
+        return service.weights() == null ? -1 : versionsDue(service).minVersion(clock.millis());
     }
 
     /** Returns what was learned about predictions for a service, not null. */
--- a/core/src/main/java/org/bankturn/routing/VersionDeadlines.java
+++ b/core/src/main/java/org/bankturn/routing/VersionDeadlines.java
@@ -25,7 +25,7 @@
     private VersionDeadlines() {}
 
     /** Returns the oldest version that a request may be sent to, 0 for any. */
-    public int leastVersion(long nowMillis) {
+    public int minVersion(long nowMillis) {
         return dueMillis.descendingMap().entrySet().stream()
                 .filter(entry -> entry.getValue() <= nowMillis)
                 .map(Map.Entry::getKey)
--- a/core/src/test/java/org/bankturn/routing/VersionDeadlinesTest.java
+++ b/core/src/test/java/org/bankturn/routing/VersionDeadlinesTest.java
@@ -9,7 +9,7 @@
 
     @Test
     void without_a_named_version_any_will_do() {
-        assertThat(due.leastVersion(1_000)).isZero();
+        assertThat(due.minVersion(1_000)).isZero();
         assertThat(due.mayBegin(0, 1_000, 500)).isTrue();
     }
 
@@ -17,16 +17,16 @@
     void the_newest_version_that_is_due_is_the_least() {
         due.named(2, 7_000);
         due.named(3, 9_000);
-        assertThat(due.leastVersion(6_999)).isZero();
-        assertThat(due.leastVersion(7_000)).isEqualTo(2);
-        assertThat(due.leastVersion(9_500)).isEqualTo(3);
+        assertThat(due.minVersion(6_999)).isZero();
+        assertThat(due.minVersion(7_000)).isEqualTo(2);
+        assertThat(due.minVersion(9_500)).isEqualTo(3);
     }
 
     @Test
     void naming_a_version_again_does_not_put_it_off() {
         due.named(2, 7_000);
         due.named(2, 8_000);
-        assertThat(due.leastVersion(7_500)).isEqualTo(2);
+        assertThat(due.minVersion(7_500)).isEqualTo(2);
     }
 
     /** A request on a link that was squeezed came 1.7 s after it was sent, when the version it began on was long due. */
