--- a/core/src/main/java/org/bankturn/routing/TargetTable.java
+++ b/core/src/main/java/org/bankturn/routing/TargetTable.java
@@ -308,7 +308,7 @@
         double predicted = predictedMillis(state, wanted, now) + way;
         Candidate choice = new Candidate(state, predicted, way, breakOffMillis(state, wanted, now, predicted));
         double unknownMillis = sends ? unknownPathMillis(state, wanted, now) : 0;
-        if (!wanted.deadlines().mayBegin(state.heldVersion(), now, choice.predictedMillis() + unknownMillis)) {
+        if (!wanted.deadlines().canStartInTime(state.heldVersion(), now, choice.predictedMillis() + unknownMillis)) {
             return;
         }
         boolean usual = wanted.service().engine() == null || isWatched(state);
--- a/core/src/main/java/org/bankturn/routing/VersionDeadlines.java
+++ b/core/src/main/java/org/bankturn/routing/VersionDeadlines.java
@@ -40,7 +40,7 @@
      * @param nowMillis the time
      * @param predictedMillis how long until it begins there, as predicted
      */
-    public boolean mayBegin(int heldVersion, long nowMillis, double predictedMillis) {
+    public boolean canStartInTime(int heldVersion, long nowMillis, double predictedMillis) {
         double begins = nowMillis + predictedMillis * PREDICTION_MARGIN;
         return dueMillis.tailMap(heldVersion, false).values().stream().allMatch(due -> begins <= due);
     }
--- a/core/src/test/java/org/bankturn/routing/VersionDeadlinesTest.java
+++ b/core/src/test/java/org/bankturn/routing/VersionDeadlinesTest.java
@@ -10,7 +10,7 @@
     @Test
     void without_a_named_version_any_will_do() {
         assertThat(due.minVersion(1_000)).isZero();
-        assertThat(due.mayBegin(0, 1_000, 500)).isTrue();
+        assertThat(due.canStartInTime(0, 1_000, 500)).isTrue();
     }
 
     @Test
@@ -33,18 +33,18 @@
     @Test
     void a_target_that_is_slow_to_begin_takes_nothing_shortly_before_a_newer_version_is_due() {
         due.named(2, 7_000);
-        assertThat(due.mayBegin(1, 6_000, 700)).isFalse();
-        assertThat(due.mayBegin(1, 6_000, 120)).isTrue();
-        assertThat(due.mayBegin(1, 6_900, 120)).isFalse();
-        assertThat(due.mayBegin(2, 6_900, 700)).isTrue();
+        assertThat(due.canStartInTime(1, 6_000, 700)).isFalse();
+        assertThat(due.canStartInTime(1, 6_000, 120)).isTrue();
+        assertThat(due.canStartInTime(1, 6_900, 120)).isFalse();
+        assertThat(due.canStartInTime(2, 6_900, 700)).isTrue();
     }
 
     @Test
     void the_earliest_of_several_newer_versions_counts() {
         due.named(2, 7_000);
         due.named(3, 9_000);
-        assertThat(due.mayBegin(1, 8_000, 100)).isFalse();
-        assertThat(due.mayBegin(2, 8_000, 100)).isTrue();
-        assertThat(due.mayBegin(2, 8_900, 100)).isFalse();
+        assertThat(due.canStartInTime(1, 8_000, 100)).isFalse();
+        assertThat(due.canStartInTime(2, 8_000, 100)).isTrue();
+        assertThat(due.canStartInTime(2, 8_900, 100)).isFalse();
     }
 }
