--- a/core/src/main/java/org/bankturn/routing/ConnectionReusePolicy.java
+++ b/core/src/main/java/org/bankturn/routing/ConnectionReusePolicy.java
@@ -27,7 +27,7 @@
     private final Clock clock;
     private final long mostRestMillis;
     private final Set<PendingRequest> waiting = new LinkedHashSet<>();
-    private final ReceiveTimes words = ReceiveTimes.remembering(ALL_SILENT_MILLIS);
+    private final ReceiveTimes words = ReceiveTimes.retaining(ALL_SILENT_MILLIS);
     private long distrustedUntilMillis = Long.MIN_VALUE / 2;
 
     /** A request that waits for a word from a peer. */
--- a/core/src/main/java/org/bankturn/routing/ReceiveTimes.java
+++ b/core/src/main/java/org/bankturn/routing/ReceiveTimes.java
@@ -17,7 +17,7 @@
     private final Map<Long, Long> heardByOpening = new HashMap<>();
 
     /** Returns words of which none is known, not null; each is remembered for as long as given. */
-    static ReceiveTimes remembering(long millis) {
+    static ReceiveTimes retaining(long millis) {
         return new ReceiveTimes(millis);
     }
 
--- a/core/src/main/java/org/bankturn/routing/TargetState.java
+++ b/core/src/main/java/org/bankturn/routing/TargetState.java
@@ -51,7 +51,7 @@
     private long loadMillis;
     private long breaksOffMillis = Long.MIN_VALUE / 2;
     private long roundTripMillis;
-    private final ReceiveTimes words = ReceiveTimes.remembering(AT_WORK_MILLIS);
+    private final ReceiveTimes words = ReceiveTimes.retaining(AT_WORK_MILLIS);
     private long heardOfLoadMillis = Long.MIN_VALUE / 2;
     private final Deque<Long> sentMillis = new ArrayDeque<>();
     private final Deque<Long> endedMillis = new ArrayDeque<>();
