--- a/core/src/main/java/org/bankturn/routing/ConnectionReusePolicy.java
+++ b/core/src/main/java/org/bankturn/routing/ConnectionReusePolicy.java
@@ -113,7 +113,7 @@
         }
         List<PendingRequest> unheard = waiting.stream()
                 .filter(wait -> wait.sinceMillis <= since)
-                .filter(wait -> !words.anyOnConnectionsOpenAt(wait.sinceMillis, now))
+                .filter(wait -> !words.anyOnConnectionOpenAt(wait.sinceMillis, now))
                 .toList();
         long peers = unheard.stream().map(wait -> wait.peer).distinct().count();
         if (unheard.size() >= WAITING_AT_LEAST && peers >= PEERS_AT_LEAST) {
--- a/core/src/main/java/org/bankturn/routing/ReceiveTimes.java
+++ b/core/src/main/java/org/bankturn/routing/ReceiveTimes.java
@@ -26,7 +26,7 @@
     }
 
     /** Returns true if something came of late on a connection that was open at a moment. */
-    boolean anyOnConnectionsOpenAt(long openAtMillis, long nowMillis) {
+    boolean anyOnConnectionOpenAt(long openAtMillis, long nowMillis) {
         return heardByOpening.entrySet().stream()
                 .anyMatch(word -> word.getKey() <= openAtMillis && isRemembered(word.getValue(), nowMillis));
     }
--- a/core/src/main/java/org/bankturn/routing/TargetState.java
+++ b/core/src/main/java/org/bankturn/routing/TargetState.java
@@ -143,7 +143,7 @@
      * @param openAtMillis the moment
      */
     public boolean hasRecentActivity(long nowMillis, long openAtMillis) {
-        return words.anyOnConnectionsOpenAt(openAtMillis, nowMillis);
+        return words.anyOnConnectionOpenAt(openAtMillis, nowMillis);
     }
 
     /** Returns what is known of the requests a second that it takes from all gateways together, not null. */
