--- a/core/src/main/java/org/bankturn/routing/ConnectionReusePolicy.java
+++ b/core/src/main/java/org/bankturn/routing/ConnectionReusePolicy.java
@@ -84,7 +84,7 @@
 
     /** A peer, whichever, said something on a connection that was opened at a moment. */
     public void dataReceived(long openedMillis) {
-        words.heard(openedMillis, clock.millis());
+        words.record(openedMillis, clock.millis());
     }
 
     /** A request no longer waits. */
--- a/core/src/main/java/org/bankturn/routing/ReceiveTimes.java
+++ b/core/src/main/java/org/bankturn/routing/ReceiveTimes.java
@@ -32,7 +32,7 @@
     }
 
     /** Something came on a connection that was opened at a moment. */
-    void heard(long openedMillis, long nowMillis) {
+    void record(long openedMillis, long nowMillis) {
         heardByOpening.put(openedMillis, nowMillis);
         if (heardByOpening.size() > MOST_REMEMBERED) {
             heardByOpening.values().removeIf(heard -> !isRemembered(heard, nowMillis));
--- a/core/src/main/java/org/bankturn/routing/TargetState.java
+++ b/core/src/main/java/org/bankturn/routing/TargetState.java
@@ -307,7 +307,7 @@
      * @param openedMillis when the connection was opened that it came on
      */
     public void dataReceived(long nowMillis, long openedMillis) {
-        words.heard(openedMillis, nowMillis);
+        words.record(openedMillis, nowMillis);
     }
 
     /** An engine's first event came, that long after the request was sent. */
