--- a/core/src/main/java/org/bankturn/routing/HeldBackTargets.java
+++ b/core/src/main/java/org/bankturn/routing/HeldBackTargets.java
@@ -10,24 +10,24 @@
  * <p>HeldBackTargets is mutable and not thread-safe.
  */
 public final class HeldBackTargets {
-    private final Map<HeldBack, Integer> counts = new EnumMap<>(HeldBack.class);
-    private long soonestMillis = Long.MAX_VALUE;
+    private final Map<HoldReason, Integer> counts = new EnumMap<>(HoldReason.class);
+    private long earliestReleaseMillis = Long.MAX_VALUE;
 
     HeldBackTargets() {}
 
-    void add(HeldBack reason, long untilFreeMillis) {
+    void add(HoldReason reason, long releaseMillis) {
         counts.merge(reason, 1, Integer::sum);
-        soonestMillis = Math.min(soonestMillis, untilFreeMillis);
+        earliestReleaseMillis = Math.min(earliestReleaseMillis, releaseMillis);
     }
 
     /** Returns true if one of them takes a request again in a time that is known. */
-    public boolean anyComesBack() {
-        return soonestMillis < Long.MAX_VALUE;
+    public boolean hasKnownReleaseTime() {
+        return earliestReleaseMillis < Long.MAX_VALUE;
     }
 
     /** Returns how long until the first of them takes a request again. */
-    public long soonestMillis() {
-        return soonestMillis;
+    public long earliestReleaseMillis() {
+        return earliestReleaseMillis;
     }
 
     /** Returns how many there are for each reason, for the log; empty if there is none. */
--- a/core/src/main/java/org/bankturn/routing/LoadQuestions.java
+++ b/core/src/main/java/org/bankturn/routing/LoadPollSchedule.java
@@ -15,7 +15,7 @@
  *
  * <p>LoadQuestions is mutable and not thread-safe.
  */
-public final class LoadQuestions {
+public final class LoadPollSchedule {
     /** A gateway that sent nothing for so long is idle. */
     private static final long IDLE_AFTER_MILLIS = 1_000;
 
@@ -24,39 +24,39 @@
 
     private final PlacementSettings settings;
     private final Map<String, Long> dueMillis = new HashMap<>();
-    private final Map<String, Boolean> near = new HashMap<>();
-    private long sentMillis = Long.MIN_VALUE / 2;
+    private final Map<String, Boolean> local = new HashMap<>();
+    private long lastRequestMillis = Long.MIN_VALUE / 2;
 
     /** Returns questions for a gateway that watches nothing yet, not null. */
-    public static LoadQuestions of(PlacementSettings settings) {
-        return new LoadQuestions(settings);
+    public static LoadPollSchedule of(PlacementSettings settings) {
+        return new LoadPollSchedule(settings);
     }
 
-    private LoadQuestions(PlacementSettings settings) {
+    private LoadPollSchedule(PlacementSettings settings) {
         this.settings = settings;
     }
 
     /**
      * Takes in which engines are watched.
      *
-     * @param watchedNear those of the own data hall, not null
-     * @param watchedFar the others, not null
+     * @param localEngines those of the own data hall, not null
+     * @param remoteEngines the others, not null
      * @param nowMillis the time
      */
-    public void watch(Set<String> watchedNear, Set<String> watchedFar, long nowMillis) {
-        near.clear();
-        watchedNear.forEach(id -> near.put(id, true));
-        watchedFar.forEach(id -> near.put(id, false));
-        dueMillis.keySet().retainAll(near.keySet());
-        near.keySet().forEach(id -> dueMillis.putIfAbsent(id, nowMillis));
+    public void setWatched(Set<String> localEngines, Set<String> remoteEngines, long nowMillis) {
+        local.clear();
+        localEngines.forEach(id -> local.put(id, true));
+        remoteEngines.forEach(id -> local.put(id, false));
+        dueMillis.keySet().retainAll(local.keySet());
+        local.keySet().forEach(id -> dueMillis.putIfAbsent(id, nowMillis));
     }
 
     /** The gateway sent a request to an engine. */
     public void requestSent(long nowMillis) {
-        boolean wasIdle = nowMillis - sentMillis > IDLE_AFTER_MILLIS;
-        sentMillis = nowMillis;
+        boolean wasIdle = nowMillis - lastRequestMillis > IDLE_AFTER_MILLIS;
+        lastRequestMillis = nowMillis;
         if (wasIdle) {
-            dueMillis.replaceAll((id, due) -> Math.min(due, nowMillis + pauseMillis(id, nowMillis)));
+            dueMillis.replaceAll((id, due) -> Math.min(due, nowMillis + pollIntervalMillis(id, nowMillis)));
         }
     }
 
@@ -66,23 +66,23 @@
                 .filter(entry -> entry.getValue() <= nowMillis)
                 .min(Map.Entry.comparingByValue())
                 .map(entry -> {
-                    entry.setValue(nowMillis + pauseMillis(entry.getKey(), nowMillis));
+                    entry.setValue(nowMillis + pollIntervalMillis(entry.getKey(), nowMillis));
                     return entry.getKey();
                 });
     }
 
     /** Returns how long until an engine is due, 0 if one is, and the longest pause if none is watched. */
-    public long untilNextMillis(long nowMillis) {
+    public long nextPollDelayMillis(long nowMillis) {
         long next = dueMillis.values().stream()
                 .mapToLong(Long::longValue)
                 .min()
-                .orElse(nowMillis + settings.farPauseMillis());
+                .orElse(nowMillis + settings.remotePollIntervalMillis());
         return Math.max(0, next - nowMillis);
     }
 
-    private long pauseMillis(String id, long nowMillis) {
-        long pause = near.get(id) ? settings.nearPauseMillis() : settings.farPauseMillis();
-        boolean idle = nowMillis - sentMillis > IDLE_AFTER_MILLIS;
-        return idle ? pause * IDLE_FACTOR : pause;
+    private long pollIntervalMillis(String id, long nowMillis) {
+        long interval = local.get(id) ? settings.localPollIntervalMillis() : settings.remotePollIntervalMillis();
+        boolean idle = nowMillis - lastRequestMillis > IDLE_AFTER_MILLIS;
+        return idle ? interval * IDLE_FACTOR : interval;
     }
 }
--- a/core/src/main/java/org/bankturn/routing/NextStep.java
+++ b/core/src/main/java/org/bankturn/routing/NextStep.java
@@ -9,9 +9,9 @@
      *
      * @param targets the incarnations to ask, at least one, not null
      */
-    record Ask(List<String> targets) implements NextStep {
+    record PollLoad(List<String> targets) implements NextStep {
         /** Copies the list. */
-        public Ask {
+        public PollLoad {
             targets = List.copyOf(targets);
         }
     }
@@ -20,23 +20,23 @@
      * Waits until it is known whether there is a permit for a target, or until there is one, then decides again.
      *
      * @param target the target, which names a limit, not null
-     * @param mostMillis how long to wait at most
+     * @param timeoutMillis how long to wait at most
      */
-    record AwaitPermit(TargetState target, long mostMillis) implements NextStep {}
+    record AwaitPermit(TargetState target, long timeoutMillis) implements NextStep {}
 
     /**
      * Sends it to a target.
      *
-     * @param choice the target and what is predicted there, not null
-     * @param leastVersion the oldest version of the weights that may run it, 0 for any
+     * @param candidate the target and what is predicted there, not null
+     * @param minVersion the oldest version of the weights that may run it, 0 for any
      */
-    record Send(TargetTable.Choice choice, int leastVersion) implements NextStep {}
+    record Send(TargetTable.Candidate candidate, int minVersion) implements NextStep {}
 
     /**
      * Gives it up: its final answer goes out at once.
      *
      * @param reason why, for the log, not null
-     * @param comeBackMillis when its caller should come back, if it certainly did not run
+     * @param retryAfterMillis when its caller should come back, if it certainly did not run
      */
-    record GiveUp(String reason, long comeBackMillis) implements NextStep {}
+    record GiveUp(String reason, long retryAfterMillis) implements NextStep {}
 }
--- a/core/src/main/java/org/bankturn/routing/RequestProgress.java
+++ b/core/src/main/java/org/bankturn/routing/RequestProgress.java
@@ -15,17 +15,17 @@
     private final Route route;
     private final Service service;
     private final int promptTokens;
-    private final long endMillis;
-    private final Set<String> tried = new HashSet<>();
+    private final long deadlineMillis;
+    private final Set<String> triedTargets = new HashSet<>();
     private int sends;
-    private boolean askedHere;
-    private boolean askedElsewhere;
+    private boolean localPolled;
+    private boolean remotePolled;
     private int failedConnections;
-    private boolean cameBack;
+    private boolean markCallerRetry;
     private boolean mayHaveRun;
     private boolean earlierMayHaveRun;
-    private String lastEvent;
-    private long permitWaitEndMillis = Long.MAX_VALUE;
+    private String lastEventId;
+    private long permitWaitDeadlineMillis = Long.MAX_VALUE;
 
     /**
      * Returns the progress of a request that went nowhere yet, not null.
@@ -33,17 +33,17 @@
      * @param route its route, not null
      * @param service the service that runs it, not null
      * @param promptTokens the size of its prompt, 0 if it has none
-     * @param endMillis when it must have its final answer
+     * @param deadlineMillis when it must have its final answer
      */
-    public static RequestProgress of(Route route, Service service, int promptTokens, long endMillis) {
-        return new RequestProgress(route, service, promptTokens, endMillis);
+    public static RequestProgress of(Route route, Service service, int promptTokens, long deadlineMillis) {
+        return new RequestProgress(route, service, promptTokens, deadlineMillis);
     }
 
-    private RequestProgress(Route route, Service service, int promptTokens, long endMillis) {
+    private RequestProgress(Route route, Service service, int promptTokens, long deadlineMillis) {
         this.route = route;
         this.service = service;
         this.promptTokens = promptTokens;
-        this.endMillis = endMillis;
+        this.deadlineMillis = deadlineMillis;
     }
 
     // ---- queries
@@ -64,28 +64,28 @@
     }
 
     /** Returns when it must have its final answer. */
-    public long endMillis() {
-        return endMillis;
+    public long deadlineMillis() {
+        return deadlineMillis;
     }
 
     /** Returns the incarnations that it was sent to, not null. */
-    public Set<String> tried() {
-        return Set.copyOf(tried);
+    public Set<String> triedTargets() {
+        return Set.copyOf(triedTargets);
     }
 
     /** Returns true if engines of the own data hall were asked for its sake since it was last sent. */
-    boolean askedHere() {
-        return askedHere;
+    boolean localPolled() {
+        return localPolled;
     }
 
     /** Returns true if engines of other data halls were asked for its sake since it was last sent. */
-    boolean askedElsewhere() {
-        return askedElsewhere;
+    boolean remotePolled() {
+        return remotePolled;
     }
 
     /** Returns until when it may wait for a permit, Long.MAX_VALUE if it has not begun to. */
-    long permitWaitEndMillis() {
-        return permitWaitEndMillis;
+    long permitWaitDeadlineMillis() {
+        return permitWaitDeadlineMillis;
     }
 
     /** Returns how often it left for a target. */
@@ -94,8 +94,8 @@
     }
 
     /** Returns true if its caller was refused before and has come back. */
-    public boolean hasComeBack() {
-        return cameBack;
+    public boolean isCallerRetry() {
+        return markCallerRetry;
     }
 
     /** Returns how many targets could not be connected to. */
@@ -109,42 +109,42 @@
     }
 
     /** Returns the id of the last event that the caller has whole, null if there is none. */
-    public String lastEvent() {
-        return lastEvent;
+    public String lastEventId() {
+        return lastEventId;
     }
 
     // ---- what happens to it
 
     /** Its caller was refused before and has come back. */
-    void cameBack() {
-        cameBack = true;
+    void markCallerRetry() {
+        markCallerRetry = true;
     }
 
     /** It begins to wait for a permit, unless it did before. */
-    void waitForPermitUntil(long millis) {
-        permitWaitEndMillis = Math.min(permitWaitEndMillis, millis);
+    void limitPermitWait(long millis) {
+        permitWaitDeadlineMillis = Math.min(permitWaitDeadlineMillis, millis);
     }
 
     /** Engines of the own data hall are asked for its sake. */
-    void askHere() {
-        askedHere = true;
+    void markLocalPolled() {
+        localPolled = true;
     }
 
     /** Engines of other data halls are asked for its sake. */
-    void askElsewhere() {
-        askedElsewhere = true;
+    void markRemotePolled() {
+        remotePolled = true;
     }
 
     /** A target was chosen for it. */
-    void chosen(String target) {
-        tried.add(target);
-        askedHere = false;
-        askedElsewhere = false;
+    void targetChosen(String target) {
+        triedTargets.add(target);
+        localPolled = false;
+        remotePolled = false;
     }
 
     /** The target that was chosen for it must not get it now; nothing left. */
-    public void heldBack(String target) {
-        tried.remove(target);
+    public void targetHeldBack(String target) {
+        triedTargets.remove(target);
     }
 
     /** It is about to leave for a target. */
@@ -164,13 +164,13 @@
     }
 
     /** No connection to a target was made, so nothing left. */
-    public void notConnected() {
+    public void connectionFailed() {
         failedConnections++;
     }
 
     /** The caller has one more whole event; one without an id leaves the last one as it was. */
-    public void passed(String eventId) {
-        lastEvent = eventId != null ? eventId : lastEvent;
+    public void eventForwarded(String eventId) {
+        lastEventId = eventId != null ? eventId : lastEventId;
     }
 
     @Override
--- a/core/src/main/java/org/bankturn/routing/ComeBack.java
+++ b/core/src/main/java/org/bankturn/routing/RetryAfter.java
@@ -12,39 +12,39 @@
  *
  * <p>ComeBack has no state.
  */
-public final class ComeBack {
+public final class RetryAfter {
     /** Another gateway takes a connection that is made anew, within the time of a connection and a request. */
-    public static final long TO_ANOTHER_GATEWAY_MILLIS = 300;
+    public static final long OTHER_GATEWAY_MILLIS = 300;
 
     /** Every target that may take it was tried; those that were full or failed are tried again about a second later. */
-    public static final long AFTER_ALL_TARGETS_MILLIS = 1_000;
+    public static final long ALL_TARGETS_TRIED_MILLIS = 1_000;
 
     /** Targets that must still be given weights, or that are still to start, are not there within a second or two. */
-    public static final long WITHOUT_TARGET_MILLIS = 5_000;
+    public static final long NO_TARGET_MILLIS = 5_000;
 
     /** A request that ends its targets is as bad a minute later; callers that wait less come back in vain. */
     public static final long CONDEMNED_MILLIS = 60_000;
 
     /** Callers come back within this share of an answer's time ... */
-    private static final double EARLIEST_SHARE = 0.75;
+    private static final double MIN_ANSWER_SHARE = 0.75;
 
     /** ... and that much more, at random; with the share above, one answer's time later on average. */
-    private static final double SPREAD_SHARE = 0.75;
+    private static final double JITTER_SHARE = 0.75;
 
     /** Callers come back up to that share later than targets that are held back take requests again. */
-    private static final double HELD_BACK_SPREAD_SHARE = 0.5;
+    private static final double HELD_BACK_JITTER_SHARE = 0.5;
 
-    private ComeBack() {}
+    private RetryAfter() {}
 
     /** Returns when a target that is held back now takes requests again, spread so that callers come back apart. */
-    public static long afterHeldBack(long untilFreeMillis, UniformRandomProvider random) {
-        double share = 1 + HELD_BACK_SPREAD_SHARE * random.nextDouble();
-        return Math.max(TO_ANOTHER_GATEWAY_MILLIS, Math.round(untilFreeMillis * share));
+    public static long forHeldBackTargets(long releaseMillis, UniformRandomProvider random) {
+        double share = 1 + HELD_BACK_JITTER_SHARE * random.nextDouble();
+        return Math.max(OTHER_GATEWAY_MILLIS, Math.round(releaseMillis * share));
     }
 
     /** Returns when the answers under way at full engines will have ended, spread so that callers come back apart. */
-    public static long afterAnswers(EngineModel engine, UniformRandomProvider random) {
-        double share = EARLIEST_SHARE + SPREAD_SHARE * random.nextDouble();
-        return Math.max(TO_ANOTHER_GATEWAY_MILLIS, Math.round(engine.usualAnswerMillis() * share));
+    public static long forBusyEngines(EngineModel engine, UniformRandomProvider random) {
+        double share = MIN_ANSWER_SHARE + JITTER_SHARE * random.nextDouble();
+        return Math.max(OTHER_GATEWAY_MILLIS, Math.round(engine.usualAnswerMillis() * share));
     }
 }
--- a/core/src/main/java/org/bankturn/routing/TargetTerms.java
+++ b/core/src/main/java/org/bankturn/routing/TargetFlowControl.java
@@ -12,12 +12,12 @@
  * needs a permit, and one is held at a time. A new start of the target has asked for nothing. TargetTerms is mutable and not
  * thread-safe.
  */
-final class TargetTerms {
+final class TargetFlowControl {
     /** A target that asks for a longer wait is tried again then: the number may be an error. */
-    static final long MOST_BACK_OFF_MILLIS = 3_600_000;
+    static final long MAX_BACK_OFF_MILLIS = 3_600_000;
 
     /** A coordinator that does not answer may be starting again. */
-    private static final long UNANSWERED_PAUSE_MILLIS = 500;
+    private static final long COORDINATOR_RETRY_MILLIS = 500;
 
     private static final long NEVER = Long.MIN_VALUE / 2;
 
@@ -26,8 +26,8 @@
     private boolean leaving;
     private long permitFromMillis = NEVER;
     private long permitUntilMillis = NEVER;
-    private boolean asking;
-    private long askFromMillis = NEVER;
+    private boolean permitPending;
+    private long nextPermitRequestMillis = NEVER;
 
     // ---- queries
 
@@ -37,18 +37,18 @@
     }
 
     /** Returns why the target must get nothing now, empty if it may get a request, not null. */
-    Optional<HeldBack> heldBack(long nowMillis) {
+    Optional<HoldReason> heldBack(long nowMillis) {
         if (leaving) {
-            return Optional.of(HeldBack.LEAVING);
+            return Optional.of(HoldReason.LEAVING);
         }
         if (nowMillis < backOffUntilMillis) {
-            return Optional.of(HeldBack.BACKING_OFF);
+            return Optional.of(HoldReason.BACKING_OFF);
         }
-        return limit.inForce() && !hasPermit(nowMillis) ? Optional.of(HeldBack.RATE_LIMITED) : Optional.empty();
+        return limit.inForce() && !hasPermit(nowMillis) ? Optional.of(HoldReason.RATE_LIMITED) : Optional.empty();
     }
 
     /** Returns how long until the target may get a request, as far as is known; Long.MAX_VALUE for never. */
-    long untilFreeMillis(long nowMillis) {
+    long untilReleaseMillis(long nowMillis) {
         if (leaving) {
             return Long.MAX_VALUE;
         }
@@ -57,42 +57,42 @@
     }
 
     /** Returns how long until the permit that is held may be used, 0 if none is held. */
-    long untilHeldPermitMillis(long nowMillis) {
+    long untilPermitUsableMillis(long nowMillis) {
         return permitUntilMillis > nowMillis ? Math.max(0, permitFromMillis - nowMillis) : 0;
     }
 
     private long untilPermitMillis(long nowMillis) {
         if (permitUntilMillis > nowMillis) {
-            return untilHeldPermitMillis(nowMillis);
+            return untilPermitUsableMillis(nowMillis);
         }
-        return Math.max(0, askFromMillis - nowMillis) + Math.round(limit.paceMillis());
+        return Math.max(0, nextPermitRequestMillis - nowMillis) + Math.round(limit.paceMillis());
     }
 
     /** Returns true if the target asked for something that may still hold. */
-    boolean askForSomething() {
+    boolean hasConstraints() {
         return leaving || limit.inForce() || backOffUntilMillis > NEVER;
     }
 
     /** Returns true if a permit should be asked for, because a request could use one. */
-    boolean wantsPermit(long nowMillis) {
-        boolean wantsRequests = !leaving && nowMillis >= backOffUntilMillis;
-        return wantsRequests
+    boolean needsPermit(long nowMillis) {
+        boolean acceptsRequests = !leaving && nowMillis >= backOffUntilMillis;
+        return acceptsRequests
                 && limit.inForce()
-                && !asking
-                && nowMillis >= askFromMillis
+                && !permitPending
+                && nowMillis >= nextPermitRequestMillis
                 && nowMillis >= permitUntilMillis;
     }
 
     /** Returns true if a permit may be there within a time: one is held for later, or is being asked for. */
     boolean mayGetPermitWithin(long millis, long nowMillis) {
-        boolean wantsRequests = !leaving && nowMillis >= backOffUntilMillis;
+        boolean acceptsRequests = !leaving && nowMillis >= backOffUntilMillis;
         boolean isHeld = nowMillis < permitUntilMillis && permitFromMillis <= nowMillis + millis;
-        return wantsRequests && limit.inForce() && (isHeld || asking || wantsPermit(nowMillis));
+        return acceptsRequests && limit.inForce() && (isHeld || permitPending || needsPermit(nowMillis));
     }
 
     /** Returns true if a permit is being asked for. */
-    boolean isAsking() {
-        return asking;
+    boolean isPermitPending() {
+        return permitPending;
     }
 
     private boolean hasPermit(long nowMillis) {
@@ -105,20 +105,20 @@
      * Takes in what an answer asks for.
      *
      * @param notice what it asks for, not null
-     * @param whole true if the target ran the request, so that a limit would have been named
+     * @param executed true if the target ran the request, so that a limit would have been named
      * @param sentMillis when the request was sent
      * @param nowMillis the time
      * @return what is new in it, not null
      */
-    Set<NoticeChange> noticed(TargetNotice notice, boolean whole, long sentMillis, long nowMillis) {
+    Set<NoticeChange> applyNotice(TargetNotice notice, boolean executed, long sentMillis, long nowMillis) {
         Set<NoticeChange> changes = EnumSet.noneOf(NoticeChange.class);
         if (notice.requestsPerSecond().isPresent()) {
-            learn(RateLimit.named(notice.requestsPerSecond().getAsDouble(), nowMillis), changes);
-        } else if (whole && limit.inForce() && sentMillis > limit.asOfMillis()) {
-            learn(RateLimit.none(sentMillis), changes);
+            updateLimit(RateLimit.named(notice.requestsPerSecond().getAsDouble(), nowMillis), changes);
+        } else if (executed && limit.inForce() && sentMillis > limit.asOfMillis()) {
+            updateLimit(RateLimit.none(sentMillis), changes);
         }
         if (notice.backOffMillis() > 0) {
-            long until = nowMillis + Math.min(MOST_BACK_OFF_MILLIS, notice.backOffMillis());
+            long until = nowMillis + Math.min(MAX_BACK_OFF_MILLIS, notice.backOffMillis());
             // answers pass each other, so that a shorter wait may have been asked for earlier
             backOffUntilMillis = Math.max(backOffUntilMillis, until);
             changes.add(NoticeChange.BACKS_OFF);
@@ -130,7 +130,7 @@
         return changes;
     }
 
-    private void learn(RateLimit newer, Set<NoticeChange> changes) {
+    private void updateLimit(RateLimit newer, Set<NoticeChange> changes) {
         if (newer.inForce() && !limit.inForce()) {
             changes.add(NoticeChange.LIMIT_NAMED);
         } else if (newer.inForce() && newer.perSecond() != limit.perSecond()) {
@@ -142,8 +142,8 @@
     }
 
     /** A request is about to leave for the target; returns why it must not, or empty and uses the permit, if there is one. */
-    Optional<HeldBack> takePlace(long nowMillis) {
-        Optional<HeldBack> reason = heldBack(nowMillis);
+    Optional<HoldReason> acquire(long nowMillis) {
+        Optional<HoldReason> reason = heldBack(nowMillis);
         if (reason.isEmpty()) {
             permitUntilMillis = NEVER;
         }
@@ -153,32 +153,32 @@
     // ---- permits
 
     /** A permit is being asked for. */
-    void permitAsked() {
-        asking = true;
+    void permitRequested() {
+        permitPending = true;
     }
 
     /**
      * Takes in what the coordinator answered.
      *
      * @param answer the answer, its limit as of this gateway's time, not null
-     * @param askedMillis when it was asked
+     * @param requestedMillis when it was asked
      * @param nowMillis the time
      */
-    void permitAnswered(PermitCoordinator.Answer answer, long askedMillis, long nowMillis) {
-        asking = false;
+    void permitAnswered(PermitCoordinator.Answer answer, long requestedMillis, long nowMillis) {
+        permitPending = false;
         limit = limit.newerOf(answer.limit());
         if (answer.granted()) {
             // reserved at a moment between the two: no sooner than that counted from now, no later than that from then
             permitFromMillis = nowMillis + answer.inMillis();
-            permitUntilMillis = askedMillis + answer.inMillis() + PermitCoordinator.VALID_MILLIS;
+            permitUntilMillis = requestedMillis + answer.inMillis() + PermitCoordinator.PERMIT_VALIDITY_MILLIS;
         } else {
-            askFromMillis = nowMillis + answer.inMillis();
+            nextPermitRequestMillis = nowMillis + answer.inMillis();
         }
     }
 
     /** The coordinator did not answer. */
     void permitUnanswered(long nowMillis) {
-        asking = false;
-        askFromMillis = nowMillis + UNANSWERED_PAUSE_MILLIS;
+        permitPending = false;
+        nextPermitRequestMillis = nowMillis + COORDINATOR_RETRY_MILLIS;
     }
 }
--- a/core/src/main/java/org/bankturn/routing/TargetLoad.java
+++ b/core/src/main/java/org/bankturn/routing/TargetLoad.java
@@ -11,19 +11,19 @@
  * <p>TargetLoad is thread-safe; it uses atomics.
  */
 public final class TargetLoad {
-    private static final long FALL_DIVISOR = 8;
-    private static final long FIRST_GUESS_MICROS = 20_000;
+    private static final long DECAY_DIVISOR = 8;
+    private static final long INITIAL_LATENCY_MICROS = 20_000;
 
     private final AtomicInteger inFlight = new AtomicInteger();
-    private final AtomicLong latencyMicros = new AtomicLong(FIRST_GUESS_MICROS);
+    private final AtomicLong latencyMicros = new AtomicLong(INITIAL_LATENCY_MICROS);
 
     /** Counts a request as begun. */
-    public void begun() {
+    public void requestStarted() {
         inFlight.incrementAndGet();
     }
 
     /** Counts a request as ended. */
-    public void ended() {
+    public void requestEnded() {
         inFlight.decrementAndGet();
     }
 
@@ -32,8 +32,8 @@
      *
      * @param micros the time in microseconds
      */
-    public void observed(long micros) {
-        latencyMicros.updateAndGet(old -> micros > old ? micros : old - (old - micros) / FALL_DIVISOR);
+    public void recordLatency(long micros) {
+        latencyMicros.updateAndGet(old -> micros > old ? micros : old - (old - micros) / DECAY_DIVISOR);
     }
 
     /** Returns the requests of this entry process that are in flight. */
--- a/core/src/main/java/org/bankturn/routing/TargetTable.java
+++ b/core/src/main/java/org/bankturn/routing/TargetTable.java
@@ -29,40 +29,40 @@
  */
 public final class TargetTable {
     /** How long a plain service takes for a request until something better is known. */
-    private static final double PLAIN_MILLIS = 20;
+    private static final double PLAIN_SERVICE_MILLIS = 20;
 
     /** A path of which nothing was heard for long may have become that slow, as a squeezed link does. */
-    private static final long MOST_PATH_MILLIS = 1_500;
+    private static final long MAX_PATH_DELAY_MILLIS = 1_500;
 
     /** A path on which nothing was heard is taken to be that slow at least. */
-    private static final long UNHEARD_MILLIS = 400;
+    private static final long UNANSWERED_POLL_MILLIS = 400;
 
     private final Clock clock;
     private final String dataHall;
     private final PlacementSettings settings;
-    private final ChoiceComparison comparison;
+    private final CandidateSelector selector;
     private final Map<String, TargetState> targets = new HashMap<>();
     private final Map<String, List<TargetState>> byService = new HashMap<>();
-    private final RememberedTerms remembered = new RememberedTerms();
-    private final OpenQuestions openQuestions;
+    private final FlowControlCache flowControlCache = new FlowControlCache();
+    private final UnansweredPolls unansweredPolls;
     private Set<String> watched = Set.of();
     private List<TargetState> watchedStates = List.of();
-    private final Set<TargetState> permitsWanted = new LinkedHashSet<>();
+    private final Set<TargetState> permitRequests = new LinkedHashSet<>();
 
     /**
      * What a target must be to take a request.
      *
      * @param service the service, not null
-     * @param leastVersion the version of the weights that it must hold, 0 for any, -1 if the service holds none
-     * @param due when requests must begin on newer weights, not null
+     * @param minVersion the version of the weights that it must hold, 0 for any, -1 if the service holds none
+     * @param deadlines when requests must begin on newer weights, not null
      * @param promptTokens the size of its prompt
      * @param objectiveMillis the time within which its first answer is in time
      * @param excluded the incarnations that were tried, not null
      */
-    public record Wanted(
+    public record Requirements(
             Service service,
-            int leastVersion,
-            VersionsDue due,
+            int minVersion,
+            VersionDeadlines deadlines,
             int promptTokens,
             long objectiveMillis,
             Set<String> excluded) {}
@@ -72,13 +72,14 @@
      *
      * @param target the target, not null
      * @param predictedMillis the time until the first event
-     * @param wayMillis the part of it that is the way there and back
-     * @param breakOffMillis what counts beside it, because the target will soon break off what it runs
+     * @param roundTripMillis the part of it that is the way there and back
+     * @param interruptionMillis what counts beside it, because the target will soon break off what it runs
      */
-    public record Choice(TargetState target, double predictedMillis, long wayMillis, double breakOffMillis) {
+    public record Candidate(
+            TargetState target, double predictedMillis, long roundTripMillis, double interruptionMillis) {
         /** Returns what is compared, in milliseconds. */
-        double weighedMillis() {
-            return predictedMillis + breakOffMillis;
+        double costMillis() {
+            return predictedMillis + interruptionMillis;
         }
     }
 
@@ -99,75 +100,75 @@
         this.clock = clock;
         this.dataHall = dataHall;
         this.settings = settings;
-        this.comparison = new ChoiceComparison(clock, settings, random);
-        this.openQuestions = OpenQuestions.none(clock);
+        this.selector = new CandidateSelector(clock, settings, random);
+        this.unansweredPolls = UnansweredPolls.none(clock);
     }
 
     // ---- what is known
 
     /** Takes in the targets that are there now, and returns the incarnations that are no longer. */
     public Set<String> update(Collection<TargetSighting> sightings) {
-        Set<String> gone = new HashSet<>(targets.keySet());
+        Set<String> removed = new HashSet<>(targets.keySet());
         for (TargetSighting sighting : sightings) {
-            gone.remove(sighting.id());
+            removed.remove(sighting.id());
             TargetState known = targets.get(sighting.id());
             if (known == null) {
-                targets.put(sighting.id(), new TargetState(sighting, remembered.take(sighting.id())));
+                targets.put(sighting.id(), new TargetState(sighting, flowControlCache.remove(sighting.id())));
             } else {
                 known.update(sighting);
             }
         }
-        gone.forEach(id -> remembered.keep(id, targets.remove(id).terms()));
-        openQuestions.forget(gone);
+        removed.forEach(id -> flowControlCache.put(id, targets.remove(id).flowControl()));
+        unansweredPolls.removeAll(removed);
         byService.clear();
         targets.values()
                 .forEach(state -> byService
                         .computeIfAbsent(state.sighting().service(), key -> new ArrayList<>())
                         .add(state));
-        watch(watched);
-        return gone;
+        setWatched(watched);
+        return removed;
     }
 
     /** Takes in which engines the gateway asks for their load; others are used only where these would be late. */
-    public void watch(Set<String> ids) {
+    public void setWatched(Set<String> ids) {
         watched = Set.copyOf(ids);
         watchedStates =
                 targets.values().stream().filter(state -> isWatched(state)).toList();
     }
 
     /** Takes in what a target's engine said of its load. */
-    public void reported(String id, EngineLoad load, long ageMillis, long tookMillis) {
+    public void loadReported(String id, EngineLoad load, long ageMillis, long roundTripMillis) {
         TargetState state = targets.get(id);
         if (state != null) {
-            state.reported(load, clock.millis() - tookMillis / 2 - ageMillis);
-            state.pathTook(tookMillis);
-            state.heardOfLoad(clock.millis());
-            openQuestions.answered(id);
+            state.loadReported(load, clock.millis() - roundTripMillis / 2 - ageMillis);
+            state.roundTripMeasured(roundTripMillis);
+            state.pollAnswered(clock.millis());
+            unansweredPolls.pollAnswered(id);
         }
     }
 
     /** Takes in that a target's engine breaks off what it runs after a while, counted from now. */
-    public void breaksOff(String id, long afterMillis) {
+    public void interruptionAnnounced(String id, long afterMillis) {
         TargetState state = targets.get(id);
         if (state != null) {
-            state.breaksOffAt(clock.millis() + afterMillis);
+            state.interruptionAnnounced(clock.millis() + afterMillis);
         }
     }
 
     /** Takes in that nothing was heard of a target's engine for a while. */
-    public void unheard(String id, long tookMillis) {
-        stayedOpen(id, clock.millis() - tookMillis, Math.max(UNHEARD_MILLIS, tookMillis));
+    public void pollFailed(String id, long waitedMillis) {
+        recordUnanswered(id, clock.millis() - waitedMillis, Math.max(UNANSWERED_POLL_MILLIS, waitedMillis));
     }
 
     /** Takes in that a question to a target's engine, asked at a moment, is still open longer than a request should wait. */
-    public void unheardSince(String id, long askedMillis) {
-        stayedOpen(id, askedMillis, UNHEARD_MILLIS);
+    public void pollOverdue(String id, long sentMillis) {
+        recordUnanswered(id, sentMillis, UNANSWERED_POLL_MILLIS);
     }
 
-    private void stayedOpen(String id, long askedMillis, long openMillis) {
+    private void recordUnanswered(String id, long sentMillis, long waitedMillis) {
         TargetState state = targets.get(id);
-        if (state != null && !state.heardOfLoadSince(askedMillis)) {
-            openQuestions.stayedOpen(id, askedMillis, openMillis);
+        if (state != null && !state.hasAnsweredPollSince(sentMillis)) {
+            unansweredPolls.pollUnanswered(id, sentMillis, waitedMillis);
         }
     }
 
@@ -184,25 +185,25 @@
     /**
      * Returns the engines to ask for their load before a request is placed, none if their news is fresh.
      *
-     * @param wanted what a target must be, not null
-     * @param elsewhere true to ask in other data halls
+     * @param requirements what a target must be, not null
+     * @param remote true to ask in other data halls
      */
-    public List<String> toAsk(Wanted wanted, boolean elsewhere) {
-        if (settings.asked() == 0 || wanted.service().engine() == null) {
+    public List<String> targetsToPoll(Requirements requirements, boolean remote) {
+        if (settings.polledBeforePlacement() == 0 || requirements.service().engine() == null) {
             return List.of();
         }
         long now = clock.millis();
-        Candidates candidates = candidates(wanted, now, false);
-        List<Choice> pool = elsewhere ? candidates.far : candidates.near;
+        Candidates candidates = candidates(requirements, now, false);
+        List<Candidate> pool = remote ? candidates.remote : candidates.local;
         int fresh = (int) pool.stream()
-                .filter(choice -> choice.target().newsMillis(now) <= settings.freshMillis())
+                .filter(candidate -> candidate.target().loadAgeMillis(now) <= settings.maxFreshAgeMillis())
                 .count();
-        List<Choice> stale = new ArrayList<>(pool);
-        stale.removeIf(choice -> choice.target().newsMillis(now) <= settings.freshMillis());
-        comparison.draw(stale, settings.asked() - fresh);
+        List<Candidate> stale = new ArrayList<>(pool);
+        stale.removeIf(candidate -> candidate.target().loadAgeMillis(now) <= settings.maxFreshAgeMillis());
+        selector.sampleToFront(stale, settings.polledBeforePlacement() - fresh);
         return stale.stream()
-                .limit(Math.max(0, settings.asked() - fresh))
-                .map(choice -> choice.target().sighting().id())
+                .limit(Math.max(0, settings.polledBeforePlacement() - fresh))
+                .map(candidate -> candidate.target().sighting().id())
                 .toList();
     }
 
@@ -210,56 +211,56 @@
      * Returns the target that is likely to begin first of those compared; one that is avoided only if there is no other, one
      * that is held back never.
      */
-    public Optional<Choice> choose(Wanted wanted) {
-        Candidates candidates = candidates(wanted, clock.millis(), true);
-        Optional<Choice> choice = comparison.best(candidates, wanted);
-        wantPermits(candidates.heldBackNear);
-        if (choice.isEmpty() || !staysHere(choice.get(), wanted)) {
-            wantPermits(candidates.heldBackFar);
+    public Optional<Candidate> choose(Requirements requirements) {
+        Candidates candidates = candidates(requirements, clock.millis(), true);
+        Optional<Candidate> candidate = selector.best(candidates, requirements);
+        requestPermits(candidates.heldBackLocal);
+        if (candidate.isEmpty() || !staysLocal(candidate.get(), requirements)) {
+            requestPermits(candidates.heldBackRemote);
         }
-        return choice;
+        return candidate;
     }
 
-    private void wantPermits(List<TargetState> heldBack) {
+    private void requestPermits(List<TargetState> heldBack) {
         long now = clock.millis();
-        heldBack.stream().filter(state -> state.wantsPermit(now)).forEach(permitsWanted::add);
+        heldBack.stream().filter(state -> state.needsPermit(now)).forEach(permitRequests::add);
     }
 
     /** Returns the targets for which requests could have used a permit since this was last asked, not null. */
-    public List<TargetState> takePermitsWanted() {
-        if (permitsWanted.isEmpty()) {
+    public List<TargetState> drainPermitRequests() {
+        if (permitRequests.isEmpty()) {
             return List.of();
         }
-        List<TargetState> wanted = List.copyOf(permitsWanted);
-        permitsWanted.clear();
-        return wanted;
+        List<TargetState> requested = List.copyOf(permitRequests);
+        permitRequests.clear();
+        return requested;
     }
 
     /** Returns the targets that could run a request and must not get it now, not null. */
-    public HeldBackTargets heldBack(Wanted wanted) {
+    public HeldBackTargets heldBack(Requirements requirements) {
         long now = clock.millis();
         HeldBackTargets heldBack = new HeldBackTargets();
-        for (TargetState state : byService.getOrDefault(wanted.service().name(), List.of())) {
-            if (mayTake(state, wanted)) {
-                state.heldBack(now).ifPresent(reason -> heldBack.add(reason, state.untilFreeMillis(now)));
+        for (TargetState state : byService.getOrDefault(requirements.service().name(), List.of())) {
+            if (isEligible(state, requirements)) {
+                state.heldBack(now).ifPresent(reason -> heldBack.add(reason, state.untilReleaseMillis(now)));
             }
         }
         return heldBack;
     }
 
     /** Returns a target that a request could be sent to within a time, if a permit comes, not null. */
-    Optional<TargetState> permitWithin(long millis, Wanted wanted) {
+    Optional<TargetState> targetWithPermitWithin(long millis, Requirements requirements) {
         long now = clock.millis();
-        return byService.getOrDefault(wanted.service().name(), List.of()).stream()
-                .filter(state -> mayTake(state, wanted) && state.mayGetPermitWithin(millis, now))
-                .min(Comparator.comparing((TargetState state) -> !isNear(state))
-                        .thenComparing(state -> state.untilFreeMillis(now)));
+        return byService.getOrDefault(requirements.service().name(), List.of()).stream()
+                .filter(state -> isEligible(state, requirements) && state.mayGetPermitWithin(millis, now))
+                .min(Comparator.comparing((TargetState state) -> !isLocal(state))
+                        .thenComparing(state -> state.untilReleaseMillis(now)));
     }
 
     /** Returns how many targets are held back now, for each reason, not null. */
-    public Map<HeldBack, Integer> heldBackCounts() {
+    public Map<HoldReason, Integer> heldBackCounts() {
         long now = clock.millis();
-        Map<HeldBack, Integer> counts = new EnumMap<>(HeldBack.class);
+        Map<HoldReason, Integer> counts = new EnumMap<>(HoldReason.class);
         targets.values()
                 .forEach(state -> state.heldBack(now).ifPresent(reason -> counts.merge(reason, 1, Integer::sum)));
         return counts;
@@ -274,73 +275,80 @@
     /**
      * Looks at the engines that are watched, and at all others only if none of these may take the request.
      *
-     * @param sends true if the request would be sent now, so that what is not known of a path counts
+     * @param forSending true if the request would be sent now, so that what is not known of a path counts
      */
-    private Candidates candidates(Wanted wanted, long now, boolean sends) {
+    private Candidates candidates(Requirements requirements, long now, boolean forSending) {
         Candidates candidates = new Candidates();
-        List<TargetState> ofService = byService.getOrDefault(wanted.service().name(), List.of());
-        if (wanted.service().engine() == null) {
-            ofService.forEach(state -> consider(state, wanted, now, sends, candidates));
+        List<TargetState> ofService =
+                byService.getOrDefault(requirements.service().name(), List.of());
+        if (requirements.service().engine() == null) {
+            ofService.forEach(state -> classify(state, requirements, now, forSending, candidates));
             return candidates;
         }
-        watchedStates.forEach(state -> consider(state, wanted, now, sends, candidates));
-        if (candidates.near.isEmpty() && candidates.far.isEmpty()) {
+        watchedStates.forEach(state -> classify(state, requirements, now, forSending, candidates));
+        if (candidates.local.isEmpty() && candidates.remote.isEmpty()) {
             ofService.stream()
                     .filter(state -> !isWatched(state))
-                    .forEach(state -> consider(state, wanted, now, sends, candidates));
+                    .forEach(state -> classify(state, requirements, now, forSending, candidates));
         }
         return candidates;
     }
 
-    private void consider(TargetState state, Wanted wanted, long now, boolean sends, Candidates candidates) {
-        if (!mayTake(state, wanted)) {
+    private void classify(
+            TargetState state, Requirements requirements, long now, boolean forSending, Candidates candidates) {
+        if (!isEligible(state, requirements)) {
             return;
         }
         if (state.heldBack(now).isPresent()) {
-            (isNear(state) ? candidates.heldBackNear : candidates.heldBackFar).add(state);
+            (isLocal(state) ? candidates.heldBackLocal : candidates.heldBackRemote).add(state);
             return;
         }
         // counted one by one, questions that no engine answers would have most requests refused
-        long way = Math.max(
-                state.pathMillis(), openQuestions.wayMillis(state.sighting().id()));
-        double predicted = predictedMillis(state, wanted, now) + way;
-        Choice choice = new Choice(state, predicted, way, breakOffMillis(state, wanted, now, predicted));
-        double unknownMillis = sends ? unknownPathMillis(state, wanted, now) : 0;
-        if (!wanted.due().mayBegin(state.heldVersion(), now, choice.predictedMillis() + unknownMillis)) {
+        long roundTrip = Math.max(
+                state.roundTripMillis(),
+                unansweredPolls.penaltyMillis(state.sighting().id()));
+        double predicted = predictedMillis(state, requirements, now) + roundTrip;
+        Candidate candidate =
+                new Candidate(state, predicted, roundTrip, interruptionMillis(state, requirements, now, predicted));
+        double uncertaintyMillis = forSending ? pathUncertaintyMillis(state, requirements, now) : 0;
+        if (!requirements
+                .deadlines()
+                .canStartInTime(state.heldVersion(), now, candidate.predictedMillis() + uncertaintyMillis)) {
             return;
         }
-        boolean usual = wanted.service().engine() == null || isWatched(state);
-        if (state.isAvoided(now) || state.isChanging(now)) {
-            candidates.avoided.add(choice);
-        } else if (!usual) {
-            candidates.unwatched.add(choice);
-        } else if (isNear(state)) {
-            candidates.near.add(choice);
+        boolean preferred = requirements.service().engine() == null || isWatched(state);
+        if (state.isAvoided(now) || state.isChangingWeights(now)) {
+            candidates.avoided.add(candidate);
+        } else if (!preferred) {
+            candidates.unwatched.add(candidate);
+        } else if (isLocal(state)) {
+            candidates.local.add(candidate);
         } else {
-            candidates.far.add(choice);
+            candidates.remote.add(candidate);
         }
     }
 
-    private double breakOffMillis(TargetState state, Wanted wanted, long now, double predicted) {
-        EngineModel engine = wanted.service().engine();
-        if (engine == null || !settings.avoidsBreakOffs()) {
+    private double interruptionMillis(TargetState state, Requirements requirements, long now, double predicted) {
+        EngineModel engine = requirements.service().engine();
+        if (engine == null || !settings.avoidsInterruptions()) {
             return 0;
         }
-        return BreakOffCost.millis(engine, state.untilBreakOffMillis(now), predicted, wanted.objectiveMillis());
+        return InterruptionCost.millis(
+                engine, state.untilInterruptionMillis(now), predicted, requirements.objectiveMillis());
     }
 
     /** Returns by how much the path may have become slower since it was last used, at most. */
-    private static double unknownPathMillis(TargetState state, Wanted wanted, long now) {
-        boolean hasNews = wanted.service().engine() != null;
-        return hasNews ? Math.min(MOST_PATH_MILLIS, state.newsMillis(now)) : 0;
+    private static double pathUncertaintyMillis(TargetState state, Requirements requirements, long now) {
+        boolean hasNews = requirements.service().engine() != null;
+        return hasNews ? Math.min(MAX_PATH_DELAY_MILLIS, state.loadAgeMillis(now)) : 0;
     }
 
     /** Returns true if the target is in the own data hall and a request begins comfortably in time there. */
-    public boolean staysHere(Choice choice, Wanted wanted) {
-        return isNear(choice.target()) && comparison.isComfortable(choice, wanted);
+    public boolean staysLocal(Candidate candidate, Requirements requirements) {
+        return isLocal(candidate.target()) && selector.startsWithinLocalShare(candidate, requirements);
     }
 
-    private boolean isNear(TargetState state) {
+    private boolean isLocal(TargetState state) {
         return state.sighting().dataHall().equals(dataHall);
     }
 
@@ -348,25 +356,27 @@
         return watched.contains(state.sighting().id());
     }
 
-    private static boolean mayTake(TargetState state, Wanted wanted) {
+    private static boolean isEligible(TargetState state, Requirements requirements) {
         TargetSighting sighting = state.sighting();
-        boolean holds = wanted.leastVersion() < 0 || state.heldVersion() >= Math.max(1, wanted.leastVersion());
-        return sighting.service().equals(wanted.service().name())
+        boolean hasWeights =
+                requirements.minVersion() < 0 || state.heldVersion() >= Math.max(1, requirements.minVersion());
+        return sighting.service().equals(requirements.service().name())
                 && !sighting.draining()
-                && holds
-                && !wanted.excluded().contains(sighting.id());
+                && hasWeights
+                && !requirements.excluded().contains(sighting.id());
     }
 
     /** Returns how long a request would wait there for its first event, the way aside, as far as is known here. */
-    private static double predictedMillis(TargetState state, Wanted wanted, long now) {
-        EngineModel engine = wanted.service().engine();
+    private static double predictedMillis(TargetState state, Requirements requirements, long now) {
+        EngineModel engine = requirements.service().engine();
         if (engine == null) {
-            return (state.inFlight() + 1) * PLAIN_MILLIS * state.lateness();
+            return (state.inFlight() + 1) * PLAIN_SERVICE_MILLIS * state.latencyRatio();
         }
         EngineLoad load = state.load(now);
         int sentSince = load == null ? state.inFlight() : state.sentSinceLoad() - state.endedSinceLoad();
         EngineLoad assumed = load == null ? EngineLoad.NONE : load;
-        return FirstEventEstimate.of(engine).millis(assumed, sentSince, state.unreadTokens(), wanted.promptTokens())
-                * Math.max(1, state.lateness());
+        return FirstEventEstimate.of(engine)
+                        .millis(assumed, sentSince, state.pendingPromptTokens(), requirements.promptTokens())
+                * Math.max(1, state.latencyRatio());
     }
 }
--- a/core/src/main/java/org/bankturn/routing/VersionsDue.java
+++ b/core/src/main/java/org/bankturn/routing/VersionDeadlines.java
@@ -11,22 +11,22 @@
  *
  * <p>VersionsDue is mutable and not thread-safe.
  */
-public final class VersionsDue {
+public final class VersionDeadlines {
     /** Links and engines that are about to get slower make a request begin later than predicted, by this factor. */
     private static final double PREDICTION_MARGIN = 2;
 
-    private final TreeMap<Integer, Long> dueMillis = new TreeMap<>();
+    private final TreeMap<Integer, Long> deadlines = new TreeMap<>();
 
     /** Returns an object for a model of which no version was named, not null. */
-    public static VersionsDue none() {
-        return new VersionsDue();
+    public static VersionDeadlines none() {
+        return new VersionDeadlines();
     }
 
-    private VersionsDue() {}
+    private VersionDeadlines() {}
 
     /** Returns the oldest version that a request may be sent to, 0 for any. */
-    public int leastVersion(long nowMillis) {
-        return dueMillis.descendingMap().entrySet().stream()
+    public int minVersion(long nowMillis) {
+        return deadlines.descendingMap().entrySet().stream()
                 .filter(entry -> entry.getValue() <= nowMillis)
                 .map(Map.Entry::getKey)
                 .findFirst()
@@ -40,18 +40,18 @@
      * @param nowMillis the time
      * @param predictedMillis how long until it begins there, as predicted
      */
-    public boolean mayBegin(int heldVersion, long nowMillis, double predictedMillis) {
-        double begins = nowMillis + predictedMillis * PREDICTION_MARGIN;
-        return dueMillis.tailMap(heldVersion, false).values().stream().allMatch(due -> begins <= due);
+    public boolean canStartInTime(int heldVersion, long nowMillis, double predictedMillis) {
+        double startMillis = nowMillis + predictedMillis * PREDICTION_MARGIN;
+        return deadlines.tailMap(heldVersion, false).values().stream().allMatch(deadline -> startMillis <= deadline);
     }
 
     /** Takes in that a version was named; the first time counts. */
-    public void named(int version, long requestsMustBeginMillis) {
-        dueMillis.putIfAbsent(version, requestsMustBeginMillis);
+    public void versionAnnounced(int version, long deadlineMillis) {
+        deadlines.putIfAbsent(version, deadlineMillis);
     }
 
     @Override
     public String toString() {
-        return "VersionsDue" + dueMillis;
+        return "VersionsDue" + deadlines;
     }
 }
--- a/core/src/test/java/org/bankturn/agreement/SilencedGroup.java
+++ b/core/src/test/java/org/bankturn/agreement/SilencedGroup.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.Map;
 import org.bankturn.agreement.Ready.Outbound;
-import org.bankturn.routing.ConnectionTrust;
+import org.bankturn.routing.ConnectionReusePolicy;
 
 /** A group in virtual time whose members send over kept connections, which can all go silent at one moment. */
 final class SilencedGroup {
@@ -17,7 +17,7 @@
     private static final long ANSWER_MILLIS = 1_000;
 
     final MemberGroup members;
-    private final Map<String, ConnectionTrust> trusts = new HashMap<>();
+    private final Map<String, ConnectionReusePolicy> trusts = new HashMap<>();
     private final Map<Way, Connection> connections = new HashMap<>();
     private final List<Lost> lost = new ArrayList<>();
 
@@ -32,7 +32,9 @@
 
     SilencedGroup(long seed) {
         members = new MemberGroup(SETTINGS, seed, "a", "b", "c");
-        members.running.keySet().forEach(box -> trusts.put(box, ConnectionTrust.of(members.clock, MOST_REST_MILLIS)));
+        members.running
+                .keySet()
+                .forEach(box -> trusts.put(box, ConnectionReusePolicy.of(members.clock, MOST_REST_MILLIS)));
     }
 
     /** Lets time pass, in steps of ten milliseconds. */
@@ -42,7 +44,7 @@
             giveUpLost();
             members.running.forEach(
                     (box, member) -> GroupSilence.distrustedUntilMillis(member, SETTINGS, members.clock.millis())
-                            .ifPresent(trusts.get(box)::wentSilent));
+                            .ifPresent(trusts.get(box)::timedOut));
             deliverAll();
         }
     }
@@ -69,7 +71,7 @@
 
     private Connection connection(Way way) {
         Connection kept = connections.get(way);
-        if (kept != null && trusts.get(way.from()).mayCarry(kept.heardMillis)) {
+        if (kept != null && trusts.get(way.from()).isReusable(kept.heardMillis)) {
             return kept;
         }
         Connection opened = new Connection();
@@ -84,7 +86,7 @@
             if (now - message.sentMillis() >= ANSWER_MILLIS) {
                 lost.remove(message);
                 connections.values().remove(message.connection());
-                trusts.get(message.from()).wentSilent(now - ANSWER_MILLIS / 2);
+                trusts.get(message.from()).timedOut(now - ANSWER_MILLIS / 2);
             }
         }
     }
--- a/core/src/test/java/org/bankturn/routing/RequestPolicyTest.java
+++ b/core/src/test/java/org/bankturn/routing/RequestPolicyTest.java
@@ -33,7 +33,7 @@
             List.of(new WeightedService("chat", 1)),
             2,
             true);
-    private static final int OWN_PART = 10;
+    private static final int GATEWAYS = 10;
 
     private final ManualClock clock = ManualClock.startingAt(1_000_000);
     private final TargetTable targets =
@@ -45,16 +45,16 @@
     void publish() {
         policy.update(
                 ServingConfiguration.of(1, List.of(ROUTE), List.of(SERVICE), ClientLimits.DEFAULT, List.of()),
-                OptionalInt.of(OWN_PART));
+                OptionalInt.of(GATEWAYS));
         targets.update(List.of(sighting("one", "here"), sighting("two", "there")));
-        targets.watch(Set.of("one", "two"));
+        targets.setWatched(Set.of("one", "two"));
     }
 
     @Test
     void engines_are_asked_once_and_then_the_request_is_placed() {
         RequestProgress request = request();
-        assertThat(policy.next(request)).isEqualTo(new NextStep.Ask(List.of("one")));
-        targets.reported("one", EngineLoad.NONE, 0, 2);
+        assertThat(policy.next(request)).isEqualTo(new NextStep.PollLoad(List.of("one")));
+        targets.loadReported("one", EngineLoad.NONE, 0, 2);
         assertThat(policy.next(request)).isInstanceOf(NextStep.Send.class);
     }
 
@@ -62,7 +62,7 @@
     void a_request_whose_questions_are_not_answered_is_placed_all_the_same() {
         RequestProgress request = request();
         NextStep step = policy.next(request);
-        while (step instanceof NextStep.Ask) {
+        while (step instanceof NextStep.PollLoad) {
             step = policy.next(request);
         }
         assertThat(step).isInstanceOf(NextStep.Send.class);
@@ -74,15 +74,15 @@
         full("two");
         NextStep step = policy.next(request());
         assertThat(step).isInstanceOf(NextStep.GiveUp.class);
-        assertThat(((NextStep.GiveUp) step).comeBackMillis()).isBetween(300L, 5_000L);
+        assertThat(((NextStep.GiveUp) step).retryAfterMillis()).isBetween(300L, 5_000L);
     }
 
     @Test
     void before_another_hall_is_used_its_engines_are_asked() {
         full("one");
         RequestProgress request = request();
-        assertThat(policy.next(request)).isEqualTo(new NextStep.Ask(List.of("two")));
-        targets.reported("two", EngineLoad.NONE, 0, 4);
+        assertThat(policy.next(request)).isEqualTo(new NextStep.PollLoad(List.of("two")));
+        targets.loadReported("two", EngineLoad.NONE, 0, 4);
         assertThat(policy.next(request)).isInstanceOf(NextStep.Send.class);
     }
 
@@ -90,8 +90,8 @@
     void a_request_without_another_target_waits_for_the_permit_that_it_asks_for() {
         TargetState one = limitedOnlyTarget();
         NextStep.AwaitPermit wait = (NextStep.AwaitPermit) decide(request());
-        assertThat(wait.mostMillis()).isEqualTo(ROUTE.objectiveMillis() / 8);
-        assertThat(targets.takePermitsWanted()).containsExactly(one);
+        assertThat(wait.timeoutMillis()).isEqualTo(ROUTE.objectiveMillis() / 8);
+        assertThat(targets.drainPermitRequests()).containsExactly(one);
         answerPermit(one, true, 0);
         assertThat(decide(request())).isInstanceOf(NextStep.Send.class);
     }
@@ -104,7 +104,7 @@
         answerPermit(one, false, 700);
         NextStep.GiveUp refused = (NextStep.GiveUp) decide(request);
         assertThat(refused.reason()).isEqualTo("no target left but 1 rate_limited");
-        assertThat(refused.comeBackMillis()).isBetween(700L, 3_000L);
+        assertThat(refused.retryAfterMillis()).isBetween(700L, 3_000L);
     }
 
     @Test
@@ -112,22 +112,22 @@
         TargetState one = limitedOnlyTarget();
         RequestProgress request = request();
         assertThat(decide(request)).isInstanceOf(NextStep.AwaitPermit.class);
-        one.permitAsked();
+        one.permitRequested();
         clock.advance(ROUTE.objectiveMillis() / 8);
         assertThat(decide(request)).isInstanceOf(NextStep.GiveUp.class);
     }
 
     private TargetState limitedOnlyTarget() {
         targets.update(List.of(sighting("one", "here")));
-        targets.watch(Set.of("one"));
+        targets.setWatched(Set.of("one"));
         NextStep.Send send = (NextStep.Send) decide(request());
-        TargetState one = send.choice().target();
-        one.noticed(new TargetNotice(OptionalDouble.of(1), 0, false), true, clock.millis(), clock.millis());
+        TargetState one = send.candidate().target();
+        one.applyNotice(new TargetNotice(OptionalDouble.of(1), 0, false), true, clock.millis(), clock.millis());
         return one;
     }
 
     private void answerPermit(TargetState target, boolean granted, long inMillis) {
-        target.permitAsked();
+        target.permitRequested();
         target.permitAnswered(
                 new PermitCoordinator.Answer(target.rateLimit(), granted, inMillis), clock.millis(), clock.millis());
     }
@@ -137,13 +137,13 @@
     void while_first_tries_are_refused_for_long_a_caller_that_comes_back_gets_no_place_that_one_of_them_might_want() {
         halfFull("one");
         decide(request());
-        assertThat(decide(cameBack())).isInstanceOf(NextStep.Send.class);
+        assertThat(decide(callerRetry())).isInstanceOf(NextStep.Send.class);
         full("one");
         full("two");
         assertThat(decide(request())).isInstanceOf(NextStep.GiveUp.class);
         assertThat(decide(request())).isInstanceOf(NextStep.GiveUp.class);
         halfFull("one");
-        assertThat(decide(cameBack())).isInstanceOf(NextStep.Send.class);
+        assertThat(decide(callerRetry())).isInstanceOf(NextStep.Send.class);
         for (int refused = 0; refused < 10; refused++) {
             clock.advance(350);
             full("one");
@@ -151,25 +151,25 @@
             assertThat(decide(request())).isInstanceOf(NextStep.GiveUp.class);
         }
         halfFull("one");
-        assertThat(decide(cameBack())).isInstanceOf(NextStep.GiveUp.class);
+        assertThat(decide(callerRetry())).isInstanceOf(NextStep.GiveUp.class);
         assertThat(decide(request())).isInstanceOf(NextStep.Send.class);
         for (int sent = 0; sent < 40; sent++) {
             halfFull("one");
             decide(request());
         }
         halfFull("one");
-        assertThat(decide(cameBack())).isInstanceOf(NextStep.Send.class);
+        assertThat(decide(callerRetry())).isInstanceOf(NextStep.Send.class);
     }
 
     private NextStep decide(RequestProgress request) {
         NextStep step = policy.next(request);
-        while (step instanceof NextStep.Ask) {
+        while (step instanceof NextStep.PollLoad) {
             step = policy.next(request);
         }
         return step;
     }
 
-    private RequestProgress cameBack() {
+    private RequestProgress callerRetry() {
         RequestProgress request = RequestProgress.of(ROUTE, SERVICE, 1_000, clock.millis() + 5_000);
         policy.arrived(request);
         return request;
@@ -184,7 +184,7 @@
         unknowing.update(configuration, OptionalInt.empty());
         clock.advance(10_000);
         assertThat(retriesAfterFailure(unknowing)).isFalse();
-        unknowing.update(configuration, OptionalInt.of(OWN_PART));
+        unknowing.update(configuration, OptionalInt.of(GATEWAYS));
         assertThat(retriesAfterFailure(unknowing)).isFalse();
         clock.advance(10_000);
         assertThat(retriesAfterFailure(unknowing)).isTrue();
@@ -195,22 +195,22 @@
     void a_gateway_may_hear_of_others_before_there_is_a_configuration() {
         RequestPolicy early = RequestPolicy.of(
                 clock, targets, new RetryLimits(0.2, 100, 10_000), RandomSource.XO_RO_SHI_RO_128_PP.create(8));
-        early.update(null, OptionalInt.of(OWN_PART));
+        early.update(null, OptionalInt.of(GATEWAYS));
         early.update(
                 ServingConfiguration.of(1, List.of(ROUTE), List.of(SERVICE), ClientLimits.DEFAULT, List.of()),
-                OptionalInt.of(OWN_PART));
+                OptionalInt.of(GATEWAYS));
         clock.advance(10_000);
         assertThat(retriesAfterFailure(early)).isTrue();
     }
 
     private boolean retriesAfterFailure(RequestPolicy asked) {
         RequestProgress request = request();
-        while (asked.next(request) instanceof NextStep.Ask) {
+        while (asked.next(request) instanceof NextStep.PollLoad) {
             clock.advance(1);
         }
         request.sent();
         request.outcomeUnknown();
-        return asked.afterFailure(request).isPresent();
+        return asked.retryAfterFailure(request).isPresent();
     }
 
     @Test
@@ -230,18 +230,18 @@
 
     @Test
     void a_target_that_answers_others_is_given_longer() {
-        long alone = SilenceBound.beforeFirstMillis(600, 200, false);
-        assertThat(SilenceBound.beforeFirstMillis(600, 200, true)).isGreaterThan(alone);
-        assertThat(SilenceBound.beforeFirstMillis(600, 2_000, false)).isEqualTo(4_000);
-        assertThat(SilenceBound.withinStreamMillis(true)).isGreaterThan(SilenceBound.withinStreamMillis(false));
+        long alone = SilenceTimeout.beforeFirstEventMillis(600, 200, false);
+        assertThat(SilenceTimeout.beforeFirstEventMillis(600, 200, true)).isGreaterThan(alone);
+        assertThat(SilenceTimeout.beforeFirstEventMillis(600, 2_000, false)).isEqualTo(4_000);
+        assertThat(SilenceTimeout.betweenEventsMillis(true)).isGreaterThan(SilenceTimeout.betweenEventsMillis(false));
     }
 
     private void halfFull(String id) {
-        targets.reported(id, new EngineLoad(4, 0, 0, 0, 1, false), 0, 2);
+        targets.loadReported(id, new EngineLoad(4, 0, 0, 0, 1, false), 0, 2);
     }
 
     private void full(String id) {
-        targets.reported(id, new EngineLoad(8, 8, 0, 0, 1, false), 0, 2);
+        targets.loadReported(id, new EngineLoad(8, 8, 0, 0, 1, false), 0, 2);
     }
 
     private RequestProgress request() {
--- a/core/src/test/java/org/bankturn/routing/RetryBudgetTest.java
+++ b/core/src/test/java/org/bankturn/routing/RetryBudgetTest.java
@@ -54,13 +54,13 @@
     @Test
     void in_no_window_there_are_more_retries_than_its_requests_and_those_just_before_allow() {
         UniformRandomProvider random = RandomSource.XO_RO_SHI_RO_128_PP.create(7);
-        double earned = ALLOWED_SHARE / (1 + RetryBudget.KEPT_SHARE);
+        double earned = ALLOWED_SHARE / (1 + RetryBudget.CARRY_OVER_SHARE);
         RetryBudget budget = RetryBudget.of(earned, 2, WINDOW_MILLIS, clock);
         List<Long> requests = new ArrayList<>();
         List<Long> retries = new ArrayList<>();
         for (int step = 0; step < 20_000; step++) {
             clock.advance(random.nextInt(10));
-            budget.requestSeen();
+            budget.recordRequest();
             requests.add(clock.millis());
             if (step / 500 % 3 == 0 && budget.tryRetry()) {
                 retries.add(clock.millis());
@@ -68,8 +68,8 @@
         }
         assertThat(retries).isNotEmpty();
         for (long end : retries) {
-            long most = Math.max(within(requests, end), within(requests, end - WINDOW_MILLIS / 2));
-            assertThat((double) within(retries, end)).isLessThanOrEqualTo(2 + ALLOWED_SHARE * most);
+            long most = Math.max(countInWindow(requests, end), countInWindow(requests, end - WINDOW_MILLIS / 2));
+            assertThat((double) countInWindow(retries, end)).isLessThanOrEqualTo(2 + ALLOWED_SHARE * most);
         }
     }
 
@@ -80,7 +80,7 @@
         assertThatThrownBy(() -> RetryBudget.of(0.1, 1, 0, clock)).isInstanceOf(IllegalArgumentException.class);
     }
 
-    private static long within(List<Long> moments, long end) {
+    private static long countInWindow(List<Long> moments, long end) {
         return moments.stream()
                 .filter(moment -> moment > end - WINDOW_MILLIS && moment <= end)
                 .count();
@@ -89,7 +89,7 @@
     private void requests(RetryBudget budget, int count, long gapMillis) {
         for (int request = 0; request < count; request++) {
             clock.advance(gapMillis);
-            budget.requestSeen();
+            budget.recordRequest();
         }
     }
 
--- a/core/src/test/java/org/bankturn/routing/TargetTableTest.java
+++ b/core/src/test/java/org/bankturn/routing/TargetTableTest.java
@@ -9,8 +9,8 @@
 import java.util.Set;
 import org.apache.commons.rng.simple.RandomSource;
 import org.bankturn.registry.TargetSighting;
-import org.bankturn.routing.TargetTable.Choice;
-import org.bankturn.routing.TargetTable.Wanted;
+import org.bankturn.routing.TargetTable.Candidate;
+import org.bankturn.routing.TargetTable.Requirements;
 import org.bankturn.service.EngineModel;
 import org.bankturn.service.Service;
 import org.bankturn.time.ManualClock;
@@ -33,7 +33,7 @@
         add("far", "there");
         report("near", new EngineLoad(6, 0, 0, 0, 1, false));
         report("far", EngineLoad.NONE);
-        assertThat(chosen()).isEqualTo("near");
+        assertThat(chosenTarget()).isEqualTo("near");
     }
 
     @Test
@@ -42,7 +42,7 @@
         add("far", "there");
         report("near", FULL);
         report("far", EngineLoad.NONE);
-        assertThat(chosen()).isEqualTo("far");
+        assertThat(chosenTarget()).isEqualTo("far");
     }
 
     @Test
@@ -50,19 +50,19 @@
         add("old", "here");
         add("new", "here");
         report("old", EngineLoad.NONE);
-        clock.advance(PlacementSettings.DEFAULT.freshMillis() + 1);
+        clock.advance(PlacementSettings.DEFAULT.maxFreshAgeMillis() + 1);
         report("new", EngineLoad.NONE);
-        assertThat(table.toAsk(wanted(), false)).containsExactly("old");
+        assertThat(table.targetsToPoll(requirements(), false)).containsExactly("old");
         report("old", EngineLoad.NONE);
-        assertThat(table.toAsk(wanted(), false)).isEmpty();
+        assertThat(table.targetsToPoll(requirements(), false)).isEmpty();
     }
 
     @Test
     void engines_of_other_halls_are_asked_only_for_a_request_that_would_leave() {
         add("near", "here");
         add("far", "there");
-        assertThat(table.toAsk(wanted(), false)).containsExactly("near");
-        assertThat(table.toAsk(wanted(), true)).containsExactly("far");
+        assertThat(table.targetsToPoll(requirements(), false)).containsExactly("near");
+        assertThat(table.targetsToPoll(requirements(), true)).containsExactly("far");
     }
 
     @Test
@@ -70,19 +70,19 @@
         add("old", "here");
         add("new", "here");
         report("old", EngineLoad.NONE);
-        clock.advance(PlacementSettings.DEFAULT.freshMillis() + 1);
+        clock.advance(PlacementSettings.DEFAULT.maxFreshAgeMillis() + 1);
         report("new", new EngineLoad(4, 0, 0, 0, 1, false));
-        assertThat(chosen()).isEqualTo("new");
+        assertThat(chosenTarget()).isEqualTo("new");
     }
 
     @Test
     void a_target_that_failed_is_taken_only_if_there_is_no_other() {
         add("failed", "here");
-        Choice only = table.choose(wanted()).orElseThrow();
-        only.target().failed(clock.millis());
-        assertThat(chosen()).isEqualTo("failed");
+        Candidate only = table.choose(requirements()).orElseThrow();
+        only.target().requestFailed(clock.millis());
+        assertThat(chosenTarget()).isEqualTo("failed");
         add("other", "there");
-        assertThat(chosen()).isEqualTo("other");
+        assertThat(chosenTarget()).isEqualTo("other");
     }
 
     @Test
@@ -90,10 +90,10 @@
         add("silent", "here");
         long asked = clock.millis();
         clock.advance(25);
-        table.unheardSince("silent", asked);
-        assertThat(predicted()).isGreaterThan(400);
+        table.pollOverdue("silent", asked);
+        assertThat(predictedMillis()).isGreaterThan(400);
         report("silent", EngineLoad.NONE);
-        assertThat(predicted()).isLessThan(200);
+        assertThat(predictedMillis()).isLessThan(200);
     }
 
     /**
@@ -111,9 +111,9 @@
         clock.advance(300);
         long asked = clock.millis();
         clock.advance(25);
-        table.unheardSince("one", asked);
-        table.unheardSince("other", asked);
-        assertThat(predicted()).isLessThan(200);
+        table.pollOverdue("one", asked);
+        table.pollOverdue("other", asked);
+        assertThat(predictedMillis()).isLessThan(200);
     }
 
     @Test
@@ -123,27 +123,27 @@
         add("well", "here");
         long asked = clock.millis();
         clock.advance(25);
-        table.unheardSince("one", asked);
-        table.unheardSince("other", asked);
+        table.pollOverdue("one", asked);
+        table.pollOverdue("other", asked);
         report("well", EngineLoad.NONE);
-        assertThat(chosen()).isEqualTo("well");
-        Wanted elsewhere = new Wanted(SERVICE, -1, VersionsDue.none(), 1_000, 600, Set.of("well"));
+        assertThat(chosenTarget()).isEqualTo("well");
+        Requirements elsewhere = new Requirements(SERVICE, -1, VersionDeadlines.none(), 1_000, 600, Set.of("well"));
         assertThat(table.choose(elsewhere).orElseThrow().predictedMillis()).isGreaterThan(400);
     }
 
     @Test
     void requests_that_ended_since_the_news_are_no_longer_counted() {
         add("near", "here");
-        TargetState state = table.choose(wanted()).orElseThrow().target();
+        TargetState state = table.choose(requirements()).orElseThrow().target();
         long sent = clock.millis();
-        state.begin(100, sent);
+        state.requestStarted(100, sent);
         clock.advance(10);
         report("near", new EngineLoad(1, 0, 0, 0, 1, false));
-        double busy = predicted();
+        double busy = predictedMillis();
         clock.advance(10);
         state.promptRead(100);
-        state.end(sent, clock.millis());
-        assertThat(predicted()).isLessThan(busy);
+        state.requestEnded(sent, clock.millis());
+        assertThat(predictedMillis()).isLessThan(busy);
     }
 
     /** Its path may have become slow since; a request that is held up on it would begin on weights that are no longer due. */
@@ -151,14 +151,14 @@
     void a_target_with_older_weights_and_old_news_takes_nothing_shortly_before_newer_ones_are_due() {
         add("near", "here");
         report("near", EngineLoad.NONE);
-        VersionsDue due = VersionsDue.none();
-        due.named(2, clock.millis() + 1_500);
-        assertThat(table.choose(wanted(due))).isPresent();
+        VersionDeadlines deadlines = VersionDeadlines.none();
+        deadlines.versionAnnounced(2, clock.millis() + 1_500);
+        assertThat(table.choose(requirements(deadlines))).isPresent();
         clock.advance(600);
-        assertThat(table.choose(wanted(due))).isEmpty();
-        assertThat(table.toAsk(wanted(due), false)).containsExactly("near");
+        assertThat(table.choose(requirements(deadlines))).isEmpty();
+        assertThat(table.targetsToPoll(requirements(deadlines), false)).containsExactly("near");
         report("near", EngineLoad.NONE);
-        assertThat(table.choose(wanted(due))).isPresent();
+        assertThat(table.choose(requirements(deadlines))).isPresent();
     }
 
     @Test
@@ -167,22 +167,22 @@
         add("staying", "here");
         report("turning", EngineLoad.NONE);
         report("staying", new EngineLoad(4, 0, 0, 0, 1, false));
-        assertThat(chosen()).isEqualTo("turning");
-        table.breaksOff("turning", 400);
-        assertThat(chosen()).isEqualTo("staying");
+        assertThat(chosenTarget()).isEqualTo("turning");
+        table.interruptionAnnounced("turning", 400);
+        assertThat(chosenTarget()).isEqualTo("staying");
         report("staying", new EngineLoad(8, 8, 0, 0, 1, false));
-        assertThat(chosen()).isEqualTo("turning");
+        assertThat(chosenTarget()).isEqualTo("turning");
     }
 
     @Test
     void an_engine_that_has_broken_off_is_as_good_as_others_again() {
         add("turning", "here");
         add("staying", "here");
-        table.breaksOff("turning", 400);
+        table.interruptionAnnounced("turning", 400);
         clock.advance(401);
         report("turning", EngineLoad.NONE);
         report("staying", new EngineLoad(4, 0, 0, 0, 1, false));
-        assertThat(chosen()).isEqualTo("turning");
+        assertThat(chosenTarget()).isEqualTo("turning");
     }
 
     @Test
@@ -191,8 +191,8 @@
         add("staying", "here");
         report("turning", EngineLoad.NONE);
         report("staying", new EngineLoad(4, 0, 0, 0, 1, false));
-        table.breaksOff("turning", 6_000);
-        assertThat(chosen()).isEqualTo("turning");
+        table.interruptionAnnounced("turning", 6_000);
+        assertThat(chosenTarget()).isEqualTo("turning");
     }
 
     private void add(String id, String hall) {
@@ -200,16 +200,16 @@
         table.update(sightings);
         Set<String> ids = new HashSet<>();
         sightings.forEach(each -> ids.add(each.id()));
-        table.watch(ids);
+        table.setWatched(ids);
     }
 
     private void report(String id, EngineLoad load) {
-        table.reported(id, load, 0, 2);
+        table.loadReported(id, load, 0, 2);
     }
 
     private TargetState state(String id) {
-        return table.choose(wanted())
-                .map(Choice::target)
+        return table.choose(requirements())
+                .map(Candidate::target)
                 .filter(each -> each.sighting().id().equals(id))
                 .orElseThrow();
     }
@@ -218,65 +218,66 @@
     void a_target_that_is_held_back_is_not_taken_even_if_there_is_no_other() {
         add("only", "here");
         TargetState only = state("only");
-        only.noticed(new TargetNotice(OptionalDouble.empty(), 2_000, false), false, clock.millis(), clock.millis());
-        assertThat(table.choose(wanted())).isEmpty();
-        assertThat(table.toAsk(wanted(), false)).isEmpty();
+        only.applyNotice(new TargetNotice(OptionalDouble.empty(), 2_000, false), false, clock.millis(), clock.millis());
+        assertThat(table.choose(requirements())).isEmpty();
+        assertThat(table.targetsToPoll(requirements(), false)).isEmpty();
         assertThat(table.isHeldBack("only")).isTrue();
-        assertThat(table.heldBack(wanted())).hasToString("1 backing_off");
-        assertThat(table.heldBack(wanted()).soonestMillis()).isEqualTo(2_000);
+        assertThat(table.heldBack(requirements())).hasToString("1 backing_off");
+        assertThat(table.heldBack(requirements()).earliestReleaseMillis()).isEqualTo(2_000);
         clock.advance(2_000);
-        assertThat(chosen()).isEqualTo("only");
-        assertThat(table.heldBack(wanted()).anyComesBack()).isFalse();
+        assertThat(chosenTarget()).isEqualTo("only");
+        assertThat(table.heldBack(requirements()).hasKnownReleaseTime()).isFalse();
     }
 
     @Test
     void a_target_that_leaves_does_not_come_back() {
         add("only", "here");
-        state("only").noticed(new TargetNotice(OptionalDouble.empty(), 0, true), true, clock.millis(), clock.millis());
-        assertThat(table.choose(wanted())).isEmpty();
-        assertThat(table.heldBack(wanted())).hasToString("1 leaving");
-        assertThat(table.heldBack(wanted()).anyComesBack()).isFalse();
+        state("only")
+                .applyNotice(new TargetNotice(OptionalDouble.empty(), 0, true), true, clock.millis(), clock.millis());
+        assertThat(table.choose(requirements())).isEmpty();
+        assertThat(table.heldBack(requirements())).hasToString("1 leaving");
+        assertThat(table.heldBack(requirements()).hasKnownReleaseTime()).isFalse();
     }
 
     @Test
     void a_limited_target_is_asked_permits_for_once_and_goes_first_while_there_is_one() {
         add("limited", "here");
         TargetState limited = state("limited");
-        limited.noticed(LIMITED, true, clock.millis(), clock.millis());
+        limited.applyNotice(LIMITED, true, clock.millis(), clock.millis());
         add("other", "here");
         report("other", EngineLoad.NONE);
         report("limited", new EngineLoad(4, 0, 0, 0, 1, false));
-        assertThat(chosen()).isEqualTo("other");
-        assertThat(table.takePermitsWanted()).containsExactly(limited);
-        limited.permitAsked();
-        assertThat(chosen()).isEqualTo("other");
-        assertThat(table.takePermitsWanted()).isEmpty();
+        assertThat(chosenTarget()).isEqualTo("other");
+        assertThat(table.drainPermitRequests()).containsExactly(limited);
+        limited.permitRequested();
+        assertThat(chosenTarget()).isEqualTo("other");
+        assertThat(table.drainPermitRequests()).isEmpty();
         limited.permitAnswered(
                 new PermitCoordinator.Answer(limited.rateLimit(), true, 0), clock.millis(), clock.millis());
-        assertThat(chosen()).isEqualTo("limited");
-        assertThat(limited.takePlace(clock.millis())).isEmpty();
-        assertThat(chosen()).isEqualTo("other");
+        assertThat(chosenTarget()).isEqualTo("limited");
+        assertThat(limited.acquire(clock.millis())).isEmpty();
+        assertThat(chosenTarget()).isEqualTo("other");
     }
 
     @Test
     void permits_of_another_hall_are_wanted_only_by_requests_that_would_leave() {
         add("far", "there");
         TargetState far = state("far");
-        far.noticed(LIMITED, true, clock.millis(), clock.millis());
+        far.applyNotice(LIMITED, true, clock.millis(), clock.millis());
         add("near", "here");
         report("near", EngineLoad.NONE);
-        assertThat(chosen()).isEqualTo("near");
-        assertThat(table.takePermitsWanted()).isEmpty();
+        assertThat(chosenTarget()).isEqualTo("near");
+        assertThat(table.drainPermitRequests()).isEmpty();
         report("near", FULL);
-        assertThat(chosen()).isEqualTo("near");
-        assertThat(table.takePermitsWanted()).containsExactly(far);
+        assertThat(chosenTarget()).isEqualTo("near");
+        assertThat(table.drainPermitRequests()).containsExactly(far);
     }
 
     /** Cut off from the control group for a while, a target is dropped and listed again; it is the same start of it. */
     @Test
     void a_target_that_is_listed_again_has_asked_for_what_it_asked_for() {
         add("cut", "here");
-        state("cut").noticed(new TargetNotice(OptionalDouble.of(1), 0, true), true, clock.millis(), clock.millis());
+        state("cut").applyNotice(new TargetNotice(OptionalDouble.of(1), 0, true), true, clock.millis(), clock.millis());
         sightings.clear();
         add("other", "here");
         clock.advance(5_000);
@@ -288,26 +289,27 @@
     void a_target_that_starts_again_has_asked_for_nothing() {
         add("first", "here");
         state("first")
-                .noticed(new TargetNotice(OptionalDouble.of(1), 2_000, true), false, clock.millis(), clock.millis());
-        assertThat(table.choose(wanted())).isEmpty();
+                .applyNotice(
+                        new TargetNotice(OptionalDouble.of(1), 2_000, true), false, clock.millis(), clock.millis());
+        assertThat(table.choose(requirements())).isEmpty();
         sightings.clear();
         add("second", "here");
-        assertThat(chosen()).isEqualTo("second");
+        assertThat(chosenTarget()).isEqualTo("second");
     }
 
-    private String chosen() {
-        return table.choose(wanted()).orElseThrow().target().sighting().id();
+    private String chosenTarget() {
+        return table.choose(requirements()).orElseThrow().target().sighting().id();
     }
 
-    private double predicted() {
-        return table.choose(wanted()).orElseThrow().predictedMillis();
+    private double predictedMillis() {
+        return table.choose(requirements()).orElseThrow().predictedMillis();
     }
 
-    private static Wanted wanted() {
-        return wanted(VersionsDue.none());
+    private static Requirements requirements() {
+        return requirements(VersionDeadlines.none());
     }
 
-    private static Wanted wanted(VersionsDue due) {
-        return new Wanted(SERVICE, -1, due, 1_000, 600, Set.of());
+    private static Requirements requirements(VersionDeadlines deadlines) {
+        return new Requirements(SERVICE, -1, deadlines, 1_000, 600, Set.of());
     }
 }
--- a/daemon/src/main/java/org/bankturn/daemon/entry/Dispatcher.java
+++ b/daemon/src/main/java/org/bankturn/daemon/entry/Dispatcher.java
@@ -84,14 +84,14 @@
 
     private Promise<AttemptOutcome<Begun>> send(Attempt attempt, Box box) {
         TargetLoad load = state.loadOf(box.name());
-        load.begun();
+        load.requestStarted();
         long startNanos = System.nanoTime();
         long remaining =
                 Math.max(1, attempt.request().dueMillis() - state.clock().millis());
         BackendClient.Exchange exchange = client.send(requestTo(box, attempt));
         return Promises.timeout(remaining, exchange.response())
                 .map(response -> began(box, response, load, startNanos), failure -> {
-                    load.ended();
+                    load.requestEnded();
                     state.targets().failed(box.name());
                     return exchange.witness().neverConnected()
                             ? new AttemptOutcome.NotRun<Begun>(NotRunProof.neverConnected())
@@ -102,7 +102,7 @@
     private AttemptOutcome<Begun> began(Box box, HttpResponse response, TargetLoad load, long startNanos) {
         Optional<ResultCode> rejected = rejection(response);
         if (rejected.isPresent()) {
-            load.ended();
+            load.requestEnded();
             if (rejected.get() == ResultCode.NOT_RUN_LEAVING) {
                 state.targets().refusedAsLeaving(box.name());
             }
@@ -110,7 +110,7 @@
                     ? new AttemptOutcome.NotRun<>(NotRunProof.rejectedByTargetProcess(rejected.get()))
                     : new AttemptOutcome.Unknown<>(rejected.get().description());
         }
-        load.observed((System.nanoTime() - startNanos) / NANOS_PER_MICRO);
+        load.recordLatency((System.nanoTime() - startNanos) / NANOS_PER_MICRO);
         return new AttemptOutcome.Answered<>(new Begun(box, response, load));
     }
 
--- a/daemon/src/main/java/org/bankturn/daemon/gateway/Attempt.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/Attempt.java
@@ -14,10 +14,10 @@
 import org.bankturn.daemon.observe.DecisionLine;
 import org.bankturn.daemon.observe.ServingMetrics;
 import org.bankturn.daemon.settings.Address;
-import org.bankturn.routing.HeldBack;
+import org.bankturn.routing.HoldReason;
 import org.bankturn.routing.NoticeChange;
 import org.bankturn.routing.TargetState;
-import org.bankturn.routing.TargetTable.Choice;
+import org.bankturn.routing.TargetTable.Candidate;
 import org.bankturn.service.Route;
 
 /**
@@ -39,7 +39,7 @@
     private final Route route;
     private final ServerExchange exchange;
     private final TargetState target;
-    private final Choice choice;
+    private final Candidate choice;
     private final int version;
     private final long beganMillis;
     private final ByteArrayOutputStream content = new ByteArrayOutputStream();
@@ -53,7 +53,7 @@
     private long sentMillis;
     private long firstEventMillis;
 
-    Attempt(ForwardedRequest request, Gateway gateway, Choice choice, int version) {
+    Attempt(ForwardedRequest request, Gateway gateway, Candidate choice, int version) {
         this.request = request;
         this.gateway = gateway;
         this.terms = request.terms();
@@ -66,7 +66,7 @@
     }
 
     void begin() {
-        target.begin(terms.promptTokens(), beganMillis);
+        target.requestStarted(terms.promptTokens(), beganMillis);
         long mostRest = route.kind().mayRepeat() ? Long.MAX_VALUE : MOST_REST_UNREPEATABLE_MILLIS;
         TargetConnection rested = gateway.connections().take(targetId(), now(), mostRest);
         Promise<TargetConnection> connected = rested != null
@@ -119,7 +119,7 @@
 
     /** Gives the request back if the target wants none by now; what it asks for may have come while the connection was made. */
     private boolean isHeldBack(TargetConnection opened) {
-        Optional<HeldBack> reason = target.takePlace(now());
+        Optional<HoldReason> reason = target.acquire(now());
         if (reason.isEmpty()) {
             return false;
         }
@@ -149,7 +149,7 @@
         head = received;
         answer = read;
         if (read.weightsVersion() > 0) {
-            target.sawVersion(read.weightsVersion());
+            target.versionObserved(read.weightsVersion());
         }
         if (!read.isMisdirected()) {
             noticed(read);
@@ -162,7 +162,7 @@
             gateway.metrics().targetNoticed(ServingMetrics.NOTICE_UNREADABLE);
             noticeLine("unreadable").with(DecisionField.ERROR, field).write();
         }
-        for (NoticeChange change : target.noticed(read.notice(), read.isSuccess(), sentMillis, now())) {
+        for (NoticeChange change : target.applyNotice(read.notice(), read.isSuccess(), sentMillis, now())) {
             gateway.metrics().targetNoticed(change.label());
             noticeLine(change.label())
                     .with(DecisionField.PER_SECOND, target.rateLimit().perSecond())
@@ -232,7 +232,7 @@
             double predicted = choice.predictedMillis();
             gateway.policy().correction(request.service()).observed(predicted, (double) firstEventMillis);
             gateway.metrics().firstEventPredicted(request.service().name(), predicted, firstEventMillis);
-            target.began(predicted, firstEventMillis);
+            target.firstEventReceived(predicted, firstEventMillis);
         }
     }
 
@@ -248,7 +248,7 @@
         }
         finish(true);
         if (answer.notRun()) {
-            target.full(now());
+            target.markFull(now());
             request.notRun();
             request.retry("target did not run it: " + answer.status());
         } else if (answer.status() >= SERVER_ERROR) {
@@ -258,14 +258,14 @@
         } else if (streams()) {
             endStream();
         } else {
-            target.answered(now() - beganMillis);
+            target.responseReceived(now() - beganMillis);
             passAnswer();
         }
     }
 
     /** Avoids the target for a while and says so. */
     private void targetFailed(String reason) {
-        long avoidedMillis = target.failed(now());
+        long avoidedMillis = target.requestFailed(now());
         gateway.metrics().targetFailed(request.service().name());
         gateway.log()
                 .line(DecisionKind.HEALTH)
@@ -273,7 +273,7 @@
                 .with(DecisionField.REQUEST, terms.id())
                 .with(DecisionField.FINGERPRINT, request.fingerprint())
                 .with(DecisionField.REASON, reason)
-                .with(DecisionField.FAILURES, target.failuresInARow())
+                .with(DecisionField.FAILURES, target.consecutiveFailures())
                 .with(DecisionField.AVOIDED_MS, avoidedMillis)
                 .write();
     }
@@ -337,7 +337,7 @@
 
     private void finish(boolean whole) {
         over = true;
-        target.end(beganMillis, now());
+        target.requestEnded(beganMillis, now());
         if (promptPending) {
             promptPending = false;
             target.promptRead(terms.promptTokens());
--- a/daemon/src/main/java/org/bankturn/daemon/gateway/ForwardedRequest.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/ForwardedRequest.java
@@ -9,10 +9,10 @@
 import org.bankturn.daemon.observe.RequestOutcome;
 import org.bankturn.daemon.observe.ServingMetrics;
 import org.bankturn.registry.TargetSighting;
-import org.bankturn.routing.ComeBack;
-import org.bankturn.routing.HeldBack;
+import org.bankturn.routing.HoldReason;
 import org.bankturn.routing.NextStep;
 import org.bankturn.routing.RequestProgress;
+import org.bankturn.routing.RetryAfter;
 import org.bankturn.service.Account;
 import org.bankturn.service.Route;
 import org.bankturn.service.Service;
@@ -97,14 +97,14 @@
         }
         NextStep step = gateway.policy().next(progress);
         gateway.askForPermits();
-        if (step instanceof NextStep.Ask ask) {
+        if (step instanceof NextStep.PollLoad ask) {
             gateway.askForLoad(ask.targets()).whenComplete(this::sendToNext);
         } else if (step instanceof NextStep.AwaitPermit wait) {
             gateway.awaitPermit(wait).whenComplete(this::sendToNext);
         } else if (step instanceof NextStep.Send send) {
             sendTo(send);
         } else if (step instanceof NextStep.GiveUp giveUp) {
-            giveUp(giveUp.reason(), giveUp.comeBackMillis());
+            giveUp(giveUp.reason(), giveUp.retryAfterMillis());
         }
     }
 
@@ -112,7 +112,7 @@
         if (progress.sends() > 0) {
             gateway.metrics().retried(service().name());
         }
-        attempt = new Attempt(this, gateway, send.choice(), send.leastVersion());
+        attempt = new Attempt(this, gateway, send.candidate(), send.minVersion());
         attempt.begin();
     }
 
@@ -140,11 +140,11 @@
     /** Sends the request to another target, if one may still have it. */
     void retry(String reason) {
         gateway.log()
-                .line(progress.lastEvent() == null ? DecisionKind.RETRIED : DecisionKind.RESUMED)
+                .line(progress.lastEventId() == null ? DecisionKind.RETRIED : DecisionKind.RESUMED)
                 .with(DecisionField.REQUEST, terms.id())
                 .with(DecisionField.REASON, reason)
                 .with(DecisionField.SENDS, progress.sends())
-                .with(DecisionField.HELD_BACK, gateway.policy().heldBack(progress))
+                .with(DecisionField.HELD_BACK, gateway.policy().heldBackTargets(progress))
                 .write();
         sendToNext();
     }
@@ -168,7 +168,7 @@
     /** Says that this attempt did not run and that more of them will not either, for long. */
     private void refuseCondemned() {
         ended(RequestOutcome.REFUSED, TOO_MANY, condemnedReason());
-        exchange.answer(gateway.dialect().ownAnswer(TOO_MANY, terms, ComeBack.CONDEMNED_MILLIS), NOTHING);
+        exchange.answer(gateway.dialect().ownAnswer(TOO_MANY, terms, RetryAfter.CONDEMNED_MILLIS), NOTHING);
     }
 
     private String condemnedReason() {
@@ -177,7 +177,7 @@
 
     /** Gives the final answer at once: refused if it certainly did not run, failed otherwise. */
     void giveUp(String reason) {
-        giveUp(reason, ComeBack.TO_ANOTHER_GATEWAY_MILLIS);
+        giveUp(reason, RetryAfter.OTHER_GATEWAY_MILLIS);
     }
 
     private void giveUp(String reason, long comeBackMillis) {
@@ -191,7 +191,7 @@
             return;
         }
         boolean mayHaveRun = progress.mayHaveRun();
-        boolean timeUp = gateway.policy().isTimeUp(progress);
+        boolean timeUp = gateway.policy().isDeadlineReached(progress);
         int status = !mayHaveRun ? 503 : timeUp ? 504 : 502;
         ended(mayHaveRun ? RequestOutcome.FAILED : RequestOutcome.REFUSED, status, reason);
         exchange.answer(gateway.dialect().ownAnswer(status, terms, mayHaveRun ? 0 : comeBackMillis), NOTHING);
@@ -219,9 +219,9 @@
                 .with(DecisionField.STATUS, status)
                 .with(DecisionField.REASON, reason)
                 .with(DecisionField.SENDS, progress.sends())
-                .with(DecisionField.HELD_BACK, gateway.policy().heldBack(progress))
+                .with(DecisionField.HELD_BACK, gateway.policy().heldBackTargets(progress))
                 .with(DecisionField.MAY_HAVE_RUN, progress.mayHaveRun())
-                .with(DecisionField.VERSION, gateway.policy().leastVersion(service()))
+                .with(DecisionField.VERSION, gateway.policy().minVersion(service()))
                 .with(DecisionField.PREDICTED_MS, attempt == null ? 0 : attempt.predictedMillis())
                 .with(DecisionField.FIRST_EVENT_MS, attempt == null ? 0 : attempt.firstEventMillis())
                 .with(DecisionField.HELD_MS, heldMillis)
@@ -307,12 +307,12 @@
 
     /** Returns the id of the last event that the caller has whole, null if there is none. */
     String lastEvent() {
-        return progress.lastEvent();
+        return progress.lastEventId();
     }
 
     /** The caller has one more whole event. */
     void passed(String eventId) {
-        progress.passed(eventId);
+        progress.eventForwarded(eventId);
     }
 
     /** The request is about to leave for a target. */
@@ -331,26 +331,26 @@
     }
 
     /** The target wanted no request any more once there was a connection to it, so nothing left. */
-    void heldBack(TargetSighting target, HeldBack reason) {
+    void heldBack(TargetSighting target, HoldReason reason) {
         gateway.metrics().heldBack(reason.label());
-        progress.heldBack(target.id());
+        progress.targetHeldBack(target.id());
         sendToNext();
     }
 
     /** No connection to the target was made, so nothing left. */
     void notConnected() {
-        progress.notConnected();
+        progress.connectionFailed();
         sendToNext();
     }
 
     boolean mayGoElsewhere() {
-        return gateway.policy().mayGoElsewhere(progress);
+        return gateway.policy().canRetryElsewhere(progress);
     }
 
     /** A target answered with a failure of its own, which is passed on unless another target may try. */
     void failedBy(Attempt failed) {
         Optional<NextStep.Send> another =
-                exchange.hasBegun() ? Optional.empty() : gateway.policy().afterFailure(progress);
+                exchange.hasBegun() ? Optional.empty() : gateway.policy().retryAfterFailure(progress);
         if (another.isEmpty()) {
             failed.passAnswer();
             return;
--- a/daemon/src/main/java/org/bankturn/daemon/gateway/Gateway.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/Gateway.java
@@ -31,12 +31,12 @@
 import org.bankturn.publication.NamedWeights;
 import org.bankturn.publication.PublicationCommand;
 import org.bankturn.registry.TargetSighting;
-import org.bankturn.routing.ComeBack;
-import org.bankturn.routing.ConnectionTrust;
+import org.bankturn.routing.ConnectionReusePolicy;
 import org.bankturn.routing.NextStep;
 import org.bankturn.routing.PlacementSettings;
 import org.bankturn.routing.RequestPolicy;
-import org.bankturn.routing.StopPlan;
+import org.bankturn.routing.RetryAfter;
+import org.bankturn.routing.ShutdownSchedule;
 import org.bankturn.routing.TargetState;
 import org.bankturn.routing.TargetTable;
 import org.bankturn.service.Account;
@@ -68,7 +68,7 @@
     private final HttpListener callers;
     private final HttpListener readiness;
     private final TargetTable targets;
-    private final ConnectionTrust trust;
+    private final ConnectionReusePolicy trust;
     private final TargetConnections connections;
     private final RequestPolicy policy;
     private final LoadPoller loads;
@@ -162,7 +162,7 @@
                 ? clock.millis() + DUE_AFTER_START_MILLIS
                 : changedSinceMillis + settings.weightsDeadlineMillis();
         for (NamedWeights named : newer.weights()) {
-            policy.versionNamed(named.model(), named.version(), due);
+            policy.versionAnnounced(named.model(), named.version(), due);
         }
         published = newer;
         policy.update(newer.configuration(), gatewaysThere());
@@ -211,13 +211,13 @@
 
     private void checkStopped(long since, SettablePromise<Void> stopped) {
         long waited = clock.millis() - since;
-        boolean noticed = StopPlan.isNoticed(waited);
+        boolean noticed = ShutdownSchedule.isTrafficDrained(waited);
         if (noticed) {
             takenOut = true;
             callers.closeResting();
         }
         boolean done = noticed && callers.underWay() == 0;
-        if (done || StopPlan.isOver(waited, settings.stopMillis())) {
+        if (done || ShutdownSchedule.mustExit(waited, settings.stopMillis())) {
             log.line(DecisionKind.STOP)
                     .with(DecisionField.WAITED_MS, waited)
                     .with(DecisionField.UNDER_WAY, callers.underWay())
@@ -290,7 +290,7 @@
     }
 
     private void answer(ServerExchange exchange, CallerTerms terms, int status, String reason) {
-        long comeBackMillis = takenOut ? ComeBack.TO_ANOTHER_GATEWAY_MILLIS : ComeBack.WITHOUT_TARGET_MILLIS;
+        long comeBackMillis = takenOut ? RetryAfter.OTHER_GATEWAY_MILLIS : RetryAfter.NO_TARGET_MILLIS;
         log.line(DecisionKind.REFUSED)
                 .with(DecisionField.REQUEST, terms.id())
                 .with(DecisionField.STATUS, status)
@@ -332,7 +332,7 @@
         return policy;
     }
 
-    ConnectionTrust trust() {
+    ConnectionReusePolicy trust() {
         return trust;
     }
 
@@ -366,7 +366,7 @@
 
     /** The promise completes when a request that waits for a permit should be placed. */
     Promise<Void> awaitPermit(NextStep.AwaitPermit wait) {
-        return permits.await(wait.target(), wait.mostMillis());
+        return permits.await(wait.target(), wait.timeoutMillis());
     }
 
     /** A target's limit changed or ended, by one of its answers. */
--- a/daemon/src/main/java/org/bankturn/daemon/gateway/LoadPoller.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/LoadPoller.java
@@ -14,14 +14,14 @@
 import org.bankturn.daemon.wire.NodeReply;
 import org.bankturn.daemon.wire.NodeRequest;
 import org.bankturn.registry.TargetSighting;
-import org.bankturn.routing.LoadQuestions;
+import org.bankturn.routing.LoadPollSchedule;
 import org.bankturn.routing.PlacementSettings;
 import org.bankturn.routing.TargetTable;
 import org.bankturn.routing.WatchPlan;
 import org.bankturn.time.Clock;
 
 /**
- * Asks the processes beside engines for their load, as {@link WatchPlan} and {@link LoadQuestions} say.
+ * Asks the processes beside engines for their load, as {@link WatchPlan} and {@link LoadPollSchedule} say.
  *
  * <p>How long an answer takes tells how slow the path is; requests on it would be held up as well. LoadPoller is confined
  * to its reactor's thread.
@@ -45,7 +45,7 @@
     private final GatewaySettings settings;
     private final ServingMetrics metrics;
     private final WatchPlan plan;
-    private final LoadQuestions questions;
+    private final LoadPollSchedule questions;
     private Published published = Published.NOTHING;
     private Set<String> gatewaysHere = Set.of();
     private int busiest;
@@ -76,7 +76,7 @@
         this.metrics = metrics;
         this.plan =
                 WatchPlan.of(PlacementSettings.DEFAULT, settings.nodeAddress().toString(), settings.dataHall());
-        this.questions = LoadQuestions.of(PlacementSettings.DEFAULT);
+        this.questions = LoadPollSchedule.of(PlacementSettings.DEFAULT);
     }
 
     void start() {
@@ -105,7 +105,7 @@
         Promises.all(ids.stream().map(this::ask).toList()).whenComplete(() -> answered.trySet(null));
         reactor.delayBackground(QUESTION_MILLIS, () -> {
             if (answered.trySet(null)) {
-                ids.forEach(id -> targets.unheardSince(id, clock.millis() - QUESTION_MILLIS));
+                ids.forEach(id -> targets.pollOverdue(id, clock.millis() - QUESTION_MILLIS));
             }
         });
         return answered;
@@ -142,12 +142,12 @@
             boolean isNear = published.targets().get(id).dataHall().equals(settings.dataHall());
             (isNear ? near : far).add(id);
         }
-        targets.watch(watched);
-        questions.watch(near, far, clock.millis());
+        targets.setWatched(watched);
+        questions.setWatched(near, far, clock.millis());
     }
 
     private void askLater() {
-        long pause = Math.max(LEAST_PAUSE_MILLIS, questions.untilNextMillis(clock.millis()));
+        long pause = Math.max(LEAST_PAUSE_MILLIS, questions.nextPollDelayMillis(clock.millis()));
         reactor.delayBackground(pause, () -> {
             askAllDue();
             askLater();
@@ -174,10 +174,10 @@
             boolean answered = failure == null && reply instanceof NodeReply.Load;
             metrics.loadQuestionEnded(answered);
             if (answered && reply instanceof NodeReply.Load told && told.load() != null) {
-                targets.reported(id, told.load(), told.ageMillis(), tookMillis);
-                targets.breaksOff(id, told.breaksOffInMillis());
+                targets.loadReported(id, told.load(), told.ageMillis(), tookMillis);
+                targets.interruptionAnnounced(id, told.breaksOffInMillis());
             } else {
-                targets.unheard(id, tookMillis);
+                targets.pollFailed(id, tookMillis);
             }
             return Promise.complete();
         });
--- a/daemon/src/main/java/org/bankturn/daemon/gateway/PermitCalls.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/PermitCalls.java
@@ -96,7 +96,7 @@
 
     /** Asks for the permits that requests could have used. */
     void askForWanted() {
-        for (TargetState target : targets.takePermitsWanted()) {
+        for (TargetState target : targets.drainPermitRequests()) {
             askFor(target);
         }
     }
@@ -110,11 +110,11 @@
      */
     Promise<Void> await(TargetState target, long mostMillis) {
         SettablePromise<Void> ready = new SettablePromise<>();
-        if (target.isAskingPermit()) {
+        if (target.isPermitPending()) {
             waiting.computeIfAbsent(target, key -> new ArrayList<>()).add(ready);
             reactor.delayBackground(mostMillis, () -> ready.trySet(null));
         } else {
-            long untilPermit = Math.min(mostMillis, target.untilPermitMillis(clock.millis()));
+            long untilPermit = Math.min(mostMillis, target.untilPermitUsableMillis(clock.millis()));
             reactor.delayBackground(Math.max(1, untilPermit), () -> ready.trySet(null));
         }
         return ready;
@@ -136,7 +136,7 @@
 
     private void askFor(TargetState target) {
         long askedMillis = clock.millis();
-        target.permitAsked();
+        target.permitRequested();
         ask(target, true).whenComplete((answer, failure) -> {
             if (failure == null) {
                 answered(target, answer, askedMillis);
--- a/daemon/src/main/java/org/bankturn/daemon/gateway/SilenceWatch.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/SilenceWatch.java
@@ -4,9 +4,9 @@
 import org.bankturn.daemon.observe.DecisionField;
 import org.bankturn.daemon.observe.DecisionKind;
 import org.bankturn.daemon.observe.ServingMetrics;
-import org.bankturn.routing.ConnectionTrust;
+import org.bankturn.routing.ConnectionReusePolicy;
 import org.bankturn.routing.TargetState;
-import org.bankturn.routing.TargetTable.Choice;
+import org.bankturn.routing.TargetTable.Candidate;
 
 /**
  * Notices that nothing comes any more for a request that a target has.
@@ -21,10 +21,10 @@
 
     private final Gateway gateway;
     private final ForwardedRequest request;
-    private final Choice choice;
+    private final Candidate choice;
     private final TargetConnection connection;
     private final Runnable takeAway;
-    private final ConnectionTrust.Wait wait;
+    private final ConnectionReusePolicy.PendingRequest wait;
     private long heardMillis;
     private boolean begun;
     private boolean noted;
@@ -41,20 +41,28 @@
      * @param takeAway is run when the request may be repeated and should go to another target, not null
      */
     static SilenceWatch start(
-            Gateway gateway, ForwardedRequest request, Choice choice, TargetConnection connection, Runnable takeAway) {
+            Gateway gateway,
+            ForwardedRequest request,
+            Candidate choice,
+            TargetConnection connection,
+            Runnable takeAway) {
         SilenceWatch watch = new SilenceWatch(gateway, request, choice, connection, takeAway);
         watch.checkLater(watch.boundMillis());
         return watch;
     }
 
     private SilenceWatch(
-            Gateway gateway, ForwardedRequest request, Choice choice, TargetConnection connection, Runnable takeAway) {
+            Gateway gateway,
+            ForwardedRequest request,
+            Candidate choice,
+            TargetConnection connection,
+            Runnable takeAway) {
         this.gateway = gateway;
         this.request = request;
         this.choice = choice;
         this.connection = connection;
         this.takeAway = takeAway;
-        this.wait = gateway.trust().began(targetId());
+        this.wait = gateway.trust().requestSent(targetId());
         this.heardMillis = now();
     }
 
@@ -76,14 +84,14 @@
     void heard() {
         heardMillis = now();
         begun = true;
-        gateway.trust().heard(connection.openedMillis());
-        choice.target().heard(heardMillis, connection.openedMillis());
+        gateway.trust().dataReceived(connection.openedMillis());
+        choice.target().dataReceived(heardMillis, connection.openedMillis());
     }
 
     /** The request is no longer at the target. */
     void end() {
         over = true;
-        gateway.trust().ended(wait);
+        gateway.trust().requestEnded(wait);
     }
 
     private void checkLater(long millis) {
@@ -117,10 +125,10 @@
         noted = true;
         TargetState target = choice.target();
         boolean wasWell = connection.hasCarried() || begun;
-        boolean spokeToOthers = target.isAtWork(now(), heardMillis);
+        boolean spokeToOthers = target.hasRecentActivity(now(), heardMillis);
         blamesTarget = !wasWell || spokeToOthers;
         if (!blamesTarget) {
-            gateway.trust().wentSilent(now() - silentMillis() / 2);
+            gateway.trust().timedOut(now() - silentMillis() / 2);
         }
         gateway.metrics().connectionSilent(ServingMetrics.PEER_TARGET);
         gateway.log()
@@ -134,7 +142,7 @@
     }
 
     private long boundMillis() {
-        return gateway.policy().silenceMillis(request.progress(), choice, heardMillis);
+        return gateway.policy().silenceTimeoutMillis(request.progress(), choice, heardMillis);
     }
 
     private String targetId() {
--- a/daemon/src/main/java/org/bankturn/daemon/http/HttpCalls.java
+++ b/daemon/src/main/java/org/bankturn/daemon/http/HttpCalls.java
@@ -12,7 +12,7 @@
 import java.util.Map;
 import org.bankturn.daemon.settings.Address;
 import org.bankturn.daemon.wire.ConnectionObserver;
-import org.bankturn.routing.ConnectionTrust;
+import org.bankturn.routing.ConnectionReusePolicy;
 import org.bankturn.time.Clock;
 
 /**
@@ -31,7 +31,7 @@
     private final NioReactor reactor;
     private final Clock clock;
     private final ConnectionObserver observer;
-    private final ConnectionTrust trust;
+    private final ConnectionReusePolicy trust;
     private final Map<InetSocketAddress, Deque<TargetConnection>> resting = new HashMap<>();
 
     /**
@@ -67,7 +67,7 @@
         this.reactor = reactor;
         this.clock = clock;
         this.observer = observer;
-        this.trust = ConnectionTrust.of(clock, REST_MILLIS);
+        this.trust = ConnectionReusePolicy.of(clock, REST_MILLIS);
     }
 
     /**
@@ -147,7 +147,7 @@
         Deque<TargetConnection> kept = resting.getOrDefault(address, new ArrayDeque<>());
         while (!kept.isEmpty()) {
             TargetConnection connection = kept.pollLast();
-            if (connection.isUsable() && trust.mayCarry(connection.heardMillis())) {
+            if (connection.isUsable() && trust.isReusable(connection.heardMillis())) {
                 return connection;
             }
             connection.close();
@@ -199,7 +199,7 @@
                     new Address(address.getHostString(), address.getPort()),
                     clock.millis() - connection.heardMillis(),
                     true);
-            trust.wentSilent(sentMillis);
+            trust.timedOut(sentMillis);
             connection.close();
             begin(null, connectMillis);
         }
--- a/standins/src/main/java/org/bankturn/replay/ReplayedGateway.java
+++ b/standins/src/main/java/org/bankturn/replay/ReplayedGateway.java
@@ -9,12 +9,12 @@
 import org.bankturn.crash.RequestFingerprint;
 import org.bankturn.crash.Suspect;
 import org.bankturn.registry.TargetSighting;
-import org.bankturn.routing.ComeBack;
-import org.bankturn.routing.LoadQuestions;
+import org.bankturn.routing.LoadPollSchedule;
 import org.bankturn.routing.NextStep;
 import org.bankturn.routing.PlacementSettings;
 import org.bankturn.routing.RequestPolicy;
 import org.bankturn.routing.RequestProgress;
+import org.bankturn.routing.RetryAfter;
 import org.bankturn.routing.RetryLimits;
 import org.bankturn.routing.TargetTable;
 import org.bankturn.routing.WatchPlan;
@@ -41,7 +41,7 @@
     private final TargetTable targets;
     private final RequestPolicy policy;
     private final WatchPlan plan;
-    private final LoadQuestions questions;
+    private final LoadPollSchedule questions;
     private final KnownSuspects suspects = KnownSuspects.none();
     private List<TargetSighting> sightings = List.of();
     private int busiest;
@@ -55,7 +55,7 @@
         this.targets = TargetTable.of(time, dataHall, settings, random);
         this.policy = RequestPolicy.of(time, targets, RETRIES, random);
         this.plan = WatchPlan.of(settings, name, dataHall);
-        this.questions = LoadQuestions.of(settings);
+        this.questions = LoadPollSchedule.of(settings);
     }
 
     String name() {
@@ -102,12 +102,12 @@
                 (each.dataHall().equals(dataHall) ? near : far).add(each.id());
             }
         }
-        targets.watch(watched);
-        questions.watch(near, far, time.millis());
+        targets.setWatched(watched);
+        questions.setWatched(near, far, time.millis());
     }
 
     private void askLater() {
-        double pause = (double) Math.max(LEAST_PAUSE_MILLIS, questions.untilNextMillis(time.millis()));
+        double pause = (double) Math.max(LEAST_PAUSE_MILLIS, questions.nextPollDelayMillis(time.millis()));
         time.after(pause, () -> {
             askAllDue();
             askLater();
@@ -135,9 +135,9 @@
         ReplayWorld.Sample sample = world.sampleOf(engine);
         time.after(2 * way, () -> {
             long ageMillis = (long) (time.now() - way - sample.atMillis());
-            targets.reported(engine.id(), sample.load(), ageMillis, (long) (2 * way));
+            targets.loadReported(engine.id(), sample.load(), ageMillis, (long) (2 * way));
             if (engine.changesInMillis() > 0) {
-                targets.breaksOff(engine.id(), (long) engine.changesInMillis());
+                targets.interruptionAnnounced(engine.id(), (long) engine.changesInMillis());
             }
             then.run();
         });
@@ -162,7 +162,7 @@
                 RequestProgress.of(route, world.service(), call.promptTokens(), (long) call.endMillis());
         if (suspects.isCondemned(call.fingerprint())) {
             stopped(call);
-            call.refused((double) ComeBack.CONDEMNED_MILLIS);
+            call.refused((double) RetryAfter.CONDEMNED_MILLIS);
             return;
         }
         policy.arrived(progress);
@@ -195,7 +195,7 @@
                 return;
             }
             NextStep step = policy.next(progress);
-            if (step instanceof NextStep.Ask asking) {
+            if (step instanceof NextStep.PollLoad asking) {
                 int[] open = {asking.targets().size()};
                 asking.targets()
                         .forEach(id -> ask(world.engine(id), () -> {
@@ -204,14 +204,14 @@
                             }
                         }));
             } else if (step instanceof NextStep.Send send) {
-                turn = new Turn(this, send.choice());
+                turn = new Turn(this, send.candidate());
                 turn.begin();
             } else if (step instanceof NextStep.GiveUp giveUp) {
                 end();
                 if (progress.mayHaveRun()) {
                     call.failed();
                 } else {
-                    call.refused((double) giveUp.comeBackMillis());
+                    call.refused((double) giveUp.retryAfterMillis());
                 }
             }
         }
@@ -234,7 +234,7 @@
     /** One engine's turn at a request. */
     private final class Turn implements EngineTask.Listener {
         private final Forwarded request;
-        private final TargetTable.Choice choice;
+        private final TargetTable.Candidate choice;
         private final ReplayedEngine engine;
         private final EngineTask task;
         private final double way;
@@ -243,7 +243,7 @@
         private boolean promptPending = true;
         private boolean over;
 
-        Turn(Forwarded request, TargetTable.Choice choice) {
+        Turn(Forwarded request, TargetTable.Candidate choice) {
             this.request = request;
             this.choice = choice;
             this.engine = world.engine(choice.target().sighting().id());
@@ -257,7 +257,7 @@
         }
 
         void begin() {
-            choice.target().begin(request.progress.promptTokens(), time.millis());
+            choice.target().requestStarted(request.progress.promptTokens(), time.millis());
             if (engine.isDown()) {
                 time.after(2 * way, this::refusedConnection);
                 return;
@@ -289,8 +289,8 @@
                 return;
             }
             finish();
-            choice.target().failed(time.millis());
-            request.progress.notConnected();
+            choice.target().requestFailed(time.millis());
+            request.progress.connectionFailed();
             request.sendToNext();
         }
 
@@ -299,7 +299,7 @@
                 return;
             }
             finish();
-            choice.target().full(time.millis());
+            choice.target().markFull(time.millis());
             request.progress.notRun();
             request.sendToNext();
         }
@@ -314,16 +314,16 @@
                 return;
             }
             heardMillis = time.now();
-            choice.target().heard(time.millis(), 0);
+            choice.target().dataReceived(time.millis(), 0);
             if (promptPending) {
                 promptPending = false;
                 choice.target().promptRead(request.progress.promptTokens());
                 long took = (long) (time.now() - beganMillis);
                 policy.correction(request.progress.service()).observed(choice.predictedMillis(), (double) took);
-                choice.target().began(choice.predictedMillis(), took);
+                choice.target().firstEventReceived(choice.predictedMillis(), took);
             }
             request.tokensPassed += tokens;
-            request.progress.passed("e");
+            request.progress.eventForwarded("e");
             request.call.event();
         }
 
@@ -375,14 +375,16 @@
                 return;
             }
             finish();
-            choice.target().failed(time.millis());
+            choice.target().requestFailed(time.millis());
             world.tally().takenAway(lost.progress.promptTokens());
             lost.progress.outcomeUnknown();
             lost.sendToNext();
         }
 
         private void watchSilence() {
-            double left = heardMillis + policy.silenceMillis(request.progress, choice, (long) heardMillis) - time.now();
+            double left = heardMillis
+                    + policy.silenceTimeoutMillis(request.progress, choice, (long) heardMillis)
+                    - time.now();
             time.after(Math.max(1, left), this::checkSilence);
         }
 
@@ -390,13 +392,13 @@
             if (over) {
                 return;
             }
-            boolean silent =
-                    time.now() - heardMillis >= policy.silenceMillis(request.progress, choice, (long) heardMillis);
+            boolean silent = time.now() - heardMillis
+                    >= policy.silenceTimeoutMillis(request.progress, choice, (long) heardMillis);
             if (!silent) {
                 watchSilence();
                 return;
             }
-            if (policy.mayGoElsewhere(request.progress)) {
+            if (policy.canRetryElsewhere(request.progress)) {
                 task.drop();
                 lost(request);
             }
@@ -411,7 +413,7 @@
 
         private void finish() {
             over = true;
-            choice.target().end((long) beganMillis, time.millis());
+            choice.target().requestEnded((long) beganMillis, time.millis());
             if (promptPending) {
                 promptPending = false;
                 choice.target().promptRead(request.progress.promptTokens());
