--- a/core/src/main/java/org/bankturn/agreement/MembershipChanges.java
+++ b/core/src/main/java/org/bankturn/agreement/MembershipChanges.java
@@ -10,7 +10,7 @@
  * <p>A box that lost its disk takes the place of the member it was. A box that is new makes the group larger; a member
  * that is silent then goes, so that the new one has its place. It goes last, since it may come back, and only while all
  * others are heard, since one of them may have died meanwhile. MembershipChanges is mutable and belongs to one
- * {@link Agreement}.
+ * {@link RaftNode}.
  */
 final class MembershipChanges {
     private static final int SILENT_TIMEOUTS_TO_REMOVE = 4;
--- a/core/src/main/java/org/bankturn/agreement/Outbox.java
+++ b/core/src/main/java/org/bankturn/agreement/Outbox.java
@@ -6,7 +6,7 @@
 /**
  * Collects what must be stored and sent until {@link Ready} hands it out.
  *
- * <p>Outbox is mutable and belongs to one {@link Agreement}.
+ * <p>Outbox is mutable and belongs to one {@link RaftNode}.
  */
 final class Outbox {
     private final List<LogEntry> unstored = new ArrayList<>();
--- a/core/src/main/java/org/bankturn/agreement/Agreement.java
+++ b/core/src/main/java/org/bankturn/agreement/RaftNode.java
@@ -24,9 +24,9 @@
  * {@link #ready} and do what it says in its order; there is no I/O in here. Members change one at a time: a box that
  * lost its disk asks to join as a new member, copies the log without a vote, then takes the place of the member it was.
  *
- * <p>Agreement is mutable and not thread-safe; one thread owns it.
+ * <p>RaftNode is mutable and not thread-safe; one thread owns it.
  */
-public final class Agreement {
+public final class RaftNode {
     private static final int FIRST_ELECTION_DIVISOR = 4;
 
     private final Member self;
@@ -63,17 +63,17 @@
      * @param admissible which boxes a leader may admit when they ask to join, not null
      * @return a follower, not null
      */
-    public static Agreement recover(
+    public static RaftNode recover(
             Member self,
             StoredAgreement stored,
             AgreementSettings settings,
             Clock clock,
             UniformRandomProvider random,
             Predicate<Member> admissible) {
-        return new Agreement(self, stored, settings, clock, random, admissible);
+        return new RaftNode(self, stored, settings, clock, random, admissible);
     }
 
-    private Agreement(
+    private RaftNode(
             Member self,
             StoredAgreement stored,
             AgreementSettings settings,
--- a/core/src/main/java/org/bankturn/agreement/ReplicationTable.java
+++ b/core/src/main/java/org/bankturn/agreement/ReplicationTable.java
@@ -10,7 +10,7 @@
 /**
  * How far each other member has come, as a leader knows it.
  *
- * <p>ReplicationTable is mutable and belongs to one {@link Agreement}.
+ * <p>ReplicationTable is mutable and belongs to one {@link RaftNode}.
  */
 final class ReplicationTable {
     private static final long NEVER_MILLIS = Long.MIN_VALUE / 2;
--- a/core/src/test/java/org/bankturn/agreement/AgreementTest.java
+++ b/core/src/test/java/org/bankturn/agreement/AgreementTest.java
@@ -68,8 +68,8 @@
     void a_leader_that_was_frozen_accepts_nothing_when_it_wakes() {
         MemberGroup group = new MemberGroup(3, "a", "b", "c");
         group.settle(60);
-        Agreement old = group.leader();
-        Agreement other = group.running.values().stream()
+        RaftNode old = group.leader();
+        RaftNode other = group.running.values().stream()
                 .filter(member -> member != old)
                 .findFirst()
                 .orElseThrow();
@@ -87,7 +87,7 @@
         MemberGroup group = new MemberGroup(5, "a", "b", "c");
         group.settle(60);
         group.loseDisk("c");
-        Agreement empty = group.running.get("c");
+        RaftNode empty = group.running.get("c");
         group.clock.advance(10 * MemberGroup.SETTINGS.electionTimeoutMillis());
         empty.tick();
         assertThat(empty.role()).isEqualTo(Role.FOLLOWER);
@@ -98,7 +98,7 @@
     void a_planned_stop_hands_leadership_over_at_once() {
         MemberGroup group = new MemberGroup(9, "a", "b", "c");
         group.settle(60);
-        Agreement old = group.leader();
+        RaftNode old = group.leader();
         long term = old.term();
         old.transferLeadership();
         group.settle(3);
@@ -109,7 +109,7 @@
     /** Seed 4964 of the schedules: an entry that was acknowledged was lost to a snapshot that came late. */
     @Test
     void a_late_snapshot_does_not_cut_off_entries_that_follow_it() {
-        Agreement follower = followerWithEntries(5);
+        RaftNode follower = followerWithEntries(5);
         follower.receive(new AgreementMessage.SnapshotRequest(LEADER, 1, new Snapshot(3, 1, MEMBERS, new byte[0])));
         assertThat(follower.lastIndex()).isEqualTo(5);
         assertThat(follower.commitIndex()).isEqualTo(3);
@@ -119,7 +119,7 @@
     /** Seed 56808: both sides knew no term there, which looked as if they agreed on it. */
     @Test
     void an_append_that_follows_what_neither_side_holds_is_not_accepted() {
-        Agreement follower = followerWithEntries(5);
+        RaftNode follower = followerWithEntries(5);
         follower.receive(new AgreementMessage.AppendRequest(LEADER, 1, 22, -1, List.of(), 0));
         assertThat(follower.ready().messages())
                 .extracting(Ready.Outbound::message)
@@ -131,14 +131,14 @@
 
     @Test
     void a_member_that_starts_again_hands_out_what_it_knew_to_be_committed_before_it_hears_a_leader() {
-        Agreement member = followerWithEntries(5, 3);
+        RaftNode member = followerWithEntries(5, 3);
         assertThat(member.ready().committed()).extracting(LogEntry::index).containsExactly(1L, 2L, 3L);
         assertThat(member.commitIndex()).isEqualTo(3);
     }
 
     @Test
     void a_member_that_hears_its_leader_but_lacks_entries_is_not_current() {
-        Agreement member = followerWithEntries(2, 2);
+        RaftNode member = followerWithEntries(2, 2);
         long before = member.currentMillis();
         member.receive(new AgreementMessage.AppendRequest(LEADER, 1, 10, 1, List.of(), 10));
         assertThat(member.currentMillis()).isEqualTo(before);
@@ -163,15 +163,15 @@
         assertThat(replication.nextIndex()).isEqualTo(2);
     }
 
-    private static Agreement followerWithEntries(int count) {
+    private static RaftNode followerWithEntries(int count) {
         return followerWithEntries(count, 0);
     }
 
-    private static Agreement followerWithEntries(int count, long commitIndex) {
+    private static RaftNode followerWithEntries(int count, long commitIndex) {
         List<LogEntry> entries = LongStream.rangeClosed(1, count)
                 .mapToObj(index -> new LogEntry(index, 1, new byte[] {1}, null))
                 .toList();
-        return Agreement.recover(
+        return RaftNode.recover(
                 MEMBERS.get(0),
                 new StoredAgreement(new Vote(1, LEADER), Snapshot.initial(MEMBERS), entries, commitIndex),
                 MemberGroup.SETTINGS,
--- a/core/src/test/java/org/bankturn/agreement/GroupSchedule.java
+++ b/core/src/test/java/org/bankturn/agreement/GroupSchedule.java
@@ -64,7 +64,7 @@
         private final String name;
         private final ManualClock clock = ManualClock.startingAt(0);
         private CrashingDevice device;
-        private Agreement agreement;
+        private RaftNode agreement;
         private AgreementStorage storage;
         private PublicationState state;
         private boolean clockStands;
@@ -162,7 +162,7 @@
             box.storage = AgreementStorage.recover(box.device);
             long life = AgreementStorage.readIncarnation(box.device).orElseThrow();
             Member self = new Member(box.name, life, box.name);
-            box.agreement = Agreement.recover(self, stored(box), SETTINGS, box.clock, random, asking -> true);
+            box.agreement = RaftNode.recover(self, stored(box), SETTINGS, box.clock, random, asking -> true);
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
@@ -211,7 +211,7 @@
 
     /** The seeded fault: the identity outlived the disk, the vote and the log did not. */
     private void startAsFormerMember(Box box) {
-        Agreement leader = leader().orElseThrow();
+        RaftNode leader = leader().orElseThrow();
         Member former = leader.members().stream()
                 .filter(member -> member.box().equals(box.name))
                 .findFirst()
@@ -248,7 +248,7 @@
 
     /** Returns true if a disk may be lost: every member still has its own, and no change of members is under way. */
     private boolean isWhole() {
-        Optional<Agreement> leader = leader();
+        Optional<RaftNode> leader = leader();
         return leader.isPresent()
                 && leader.get().members().size() >= SEEDS.size()
                 && leader.get().commitIndex() == leader.get().lastIndex()
@@ -267,11 +267,11 @@
         }
     }
 
-    private Optional<Agreement> leader() {
+    private Optional<RaftNode> leader() {
         return boxes.values().stream()
                 .filter(Box::isUp)
                 .map(box -> box.agreement)
-                .filter(Agreement::isEstablishedLeader)
+                .filter(RaftNode::isEstablishedLeader)
                 .max((one, other) -> Long.compare(one.term(), other.term()));
     }
 
@@ -397,7 +397,7 @@
         }
     }
 
-    private void checkLeader(Agreement member) {
+    private void checkLeader(RaftNode member) {
         if (member.role() == Role.LEADER) {
             Member before = leaders.putIfAbsent(member.term(), member.self());
             check(before == null || before.equals(member.self()), "two leaders in term " + member.term());
@@ -447,7 +447,7 @@
     }
 
     private void checkEnd() {
-        Agreement leader = leader().orElseThrow(() -> new AssertionError("no leader at the end: " + describe()));
+        RaftNode leader = leader().orElseThrow(() -> new AssertionError("no leader at the end: " + describe()));
         put(boxes.get(leader.self().box()));
         settle();
         check(newestAcknowledged == newestSent, "a change is not acknowledged at the end: " + describe());
--- a/core/src/test/java/org/bankturn/agreement/MemberGroup.java
+++ b/core/src/test/java/org/bankturn/agreement/MemberGroup.java
@@ -18,7 +18,7 @@
 
     final ManualClock clock = ManualClock.startingAt(0);
     final UniformRandomProvider random;
-    final Map<String, Agreement> running = new TreeMap<>();
+    final Map<String, RaftNode> running = new TreeMap<>();
     final Map<String, StoredAgreement> disks = new HashMap<>();
     final Map<Long, LogEntry> accepted = new TreeMap<>();
     final Map<Long, Member> leaders = new HashMap<>();
@@ -44,7 +44,7 @@
     private void start(Member member) {
         running.put(
                 member.box(),
-                Agreement.recover(member, disks.get(member.box()), settings, clock, random, asking -> true));
+                RaftNode.recover(member, disks.get(member.box()), settings, clock, random, asking -> true));
     }
 
     void restart(String box) {
@@ -69,7 +69,7 @@
 
     void tickAll() {
         clock.advance(10);
-        for (Agreement member : List.copyOf(running.values())) {
+        for (RaftNode member : List.copyOf(running.values())) {
             member.tick();
             boolean outside = member.members().stream().noneMatch(member.self()::equals);
             if (outside || member.leader().isEmpty()) {
@@ -87,7 +87,7 @@
         int chosen = random.nextInt(bag.size());
         int fate = faulty ? random.nextInt(10) : 9;
         Outbound outbound = fate == 0 ? bag.get(chosen) : bag.remove(chosen);
-        Agreement member = running.get(outbound.to().box());
+        RaftNode member = running.get(outbound.to().box());
         if (member == null) {
             bag.remove(outbound);
             return;
@@ -103,7 +103,7 @@
     /** Delivers the oldest message. */
     void deliverFirst() {
         Outbound outbound = bag.remove(0);
-        Agreement member = running.get(outbound.to().box());
+        RaftNode member = running.get(outbound.to().box());
         member.receive(outbound.message());
         carryOut(member);
     }
@@ -117,20 +117,20 @@
         }
     }
 
-    Agreement leader() {
+    RaftNode leader() {
         return running.values().stream()
-                .filter(Agreement::isEstablishedLeader)
+                .filter(RaftNode::isEstablishedLeader)
                 .max((one, other) -> Long.compare(one.term(), other.term()))
                 .orElseThrow();
     }
 
-    void propose(Agreement member, String command) {
+    void propose(RaftNode member, String command) {
         member.propose(command.getBytes(StandardCharsets.UTF_8));
         carryOut(member);
     }
 
     void compact(String box) {
-        Agreement member = running.get(box);
+        RaftNode member = running.get(box);
         if (member.commitIndex() > member.snapshot().index()) {
             Snapshot snapshot = member.compact(member.commitIndex(), new byte[0]);
             StoredAgreement disk = disks.get(box);
@@ -143,7 +143,7 @@
         }
     }
 
-    private void carryOut(Agreement member) {
+    private void carryOut(RaftNode member) {
         Ready ready = member.ready();
         store(member.self().box(), ready);
         bag.addAll(ready.messages());
--- a/core/src/test/java/org/bankturn/agreement/SilencedGroupTest.java
+++ b/core/src/test/java/org/bankturn/agreement/SilencedGroupTest.java
@@ -22,7 +22,7 @@
     void a_group_whose_connections_went_silent_keeps_its_leader_and_accepts_changes_within_half_a_second(long seed) {
         SilencedGroup group = new SilencedGroup(seed);
         group.pass(SETTLED_MILLIS + 10 * seed);
-        Agreement leader = group.members.leader();
+        RaftNode leader = group.members.leader();
         long term = leader.term();
         group.silence();
         group.members.propose(leader, "first");
--- a/daemon/src/main/java/org/bankturn/daemon/control/ControlMember.java
+++ b/daemon/src/main/java/org/bankturn/daemon/control/ControlMember.java
@@ -9,10 +9,10 @@
 import java.util.function.BiConsumer;
 import java.util.function.Function;
 import java.util.function.Supplier;
-import org.bankturn.agreement.Agreement;
 import org.bankturn.agreement.AgreementMessage;
 import org.bankturn.agreement.LogEntry;
 import org.bankturn.agreement.Member;
+import org.bankturn.agreement.RaftNode;
 import org.bankturn.agreement.Ready;
 import org.bankturn.agreement.Role;
 import org.bankturn.codec.MessagePackCodec;
@@ -41,7 +41,7 @@
     private static final long PROPOSAL_TIMEOUT_MILLIS = 4_000;
     private static final long JOIN_RETRY_MILLIS = 500;
 
-    private final Agreement agreement;
+    private final RaftNode agreement;
     private final AgreementStorage storage;
     private final ConfigurationHolder holder;
     private final Clock clock;
@@ -89,7 +89,7 @@
      * @return the member, not null
      */
     public static ControlMember of(
-            Agreement agreement,
+            RaftNode agreement,
             AgreementStorage storage,
             ConfigurationHolder holder,
             Clock clock,
@@ -98,7 +98,7 @@
     }
 
     private ControlMember(
-            Agreement agreement,
+            RaftNode agreement,
             AgreementStorage storage,
             ConfigurationHolder holder,
             Clock clock,
@@ -258,7 +258,7 @@
         }
 
         @Override
-        public CommandResult unknown(Agreement at) {
+        public CommandResult unknown(RaftNode at) {
             return notDone(ResultCode.NO_QUORUM);
         }
 
@@ -273,14 +273,14 @@
         }
 
         @Override
-        public void leadershipChanged(Agreement at) {
+        public void leadershipChanged(RaftNode at) {
             leaseExpiry.restart();
             String event = at.role() == Role.LEADER ? " leads" : " follows";
             LOG.log(Level.INFO, at.self().box() + event + ", term " + at.term());
         }
 
         @Override
-        public void publishView(Agreement at) {
+        public void publishView(RaftNode at) {
             view = new View(at.role(), at.term(), at.leader().orElse(null), at.members(), at.isEstablishedLeader());
         }
 
--- a/daemon/src/main/java/org/bankturn/daemon/control/ControlRole.java
+++ b/daemon/src/main/java/org/bankturn/daemon/control/ControlRole.java
@@ -13,10 +13,10 @@
 import java.util.concurrent.TimeUnit;
 import org.apache.commons.rng.UniformRandomProvider;
 import org.apache.commons.rng.simple.RandomSource;
-import org.bankturn.agreement.Agreement;
 import org.bankturn.agreement.AgreementMessage;
 import org.bankturn.agreement.AgreementSettings;
 import org.bankturn.agreement.Member;
+import org.bankturn.agreement.RaftNode;
 import org.bankturn.agreement.Snapshot;
 import org.bankturn.configuration.Box;
 import org.bankturn.configuration.Configuration;
@@ -104,8 +104,7 @@
                 settings.control().electionTimeoutMillis(), settings.control().heartbeatMillis(), BATCH_ENTRIES);
         Member self =
                 new Member(settings.process(), life, settings.nodeAddress().toString());
-        Agreement agreement =
-                Agreement.recover(self, storage.stored(), timing, clock, random, this::isListedControlBox);
+        RaftNode agreement = RaftNode.recover(self, storage.stored(), timing, clock, random, this::isListedControlBox);
         this.member = ControlMember.of(
                 agreement,
                 storage,
--- a/daemon/src/main/java/org/bankturn/daemon/group/GroupMember.java
+++ b/daemon/src/main/java/org/bankturn/daemon/group/GroupMember.java
@@ -7,10 +7,10 @@
 import java.util.function.Consumer;
 import java.util.function.Function;
 import java.util.function.Supplier;
-import org.bankturn.agreement.Agreement;
 import org.bankturn.agreement.AgreementMessage;
 import org.bankturn.agreement.LogEntry;
 import org.bankturn.agreement.Member;
+import org.bankturn.agreement.RaftNode;
 import org.bankturn.agreement.Ready;
 import org.bankturn.agreement.Role;
 import org.bankturn.codec.MessagePackCodec;
@@ -74,7 +74,7 @@
             BiConsumer<Member, AgreementMessage> send,
             Supplier<List<Member>> contacts,
             Consumer<PublicationState> applied,
-            Consumer<Agreement> stepped,
+            Consumer<RaftNode> stepped,
             DecisionLog log) {}
 
     /** Returns a member that does not run yet, not null. */
@@ -110,7 +110,7 @@
     }
 
     private void propose(PublicationCommand command, CompletableFuture<Outcome> result) {
-        Agreement agreement = loop.agreement();
+        RaftNode agreement = loop.agreement();
         boolean proposed = agreement != null
                 && agreement.isEstablishedLeader()
                 && loop.propose(MessagePackCodec.instance().encode(command), result);
@@ -134,7 +134,7 @@
         @Override
         public Recovered recover() throws IOException {
             Recovered recovered = wiring.recovery().recover();
-            Agreement agreement = recovered.agreement();
+            RaftNode agreement = recovered.agreement();
             wiring.log()
                     .line(DecisionKind.GROUP)
                     .with(DecisionField.EVENT, "recovered")
@@ -171,7 +171,7 @@
         }
 
         @Override
-        public Outcome unknown(Agreement agreement) {
+        public Outcome unknown(RaftNode agreement) {
             return Outcome.UNKNOWN;
         }
 
@@ -186,7 +186,7 @@
         }
 
         @Override
-        public void leadershipChanged(Agreement agreement) {
+        public void leadershipChanged(RaftNode agreement) {
             String event = agreement.role() == Role.LEADER ? "leads" : "follows";
             wiring.log()
                     .line(DecisionKind.GROUP)
@@ -196,7 +196,7 @@
         }
 
         @Override
-        public void publishView(Agreement agreement) {
+        public void publishView(RaftNode agreement) {
             wiring.stepped().accept(agreement);
             Member leader = agreement.leader().orElse(null);
             boolean leads = agreement.isEstablishedLeader();
--- a/daemon/src/main/java/org/bankturn/daemon/group/GroupNode.java
+++ b/daemon/src/main/java/org/bankturn/daemon/group/GroupNode.java
@@ -11,9 +11,9 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.function.Supplier;
 import org.apache.commons.rng.simple.RandomSource;
-import org.bankturn.agreement.Agreement;
 import org.bankturn.agreement.AgreementSettings;
 import org.bankturn.agreement.Member;
+import org.bankturn.agreement.RaftNode;
 import org.bankturn.agreement.Snapshot;
 import org.bankturn.codec.Deflated;
 import org.bankturn.daemon.group.GroupMember.Outcome;
@@ -165,7 +165,7 @@
         Optional<Long> incarnation = AgreementStorage.readIncarnation(device);
         AgreementStorage storage = incarnation.isPresent() ? AgreementStorage.recover(device) : prepareFolder(device);
         long life = AgreementStorage.readIncarnation(device).orElseThrow();
-        Agreement agreement = Agreement.recover(
+        RaftNode agreement = RaftNode.recover(
                 member(settings.nodeAddress(), life),
                 storage.stored(),
                 TIMING,
--- a/daemon/src/main/java/org/bankturn/daemon/group/QuietGroup.java
+++ b/daemon/src/main/java/org/bankturn/daemon/group/QuietGroup.java
@@ -2,9 +2,9 @@
 
 import java.util.OptionalLong;
 import java.util.function.LongConsumer;
-import org.bankturn.agreement.Agreement;
 import org.bankturn.agreement.AgreementSettings;
 import org.bankturn.agreement.GroupSilence;
+import org.bankturn.agreement.RaftNode;
 import org.bankturn.daemon.observe.DecisionField;
 import org.bankturn.daemon.observe.DecisionKind;
 import org.bankturn.daemon.observe.DecisionLog;
@@ -44,7 +44,7 @@
     }
 
     /** Looks at a member after a step of it. */
-    void look(Agreement member) {
+    void look(RaftNode member) {
         long now = clock.millis();
         OptionalLong until = GroupSilence.distrustedUntilMillis(member, settings, now);
         // found out by lost messages alone, a silence cost 1,730 and 1,937 ms without a leader (two groups of three)
--- a/daemon/src/main/java/org/bankturn/daemon/member/MemberLoop.java
+++ b/daemon/src/main/java/org/bankturn/daemon/member/MemberLoop.java
@@ -11,9 +11,9 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Supplier;
-import org.bankturn.agreement.Agreement;
 import org.bankturn.agreement.AgreementMessage;
 import org.bankturn.agreement.LogEntry;
+import org.bankturn.agreement.RaftNode;
 import org.bankturn.agreement.Ready;
 import org.bankturn.agreement.Role;
 import org.bankturn.storage.AgreementStorage;
@@ -37,7 +37,7 @@
     private final BlockingQueue<Runnable> queue = new LinkedBlockingQueue<>();
     private final Map<Long, Submission<R>> submissions = new HashMap<>();
     private final Thread thread;
-    private Agreement agreement;
+    private RaftNode agreement;
     private AgreementStorage storage;
     private long appliedIndex;
     private long joinAskedMillis;
@@ -109,7 +109,7 @@
     // ---- on the member's thread only
 
     /** Returns the state machine, null while nothing is recovered; on the member's thread only. */
-    public Agreement agreement() {
+    public RaftNode agreement() {
         return agreement;
     }
 
--- a/daemon/src/main/java/org/bankturn/daemon/member/MemberState.java
+++ b/daemon/src/main/java/org/bankturn/daemon/member/MemberState.java
@@ -2,9 +2,9 @@
 
 import java.io.IOException;
 import java.util.List;
-import org.bankturn.agreement.Agreement;
 import org.bankturn.agreement.LogEntry;
 import org.bankturn.agreement.Member;
+import org.bankturn.agreement.RaftNode;
 import org.bankturn.agreement.Ready;
 import org.bankturn.storage.AgreementStorage;
 
@@ -32,7 +32,7 @@
     void advanced();
 
     /** Returns what is told of a command whose fate is unknown. */
-    R unknown(Agreement agreement);
+    R unknown(RaftNode agreement);
 
     /** Sends a message to a member; may lose it. */
     void send(Ready.Outbound message);
@@ -41,10 +41,10 @@
     List<Member> contacts();
 
     /** Hears that this member began or ceased to lead. */
-    void leadershipChanged(Agreement agreement);
+    void leadershipChanged(RaftNode agreement);
 
     /** Lets other threads know where the member stands. */
-    void publishView(Agreement agreement);
+    void publishView(RaftNode agreement);
 
     /**
      * Hears that the data folder failed; what the loop held in memory is forgotten.
@@ -59,5 +59,5 @@
      * @param agreement the state machine, not null
      * @param storage its storage, not null
      */
-    record Recovered(Agreement agreement, AgreementStorage storage) {}
+    record Recovered(RaftNode agreement, AgreementStorage storage) {}
 }
--- a/specs/Agreement.tla
+++ b/specs/Agreement.tla
@@ -1,6 +1,6 @@
 ----------------------------- MODULE Agreement -----------------------------
 (***************************************************************************)
-(* Agreement among control boxes, as org.bankturn.agreement.Agreement      *)
+(* Agreement among control boxes, as org.bankturn.agreement.RaftNode       *)
 (* does it: terms, votes, a log, members that change one at a time, and a  *)
 (* box that lost its disk and comes back as a new member (a new life).     *)
 (*                                                                         *)
