--- a/core/src/main/java/org/bankturn/agreement/AgreementLog.java
+++ b/core/src/main/java/org/bankturn/agreement/RaftLog.java
@@ -6,13 +6,13 @@
 /**
  * The log of one member in memory: a snapshot and the entries after it.
  *
- * <p>AgreementLog is mutable and not thread-safe.
+ * <p>RaftLog is mutable and not thread-safe.
  */
-final class AgreementLog {
+final class RaftLog {
     private Snapshot snapshot;
     private final List<LogEntry> entries = new ArrayList<>();
 
-    AgreementLog(Snapshot snapshot, List<LogEntry> entries) {
+    RaftLog(Snapshot snapshot, List<LogEntry> entries) {
         this.snapshot = snapshot;
         this.entries.addAll(entries);
     }
--- a/core/src/main/java/org/bankturn/agreement/RaftNode.java
+++ b/core/src/main/java/org/bankturn/agreement/RaftNode.java
@@ -34,7 +34,7 @@
     private final UniformRandomProvider random;
     private final AgreementSettings settings;
     private final Predicate<Member> admissible;
-    private final AgreementLog log;
+    private final RaftLog log;
 
     private Role role = Role.FOLLOWER;
     private long term;
@@ -86,7 +86,7 @@
         this.random = random;
         this.admissible = admissible;
         this.changes = new MembershipChanges(settings, replications);
-        this.log = new AgreementLog(stored.snapshot(), stored.entries());
+        this.log = new RaftLog(stored.snapshot(), stored.entries());
         this.term = stored.vote().term();
         this.votedFor = stored.vote().votedFor();
         this.commitIndex = Math.max(log.snapshot().index(), Math.min(stored.commitIndex(), log.lastIndex()));
