--- a/core/src/main/java/org/bankturn/agreement/Outbox.java
+++ b/core/src/main/java/org/bankturn/agreement/Outbox.java
@@ -14,7 +14,7 @@
     private boolean voteChanged;
     private Snapshot installed;
 
-    void send(Member to, AgreementMessage message) {
+    void send(Member to, RaftMessage message) {
         messages.add(new Ready.Outbound(to, message));
     }
 
--- a/core/src/main/java/org/bankturn/agreement/AgreementMessage.java
+++ b/core/src/main/java/org/bankturn/agreement/RaftMessage.java
@@ -9,15 +9,15 @@
  */
 @JsonTypeInfo(use = JsonTypeInfo.Id.NAME, property = "kind")
 @JsonSubTypes({
-    @JsonSubTypes.Type(value = AgreementMessage.VoteRequest.class, name = "voteRequest"),
-    @JsonSubTypes.Type(value = AgreementMessage.VoteReply.class, name = "voteReply"),
-    @JsonSubTypes.Type(value = AgreementMessage.AppendRequest.class, name = "appendRequest"),
-    @JsonSubTypes.Type(value = AgreementMessage.AppendReply.class, name = "appendReply"),
-    @JsonSubTypes.Type(value = AgreementMessage.SnapshotRequest.class, name = "snapshotRequest"),
-    @JsonSubTypes.Type(value = AgreementMessage.ElectNow.class, name = "electNow"),
-    @JsonSubTypes.Type(value = AgreementMessage.JoinRequest.class, name = "joinRequest")
+    @JsonSubTypes.Type(value = RaftMessage.VoteRequest.class, name = "voteRequest"),
+    @JsonSubTypes.Type(value = RaftMessage.VoteReply.class, name = "voteReply"),
+    @JsonSubTypes.Type(value = RaftMessage.AppendRequest.class, name = "appendRequest"),
+    @JsonSubTypes.Type(value = RaftMessage.AppendReply.class, name = "appendReply"),
+    @JsonSubTypes.Type(value = RaftMessage.SnapshotRequest.class, name = "snapshotRequest"),
+    @JsonSubTypes.Type(value = RaftMessage.ElectNow.class, name = "electNow"),
+    @JsonSubTypes.Type(value = RaftMessage.JoinRequest.class, name = "joinRequest")
 })
-public sealed interface AgreementMessage {
+public sealed interface RaftMessage {
     /** Returns the sender, not null. */
     Member from();
 
@@ -25,26 +25,25 @@
     long term();
 
     /** Asks for a vote, or with {@code trial} whether a vote would be given (pre-vote). */
-    record VoteRequest(Member from, long term, boolean trial, long lastIndex, long lastTerm)
-            implements AgreementMessage {}
+    record VoteRequest(Member from, long term, boolean trial, long lastIndex, long lastTerm) implements RaftMessage {}
 
     /** Answers a request for a vote. */
-    record VoteReply(Member from, long term, boolean trial, boolean granted) implements AgreementMessage {}
+    record VoteReply(Member from, long term, boolean trial, boolean granted) implements RaftMessage {}
 
     /** Carries entries after {@code previousIndex}, or none as a heartbeat. */
     record AppendRequest(
             Member from, long term, long previousIndex, long previousTerm, List<LogEntry> entries, long commitIndex)
-            implements AgreementMessage {}
+            implements RaftMessage {}
 
     /** Says up to where the sender's synced log agrees, or with {@code accepted} false from where to try again. */
-    record AppendReply(Member from, long term, boolean accepted, long matchIndex) implements AgreementMessage {}
+    record AppendReply(Member from, long term, boolean accepted, long matchIndex) implements RaftMessage {}
 
     /** Carries a snapshot to a member whose next entry is no longer in the log. */
-    record SnapshotRequest(Member from, long term, Snapshot snapshot) implements AgreementMessage {}
+    record SnapshotRequest(Member from, long term, Snapshot snapshot) implements RaftMessage {}
 
     /** Tells a member to stand for election at once, since the leader is stopping as planned. */
-    record ElectNow(Member from, long term) implements AgreementMessage {}
+    record ElectNow(Member from, long term) implements RaftMessage {}
 
     /** Asks to be admitted with an empty disk; the term is always 0. */
-    record JoinRequest(Member from, long term) implements AgreementMessage {}
+    record JoinRequest(Member from, long term) implements RaftMessage {}
 }
--- a/core/src/main/java/org/bankturn/agreement/RaftNode.java
+++ b/core/src/main/java/org/bankturn/agreement/RaftNode.java
@@ -8,13 +8,13 @@
 import java.util.Set;
 import java.util.function.Predicate;
 import org.apache.commons.rng.UniformRandomProvider;
-import org.bankturn.agreement.AgreementMessage.AppendReply;
-import org.bankturn.agreement.AgreementMessage.AppendRequest;
-import org.bankturn.agreement.AgreementMessage.ElectNow;
-import org.bankturn.agreement.AgreementMessage.JoinRequest;
-import org.bankturn.agreement.AgreementMessage.SnapshotRequest;
-import org.bankturn.agreement.AgreementMessage.VoteReply;
-import org.bankturn.agreement.AgreementMessage.VoteRequest;
+import org.bankturn.agreement.RaftMessage.AppendReply;
+import org.bankturn.agreement.RaftMessage.AppendRequest;
+import org.bankturn.agreement.RaftMessage.ElectNow;
+import org.bankturn.agreement.RaftMessage.JoinRequest;
+import org.bankturn.agreement.RaftMessage.SnapshotRequest;
+import org.bankturn.agreement.RaftMessage.VoteReply;
+import org.bankturn.agreement.RaftMessage.VoteRequest;
 import org.bankturn.time.Clock;
 
 /**
@@ -237,7 +237,7 @@
      *
      * @param message the message, not null
      */
-    public void receive(AgreementMessage message) {
+    public void receive(RaftMessage message) {
         if (message instanceof JoinRequest request) {
             onJoinRequest(request);
             return;
@@ -522,7 +522,7 @@
     }
 
     /** Tells the sender of a message of an earlier term so; returns true if that is all there is to do. */
-    private boolean isOutdated(AgreementMessage message) {
+    private boolean isOutdated(RaftMessage message) {
         if (message.term() >= term) {
             return false;
         }
@@ -573,7 +573,7 @@
         return members().stream().filter(member -> !member.equals(self)).toList();
     }
 
-    private void send(Member to, AgreementMessage message) {
+    private void send(Member to, RaftMessage message) {
         outbox.send(to, message);
     }
 
--- a/core/src/main/java/org/bankturn/agreement/Ready.java
+++ b/core/src/main/java/org/bankturn/agreement/Ready.java
@@ -23,7 +23,7 @@
         List<Outbound> messages,
         List<LogEntry> committed) {
     /** A message and the member it goes to. */
-    public record Outbound(Member to, AgreementMessage message) {}
+    public record Outbound(Member to, RaftMessage message) {}
 
     /** Returns true if something must be synced before messages are sent. */
     public boolean mustSync() {
--- a/core/src/test/java/org/bankturn/agreement/AgreementTest.java
+++ b/core/src/test/java/org/bankturn/agreement/AgreementTest.java
@@ -110,7 +110,7 @@
     @Test
     void a_late_snapshot_does_not_cut_off_entries_that_follow_it() {
         RaftNode follower = followerWithEntries(5);
-        follower.receive(new AgreementMessage.SnapshotRequest(LEADER, 1, new Snapshot(3, 1, MEMBERS, new byte[0])));
+        follower.receive(new RaftMessage.SnapshotRequest(LEADER, 1, new Snapshot(3, 1, MEMBERS, new byte[0])));
         assertThat(follower.lastIndex()).isEqualTo(5);
         assertThat(follower.commitIndex()).isEqualTo(3);
         assertThat(follower.ready().installed()).isNull();
@@ -120,12 +120,12 @@
     @Test
     void an_append_that_follows_what_neither_side_holds_is_not_accepted() {
         RaftNode follower = followerWithEntries(5);
-        follower.receive(new AgreementMessage.AppendRequest(LEADER, 1, 22, -1, List.of(), 0));
+        follower.receive(new RaftMessage.AppendRequest(LEADER, 1, 22, -1, List.of(), 0));
         assertThat(follower.ready().messages())
                 .extracting(Ready.Outbound::message)
                 .singleElement()
                 .isInstanceOfSatisfying(
-                        AgreementMessage.AppendReply.class,
+                        RaftMessage.AppendReply.class,
                         reply -> assertThat(reply.accepted()).isFalse());
     }
 
@@ -140,12 +140,12 @@
     void a_member_that_hears_its_leader_but_lacks_entries_is_not_current() {
         RaftNode member = followerWithEntries(2, 2);
         long before = member.currentMillis();
-        member.receive(new AgreementMessage.AppendRequest(LEADER, 1, 10, 1, List.of(), 10));
+        member.receive(new RaftMessage.AppendRequest(LEADER, 1, 10, 1, List.of(), 10));
         assertThat(member.currentMillis()).isEqualTo(before);
         LogEntry third = new LogEntry(3, 1, new byte[] {1}, null);
-        member.receive(new AgreementMessage.AppendRequest(LEADER, 1, 2, 1, List.of(third), 10));
+        member.receive(new RaftMessage.AppendRequest(LEADER, 1, 2, 1, List.of(third), 10));
         assertThat(member.currentMillis()).isEqualTo(before);
-        member.receive(new AgreementMessage.AppendRequest(LEADER, 1, 3, 1, List.of(), 3));
+        member.receive(new RaftMessage.AppendRequest(LEADER, 1, 3, 1, List.of(), 3));
         assertThat(member.currentMillis()).isZero();
     }
 
--- a/core/src/test/java/org/bankturn/agreement/MemberGroup.java
+++ b/core/src/test/java/org/bankturn/agreement/MemberGroup.java
@@ -92,8 +92,7 @@
             bag.remove(outbound);
             return;
         }
-        boolean sameLife =
-                member.self().equals(outbound.to()) || outbound.message() instanceof AgreementMessage.JoinRequest;
+        boolean sameLife = member.self().equals(outbound.to()) || outbound.message() instanceof RaftMessage.JoinRequest;
         if (fate != 1 && sameLife) {
             member.receive(outbound.message());
             carryOut(member);
--- a/daemon/src/main/java/org/bankturn/daemon/control/ControlMember.java
+++ b/daemon/src/main/java/org/bankturn/daemon/control/ControlMember.java
@@ -9,9 +9,9 @@
 import java.util.function.BiConsumer;
 import java.util.function.Function;
 import java.util.function.Supplier;
-import org.bankturn.agreement.AgreementMessage;
 import org.bankturn.agreement.LogEntry;
 import org.bankturn.agreement.Member;
+import org.bankturn.agreement.RaftMessage;
 import org.bankturn.agreement.RaftNode;
 import org.bankturn.agreement.Ready;
 import org.bankturn.agreement.Role;
@@ -61,7 +61,7 @@
      * @param fatal called when the data folder failed and the process must stop, not null
      */
     public record ControlWiring(
-            BiConsumer<Member, AgreementMessage> send,
+            BiConsumer<Member, RaftMessage> send,
             List<Member> contacts,
             int snapshotEvery,
             Supplier<Set<String>> silentBoxes,
@@ -131,7 +131,7 @@
      *
      * @param message the message, not null
      */
-    public void receive(AgreementMessage message) {
+    public void receive(RaftMessage message) {
         loop.receive(message);
     }
 
--- a/daemon/src/main/java/org/bankturn/daemon/control/ControlRole.java
+++ b/daemon/src/main/java/org/bankturn/daemon/control/ControlRole.java
@@ -13,9 +13,9 @@
 import java.util.concurrent.TimeUnit;
 import org.apache.commons.rng.UniformRandomProvider;
 import org.apache.commons.rng.simple.RandomSource;
-import org.bankturn.agreement.AgreementMessage;
 import org.bankturn.agreement.AgreementSettings;
 import org.bankturn.agreement.Member;
+import org.bankturn.agreement.RaftMessage;
 import org.bankturn.agreement.RaftNode;
 import org.bankturn.agreement.Snapshot;
 import org.bankturn.configuration.Box;
@@ -210,7 +210,7 @@
         }
     }
 
-    private void send(Member to, AgreementMessage message) {
+    private void send(Member to, RaftMessage message) {
         clients.tell(addressOf(to), new NodeRequest.Agree(message));
     }
 
--- a/daemon/src/main/java/org/bankturn/daemon/group/GroupMember.java
+++ b/daemon/src/main/java/org/bankturn/daemon/group/GroupMember.java
@@ -7,9 +7,9 @@
 import java.util.function.Consumer;
 import java.util.function.Function;
 import java.util.function.Supplier;
-import org.bankturn.agreement.AgreementMessage;
 import org.bankturn.agreement.LogEntry;
 import org.bankturn.agreement.Member;
+import org.bankturn.agreement.RaftMessage;
 import org.bankturn.agreement.RaftNode;
 import org.bankturn.agreement.Ready;
 import org.bankturn.agreement.Role;
@@ -71,7 +71,7 @@
      */
     public record Wiring(
             Recovery recovery,
-            BiConsumer<Member, AgreementMessage> send,
+            BiConsumer<Member, RaftMessage> send,
             Supplier<List<Member>> contacts,
             Consumer<PublicationState> applied,
             Consumer<RaftNode> stepped,
@@ -98,7 +98,7 @@
     }
 
     /** Takes in a message of the group. */
-    public void receive(AgreementMessage message) {
+    public void receive(RaftMessage message) {
         loop.receive(message);
     }
 
--- a/daemon/src/main/java/org/bankturn/daemon/member/MemberLoop.java
+++ b/daemon/src/main/java/org/bankturn/daemon/member/MemberLoop.java
@@ -11,8 +11,8 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Supplier;
-import org.bankturn.agreement.AgreementMessage;
 import org.bankturn.agreement.LogEntry;
+import org.bankturn.agreement.RaftMessage;
 import org.bankturn.agreement.RaftNode;
 import org.bankturn.agreement.Ready;
 import org.bankturn.agreement.Role;
@@ -65,7 +65,7 @@
     }
 
     /** Takes in a message of the group. */
-    public void receive(AgreementMessage message) {
+    public void receive(RaftMessage message) {
         queue.add(() -> {
             if (agreement != null) {
                 agreement.receive(message);
--- a/daemon/src/main/java/org/bankturn/daemon/wire/NodeRequest.java
+++ b/daemon/src/main/java/org/bankturn/daemon/wire/NodeRequest.java
@@ -3,7 +3,7 @@
 import com.fasterxml.jackson.annotation.JsonSubTypes;
 import com.fasterxml.jackson.annotation.JsonTypeInfo;
 import java.util.List;
-import org.bankturn.agreement.AgreementMessage;
+import org.bankturn.agreement.RaftMessage;
 import org.bankturn.membership.ProcessReport;
 import org.bankturn.publication.PublicationCommand;
 import org.bankturn.registry.TargetSighting;
@@ -35,7 +35,7 @@
 })
 public sealed interface NodeRequest {
     /** Carries a message of the agreement group; the reply says nothing. */
-    record Agree(AgreementMessage message) implements NodeRequest {}
+    record Agree(RaftMessage message) implements NodeRequest {}
 
     /** Submits a command to the leader; times in it are relative, the leader makes them absolute. */
     record Submit(Command command) implements NodeRequest {}
--- a/daemon/src/test/java/org/bankturn/daemon/wire/EarlierFormatTest.java
+++ b/daemon/src/test/java/org/bankturn/daemon/wire/EarlierFormatTest.java
@@ -7,7 +7,7 @@
 import java.util.Arrays;
 import java.util.List;
 import java.util.stream.Stream;
-import org.bankturn.agreement.AgreementMessage;
+import org.bankturn.agreement.RaftMessage;
 import org.bankturn.agreement.Snapshot;
 import org.bankturn.codec.MessagePackCodec;
 import org.bankturn.publication.PublicationCommand;
@@ -29,7 +29,7 @@
 
     static Stream<Arguments> writtenTypes() {
         return Stream.of(
-                Arguments.of("agreement", AgreementMessage.class),
+                Arguments.of("agreement", RaftMessage.class),
                 Arguments.of("agreement-snapshot", Snapshot.class),
                 Arguments.of("command", Command.class),
                 Arguments.of("command-result", CommandResult.class),
