--- a/core/src/main/java/org/bankturn/agreement/RaftMessage.java
+++ b/core/src/main/java/org/bankturn/agreement/RaftMessage.java
@@ -14,7 +14,7 @@
     @JsonSubTypes.Type(value = RaftMessage.AppendRequest.class, name = "appendRequest"),
     @JsonSubTypes.Type(value = RaftMessage.AppendReply.class, name = "appendReply"),
     @JsonSubTypes.Type(value = RaftMessage.SnapshotRequest.class, name = "snapshotRequest"),
-    @JsonSubTypes.Type(value = RaftMessage.ElectNow.class, name = "electNow"),
+    @JsonSubTypes.Type(value = RaftMessage.TimeoutNow.class, name = "electNow"),
     @JsonSubTypes.Type(value = RaftMessage.JoinRequest.class, name = "joinRequest")
 })
 public sealed interface RaftMessage {
@@ -42,7 +42,7 @@
     record SnapshotRequest(Member from, long term, Snapshot snapshot) implements RaftMessage {}
 
     /** Tells a member to stand for election at once, since the leader is stopping as planned. */
-    record ElectNow(Member from, long term) implements RaftMessage {}
+    record TimeoutNow(Member from, long term) implements RaftMessage {}
 
     /** Asks to be admitted with an empty disk; the term is always 0. */
     record JoinRequest(Member from, long term) implements RaftMessage {}
--- a/core/src/main/java/org/bankturn/agreement/RaftNode.java
+++ b/core/src/main/java/org/bankturn/agreement/RaftNode.java
@@ -10,9 +10,9 @@
 import org.apache.commons.rng.UniformRandomProvider;
 import org.bankturn.agreement.RaftMessage.AppendReply;
 import org.bankturn.agreement.RaftMessage.AppendRequest;
-import org.bankturn.agreement.RaftMessage.ElectNow;
 import org.bankturn.agreement.RaftMessage.JoinRequest;
 import org.bankturn.agreement.RaftMessage.SnapshotRequest;
+import org.bankturn.agreement.RaftMessage.TimeoutNow;
 import org.bankturn.agreement.RaftMessage.VoteReply;
 import org.bankturn.agreement.RaftMessage.VoteRequest;
 import org.bankturn.time.Clock;
@@ -212,7 +212,7 @@
         }
         if (furthest != null) {
             sendAppend(furthest);
-            send(furthest, new ElectNow(self, term));
+            send(furthest, new TimeoutNow(self, term));
         }
     }
 
@@ -257,7 +257,7 @@
             onAppendReply(reply);
         } else if (message instanceof SnapshotRequest request) {
             onSnapshotRequest(request);
-        } else if (message instanceof ElectNow request && request.term() == term && isVoter(self)) {
+        } else if (message instanceof TimeoutNow request && request.term() == term && isVoter(self)) {
             startElection(false);
         }
     }
