--- a/core/src/main/java/org/bankturn/agreement/MembershipChanges.java
+++ b/core/src/main/java/org/bankturn/agreement/MembershipChanges.java
@@ -15,11 +15,11 @@
 final class MembershipChanges {
     private static final int SILENT_TIMEOUTS_TO_REMOVE = 4;
 
-    private final AgreementSettings settings;
+    private final RaftSettings settings;
     private final ReplicationTable replications;
     private Member joiner;
 
-    MembershipChanges(AgreementSettings settings, ReplicationTable replications) {
+    MembershipChanges(RaftSettings settings, ReplicationTable replications) {
         this.settings = settings;
         this.replications = replications;
     }
--- a/core/src/main/java/org/bankturn/agreement/RaftNode.java
+++ b/core/src/main/java/org/bankturn/agreement/RaftNode.java
@@ -32,7 +32,7 @@
     private final Member self;
     private final Clock clock;
     private final UniformRandomProvider random;
-    private final AgreementSettings settings;
+    private final RaftSettings settings;
     private final Predicate<Member> admissible;
     private final RaftLog log;
 
@@ -66,7 +66,7 @@
     public static RaftNode recover(
             Member self,
             StoredAgreement stored,
-            AgreementSettings settings,
+            RaftSettings settings,
             Clock clock,
             UniformRandomProvider random,
             Predicate<Member> admissible) {
@@ -76,7 +76,7 @@
     private RaftNode(
             Member self,
             StoredAgreement stored,
-            AgreementSettings settings,
+            RaftSettings settings,
             Clock clock,
             UniformRandomProvider random,
             Predicate<Member> admissible) {
--- a/core/src/main/java/org/bankturn/agreement/AgreementSettings.java
+++ b/core/src/main/java/org/bankturn/agreement/RaftSettings.java
@@ -8,12 +8,12 @@
  * @param batchEntries entries in one message at most
  * @param leastMembers silent members are taken out of larger groups than this
  */
-public record AgreementSettings(long electionTimeoutMillis, long heartbeatMillis, int batchEntries, int leastMembers) {
+public record RaftSettings(long electionTimeoutMillis, long heartbeatMillis, int batchEntries, int leastMembers) {
     /** A group that never takes out members because they are silent. */
     public static final int KEEP_SILENT_MEMBERS = Integer.MAX_VALUE;
 
     /** Settings for halls a few milliseconds apart. */
-    public static final AgreementSettings DEFAULT = new AgreementSettings(1_000, 150, 64, KEEP_SILENT_MEMBERS);
+    public static final RaftSettings DEFAULT = new RaftSettings(1_000, 150, 64, KEEP_SILENT_MEMBERS);
 
     /**
      * Returns settings of a group that keeps silent members.
@@ -22,12 +22,12 @@
      * @param heartbeatMillis see the class
      * @param batchEntries see the class
      */
-    public AgreementSettings(long electionTimeoutMillis, long heartbeatMillis, int batchEntries) {
+    public RaftSettings(long electionTimeoutMillis, long heartbeatMillis, int batchEntries) {
         this(electionTimeoutMillis, heartbeatMillis, batchEntries, KEEP_SILENT_MEMBERS);
     }
 
     /** Checks that heartbeats are well below the timeout. */
-    public AgreementSettings {
+    public RaftSettings {
         if (heartbeatMillis <= 0 || electionTimeoutMillis < 3 * heartbeatMillis) {
             throw new IllegalArgumentException("electionTimeoutMillis must be three heartbeats or more: "
                     + electionTimeoutMillis + " against " + heartbeatMillis);
--- a/core/src/test/java/org/bankturn/agreement/GroupSchedule.java
+++ b/core/src/test/java/org/bankturn/agreement/GroupSchedule.java
@@ -30,7 +30,7 @@
  * end, when all is whole again: the group works, and the newest acknowledged change is in force everywhere.
  */
 final class GroupSchedule {
-    private static final AgreementSettings SETTINGS = new AgreementSettings(100, 20, 4, 3);
+    private static final RaftSettings SETTINGS = new RaftSettings(100, 20, 4, 3);
     private static final List<String> SEEDS = List.of("a", "b", "c");
     private static final long TICK_MILLIS = 10;
     private static final int STEPS = 900;
--- a/core/src/test/java/org/bankturn/agreement/MemberGroup.java
+++ b/core/src/test/java/org/bankturn/agreement/MemberGroup.java
@@ -14,7 +14,7 @@
 
 /** Members of one group with a bag of messages between them, stepped by a test; checks the invariants of the spec. */
 final class MemberGroup {
-    static final AgreementSettings SETTINGS = new AgreementSettings(100, 20, 4);
+    static final RaftSettings SETTINGS = new RaftSettings(100, 20, 4);
 
     final ManualClock clock = ManualClock.startingAt(0);
     final UniformRandomProvider random;
@@ -24,14 +24,14 @@
     final Map<Long, Member> leaders = new HashMap<>();
     final List<Outbound> bag = new ArrayList<>();
     private final List<Member> first;
-    private final AgreementSettings settings;
+    private final RaftSettings settings;
     private long lives = 1;
 
     MemberGroup(long seed, String... boxes) {
         this(SETTINGS, seed, boxes);
     }
 
-    MemberGroup(AgreementSettings settings, long seed, String... boxes) {
+    MemberGroup(RaftSettings settings, long seed, String... boxes) {
         this.settings = settings;
         random = RandomSource.XO_RO_SHI_RO_128_PP.create(seed);
         first = List.of(boxes).stream().map(box -> new Member(box, 1, box)).toList();
--- a/core/src/test/java/org/bankturn/agreement/MembershipChangesTest.java
+++ b/core/src/test/java/org/bankturn/agreement/MembershipChangesTest.java
@@ -6,7 +6,7 @@
 import org.junit.jupiter.api.Test;
 
 class MembershipChangesTest {
-    private static final AgreementSettings SETTINGS = new AgreementSettings(100, 20, 4, 3);
+    private static final RaftSettings SETTINGS = new RaftSettings(100, 20, 4, 3);
     private static final long NOW = 10_000;
     private static final long LONG_AGO = NOW - 1_000;
 
--- a/core/src/test/java/org/bankturn/agreement/MembershipTest.java
+++ b/core/src/test/java/org/bankturn/agreement/MembershipTest.java
@@ -7,7 +7,7 @@
 
 /** Members that are replaced, dropped and taken back, without an operator's list. */
 class MembershipTest {
-    private static final AgreementSettings SETTINGS = new AgreementSettings(100, 20, 4, 3);
+    private static final RaftSettings SETTINGS = new RaftSettings(100, 20, 4, 3);
     private static final int ROUNDS = 400;
 
     @Test
--- a/core/src/test/java/org/bankturn/agreement/SilencedGroup.java
+++ b/core/src/test/java/org/bankturn/agreement/SilencedGroup.java
@@ -9,7 +9,7 @@
 
 /** A group in virtual time whose members send over kept connections, which can all go silent at one moment. */
 final class SilencedGroup {
-    static final AgreementSettings SETTINGS = new AgreementSettings(500, 100, 64, 3);
+    static final RaftSettings SETTINGS = new RaftSettings(500, 100, 64, 3);
 
     /** As between processes: a connection that rested longer is replaced, and a message is given up on after a second. */
     private static final long MOST_REST_MILLIS = 5_000;
--- a/daemon/src/main/java/org/bankturn/daemon/control/ControlRole.java
+++ b/daemon/src/main/java/org/bankturn/daemon/control/ControlRole.java
@@ -13,10 +13,10 @@
 import java.util.concurrent.TimeUnit;
 import org.apache.commons.rng.UniformRandomProvider;
 import org.apache.commons.rng.simple.RandomSource;
-import org.bankturn.agreement.AgreementSettings;
 import org.bankturn.agreement.Member;
 import org.bankturn.agreement.RaftMessage;
 import org.bankturn.agreement.RaftNode;
+import org.bankturn.agreement.RaftSettings;
 import org.bankturn.agreement.Snapshot;
 import org.bankturn.configuration.Box;
 import org.bankturn.configuration.Configuration;
@@ -100,7 +100,7 @@
         AgreementStorage storage = storedLife.isPresent()
                 ? AgreementStorage.recover(device)
                 : AgreementStorage.create(device, life, Snapshot.initial(formsGroup ? firstMembers() : List.of()));
-        AgreementSettings timing = new AgreementSettings(
+        RaftSettings timing = new RaftSettings(
                 settings.control().electionTimeoutMillis(), settings.control().heartbeatMillis(), BATCH_ENTRIES);
         Member self =
                 new Member(settings.process(), life, settings.nodeAddress().toString());
--- a/daemon/src/main/java/org/bankturn/daemon/group/GroupNode.java
+++ b/daemon/src/main/java/org/bankturn/daemon/group/GroupNode.java
@@ -11,9 +11,9 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.function.Supplier;
 import org.apache.commons.rng.simple.RandomSource;
-import org.bankturn.agreement.AgreementSettings;
 import org.bankturn.agreement.Member;
 import org.bankturn.agreement.RaftNode;
+import org.bankturn.agreement.RaftSettings;
 import org.bankturn.agreement.Snapshot;
 import org.bankturn.codec.Deflated;
 import org.bankturn.daemon.group.GroupMember.Outcome;
@@ -49,7 +49,7 @@
  */
 public final class GroupNode {
     /** Five heartbeats may be lost before an election; silent members are dropped from groups of more than three. */
-    private static final AgreementSettings TIMING = new AgreementSettings(500, 100, 64, 3);
+    private static final RaftSettings TIMING = new RaftSettings(500, 100, 64, 3);
 
     private static final long FIRST_INCARNATION = 1;
 
--- a/daemon/src/main/java/org/bankturn/daemon/group/QuietGroup.java
+++ b/daemon/src/main/java/org/bankturn/daemon/group/QuietGroup.java
@@ -2,9 +2,9 @@
 
 import java.util.OptionalLong;
 import java.util.function.LongConsumer;
-import org.bankturn.agreement.AgreementSettings;
 import org.bankturn.agreement.GroupSilence;
 import org.bankturn.agreement.RaftNode;
+import org.bankturn.agreement.RaftSettings;
 import org.bankturn.daemon.observe.DecisionField;
 import org.bankturn.daemon.observe.DecisionKind;
 import org.bankturn.daemon.observe.DecisionLog;
@@ -18,7 +18,7 @@
 final class QuietGroup {
     private static final String GROUP = "group";
 
-    private final AgreementSettings settings;
+    private final RaftSettings settings;
     private final Clock clock;
     private final DecisionLog log;
     private final LongConsumer distrust;
@@ -32,11 +32,11 @@
      * @param log the decision log, not null
      * @param distrust takes until when connections must have been heard last to be replaced, not null
      */
-    static QuietGroup of(AgreementSettings settings, Clock clock, DecisionLog log, LongConsumer distrust) {
+    static QuietGroup of(RaftSettings settings, Clock clock, DecisionLog log, LongConsumer distrust) {
         return new QuietGroup(settings, clock, log, distrust);
     }
 
-    private QuietGroup(AgreementSettings settings, Clock clock, DecisionLog log, LongConsumer distrust) {
+    private QuietGroup(RaftSettings settings, Clock clock, DecisionLog log, LongConsumer distrust) {
         this.settings = settings;
         this.clock = clock;
         this.log = log;
