--- a/core/src/main/java/org/bankturn/agreement/StoredAgreement.java
+++ b/core/src/main/java/org/bankturn/agreement/PersistentState.java
@@ -10,4 +10,4 @@
  * @param entries the entries after the snapshot, in order, not null
  * @param commitIndex the index up to which they were known to be committed; the snapshot's or more
  */
-public record StoredAgreement(Vote vote, Snapshot snapshot, List<LogEntry> entries, long commitIndex) {}
+public record PersistentState(Vote vote, Snapshot snapshot, List<LogEntry> entries, long commitIndex) {}
--- a/core/src/main/java/org/bankturn/agreement/RaftNode.java
+++ b/core/src/main/java/org/bankturn/agreement/RaftNode.java
@@ -65,7 +65,7 @@
      */
     public static RaftNode recover(
             Member self,
-            StoredAgreement stored,
+            PersistentState stored,
             RaftSettings settings,
             Clock clock,
             UniformRandomProvider random,
@@ -75,7 +75,7 @@
 
     private RaftNode(
             Member self,
-            StoredAgreement stored,
+            PersistentState stored,
             RaftSettings settings,
             Clock clock,
             UniformRandomProvider random,
--- a/core/src/main/java/org/bankturn/storage/AgreementStorage.java
+++ b/core/src/main/java/org/bankturn/storage/AgreementStorage.java
@@ -6,9 +6,9 @@
 import java.util.List;
 import java.util.Optional;
 import org.bankturn.agreement.LogEntry;
+import org.bankturn.agreement.PersistentState;
 import org.bankturn.agreement.Ready;
 import org.bankturn.agreement.Snapshot;
-import org.bankturn.agreement.StoredAgreement;
 import org.bankturn.agreement.Vote;
 import org.bankturn.codec.MessagePackCodec;
 
@@ -106,8 +106,8 @@
     }
 
     /** Returns what a member starts from, not null. */
-    public StoredAgreement stored() {
-        return new StoredAgreement(vote, snapshot, List.copyOf(entries), commitIndex);
+    public PersistentState stored() {
+        return new PersistentState(vote, snapshot, List.copyOf(entries), commitIndex);
     }
 
     /**
--- a/core/src/test/java/org/bankturn/agreement/AgreementTest.java
+++ b/core/src/test/java/org/bankturn/agreement/AgreementTest.java
@@ -173,7 +173,7 @@
                 .toList();
         return RaftNode.recover(
                 MEMBERS.get(0),
-                new StoredAgreement(new Vote(1, LEADER), Snapshot.initial(MEMBERS), entries, commitIndex),
+                new PersistentState(new Vote(1, LEADER), Snapshot.initial(MEMBERS), entries, commitIndex),
                 MemberGroup.SETTINGS,
                 ManualClock.startingAt(0),
                 RandomSource.XO_RO_SHI_RO_128_PP.create(1),
--- a/core/src/test/java/org/bankturn/agreement/GroupSchedule.java
+++ b/core/src/test/java/org/bankturn/agreement/GroupSchedule.java
@@ -170,10 +170,10 @@
         box.heardLeaderMillis = box.clock.millis();
     }
 
-    private StoredAgreement stored(Box box) {
-        StoredAgreement stored = box.storage.stored();
+    private PersistentState stored(Box box) {
+        PersistentState stored = box.storage.stored();
         return fault == SeededFault.WHOLE_LOG_COUNTS_AS_COMMITTED
-                ? new StoredAgreement(stored.vote(), stored.snapshot(), stored.entries(), Long.MAX_VALUE)
+                ? new PersistentState(stored.vote(), stored.snapshot(), stored.entries(), Long.MAX_VALUE)
                 : stored;
     }
 
--- a/core/src/test/java/org/bankturn/agreement/MemberGroup.java
+++ b/core/src/test/java/org/bankturn/agreement/MemberGroup.java
@@ -19,7 +19,7 @@
     final ManualClock clock = ManualClock.startingAt(0);
     final UniformRandomProvider random;
     final Map<String, RaftNode> running = new TreeMap<>();
-    final Map<String, StoredAgreement> disks = new HashMap<>();
+    final Map<String, PersistentState> disks = new HashMap<>();
     final Map<Long, LogEntry> accepted = new TreeMap<>();
     final Map<Long, Member> leaders = new HashMap<>();
     final List<Outbound> bag = new ArrayList<>();
@@ -36,7 +36,7 @@
         random = RandomSource.XO_RO_SHI_RO_128_PP.create(seed);
         first = List.of(boxes).stream().map(box -> new Member(box, 1, box)).toList();
         for (Member member : first) {
-            disks.put(member.box(), new StoredAgreement(Vote.NONE, Snapshot.initial(first), List.of(), 0));
+            disks.put(member.box(), new PersistentState(Vote.NONE, Snapshot.initial(first), List.of(), 0));
             start(member);
         }
     }
@@ -63,7 +63,7 @@
     /** Starts a box with an empty disk, under a name that may be new. */
     void loseDisk(String box) {
         lives++;
-        disks.put(box, new StoredAgreement(Vote.NONE, Snapshot.initial(List.of()), List.of(), 0));
+        disks.put(box, new PersistentState(Vote.NONE, Snapshot.initial(List.of()), List.of(), 0));
         start(new Member(box, lives, box));
     }
 
@@ -132,13 +132,13 @@
         RaftNode member = running.get(box);
         if (member.commitIndex() > member.snapshot().index()) {
             Snapshot snapshot = member.compact(member.commitIndex(), new byte[0]);
-            StoredAgreement disk = disks.get(box);
+            PersistentState disk = disks.get(box);
             List<LogEntry> kept = disk.entries().stream()
                     .filter(entry -> entry.index() > snapshot.index())
                     .toList();
             disks.put(
                     box,
-                    new StoredAgreement(disk.vote(), snapshot, kept, Math.max(disk.commitIndex(), snapshot.index())));
+                    new PersistentState(disk.vote(), snapshot, kept, Math.max(disk.commitIndex(), snapshot.index())));
         }
     }
 
@@ -165,7 +165,7 @@
     }
 
     private void store(String box, Ready ready) {
-        StoredAgreement disk = disks.get(box);
+        PersistentState disk = disks.get(box);
         Vote vote = ready.vote() != null ? ready.vote() : disk.vote();
         Snapshot snapshot = ready.installed() != null ? ready.installed() : disk.snapshot();
         List<LogEntry> entries = new ArrayList<>(ready.installed() != null ? List.of() : disk.entries());
@@ -174,6 +174,6 @@
             entries.add(entry);
         }
         long committed = ready.mustSync() ? ready.commitIndex() : disk.commitIndex();
-        disks.put(box, new StoredAgreement(vote, snapshot, entries, committed));
+        disks.put(box, new PersistentState(vote, snapshot, entries, committed));
     }
 }
--- a/core/src/test/java/org/bankturn/storage/AgreementStorageTest.java
+++ b/core/src/test/java/org/bankturn/storage/AgreementStorageTest.java
@@ -9,9 +9,9 @@
 import java.util.stream.LongStream;
 import org.bankturn.agreement.LogEntry;
 import org.bankturn.agreement.Member;
+import org.bankturn.agreement.PersistentState;
 import org.bankturn.agreement.Ready;
 import org.bankturn.agreement.Snapshot;
-import org.bankturn.agreement.StoredAgreement;
 import org.bankturn.agreement.Vote;
 import org.bankturn.codec.MessagePackCodec;
 import org.junit.jupiter.api.Test;
@@ -58,7 +58,7 @@
                     assertThat(stored).isZero();
                     continue;
                 }
-                StoredAgreement recovered = AgreementStorage.recover(found).stored();
+                PersistentState recovered = AgreementStorage.recover(found).stored();
                 long last = recovered.snapshot().index() + recovered.entries().size();
                 assertThat(last).as("stopped after %d", operations).isBetween((long) stored, stored + 1L);
                 assertThat(recovered.commitIndex()).isBetween((long) Math.max(0, stored - 1), Math.max(0, last));
@@ -95,7 +95,7 @@
         storage.store(ready(10_001));
         device.close();
         FolderDevice reopened = FolderDevice.open(folder);
-        StoredAgreement recovered = AgreementStorage.recover(reopened).stored();
+        PersistentState recovered = AgreementStorage.recover(reopened).stored();
         assertThat(recovered.snapshot().index()).isEqualTo(9_990);
         assertThat(recovered.entries()).hasSize(11);
         assertThat(recovered.commitIndex()).isEqualTo(10_000);
@@ -113,7 +113,7 @@
         FormerLogRecord former =
                 new FormerLogRecord(new Vote(1, SELF), List.of(new LogEntry(CHANGES / 2 + 1, 1, new byte[] {1}, null)));
         device.replace("log", RecordFile.encode(MessagePackCodec.instance().encode(former)));
-        StoredAgreement recovered =
+        PersistentState recovered =
                 AgreementStorage.recover(device.afterCrash()).stored();
         assertThat(recovered.entries()).hasSize(1);
         assertThat(recovered.commitIndex()).isEqualTo(CHANGES / 2);
