--- a/core/src/main/java/org/bankturn/agreement/GroupSilence.java
+++ b/core/src/main/java/org/bankturn/agreement/StaleConnectionPolicy.java
@@ -10,13 +10,13 @@
  * are replaced before that: after three heartbeats without news, of the five that an election timeout holds. What was heard
  * within the last two heartbeats stays in use, so that a wrong guess costs a new connection where nothing came at all.
  *
- * <p>GroupSilence has no state.
+ * <p>StaleConnectionPolicy has no state.
  */
-public final class GroupSilence {
+public final class StaleConnectionPolicy {
     private static final int HEARTBEATS_WITHOUT_NEWS = 3;
     private static final int HEARTBEATS_HEARD = 2;
 
-    private GroupSilence() {}
+    private StaleConnectionPolicy() {}
 
     /**
      * Returns until when connections must have been heard last to be distrusted, empty if the group is in touch or the member
--- a/core/src/test/java/org/bankturn/agreement/SilencedGroup.java
+++ b/core/src/test/java/org/bankturn/agreement/SilencedGroup.java
@@ -40,9 +40,9 @@
         for (long step = 0; step < millis; step += 10) {
             members.tickAll();
             giveUpLost();
-            members.running.forEach(
-                    (box, member) -> GroupSilence.distrustedUntilMillis(member, SETTINGS, members.clock.millis())
-                            .ifPresent(trusts.get(box)::wentSilent));
+            members.running.forEach((box, member) -> StaleConnectionPolicy.distrustedUntilMillis(
+                            member, SETTINGS, members.clock.millis())
+                    .ifPresent(trusts.get(box)::wentSilent));
             deliverAll();
         }
     }
--- a/daemon/src/main/java/org/bankturn/daemon/group/QuietGroup.java
+++ b/daemon/src/main/java/org/bankturn/daemon/group/QuietGroup.java
@@ -2,9 +2,9 @@
 
 import java.util.OptionalLong;
 import java.util.function.LongConsumer;
-import org.bankturn.agreement.GroupSilence;
 import org.bankturn.agreement.RaftNode;
 import org.bankturn.agreement.RaftSettings;
+import org.bankturn.agreement.StaleConnectionPolicy;
 import org.bankturn.daemon.observe.DecisionField;
 import org.bankturn.daemon.observe.DecisionKind;
 import org.bankturn.daemon.observe.DecisionLog;
@@ -46,7 +46,7 @@
     /** Looks at a member after a step of it. */
     void look(RaftNode member) {
         long now = clock.millis();
-        OptionalLong until = GroupSilence.distrustedUntilMillis(member, settings, now);
+        OptionalLong until = StaleConnectionPolicy.distrustedUntilMillis(member, settings, now);
         // found out by lost messages alone, a silence cost 1,730 and 1,937 ms without a leader (two groups of three)
         until.ifPresent(distrust);
         if (until.isPresent() != quiet) {
