--- a/core/src/main/java/org/bankturn/agreement/Replication.java
+++ b/core/src/main/java/org/bankturn/agreement/FollowerProgress.java
@@ -3,15 +3,15 @@
 /**
  * What a leader knows of one follower.
  *
- * <p>Replication is mutable and not thread-safe.
+ * <p>FollowerProgress is mutable and not thread-safe.
  */
-final class Replication {
+final class FollowerProgress {
     private long nextIndex;
     private long matchIndex;
     private long heardMillis;
     private long snapshotSentMillis = Long.MIN_VALUE;
 
-    Replication(long nextIndex, long heardMillis) {
+    FollowerProgress(long nextIndex, long heardMillis) {
         this.nextIndex = nextIndex;
         this.heardMillis = heardMillis;
     }
--- a/core/src/main/java/org/bankturn/agreement/RaftNode.java
+++ b/core/src/main/java/org/bankturn/agreement/RaftNode.java
@@ -410,7 +410,7 @@
     }
 
     private void sendAppend(Member to) {
-        Replication replication = replications.findOrBegin(to, log.lastIndex() + 1, clock.millis());
+        FollowerProgress replication = replications.findOrBegin(to, log.lastIndex() + 1, clock.millis());
         if (replication.nextIndex() <= log.snapshot().index()) {
             sendSnapshot(to, replication);
             return;
@@ -422,7 +422,7 @@
         replication.sentUpTo(previous + entries.size());
     }
 
-    private void sendSnapshot(Member to, Replication replication) {
+    private void sendSnapshot(Member to, FollowerProgress replication) {
         long now = clock.millis();
         if (now - replication.snapshotSentMillis() >= settings.electionTimeoutMillis()
                 || replication.snapshotSentMillis() == Long.MIN_VALUE) {
@@ -432,7 +432,7 @@
     }
 
     private void onAppendReply(AppendReply reply) {
-        Replication replication = replications.find(reply.from()).orElse(null);
+        FollowerProgress replication = replications.find(reply.from()).orElse(null);
         if (role != Role.LEADER || reply.term() != term || replication == null) {
             return;
         }
--- a/core/src/main/java/org/bankturn/agreement/ReplicationTable.java
+++ b/core/src/main/java/org/bankturn/agreement/ReplicationTable.java
@@ -15,24 +15,24 @@
 final class ReplicationTable {
     private static final long NEVER_MILLIS = Long.MIN_VALUE / 2;
 
-    private final Map<Member, Replication> replications = new HashMap<>();
+    private final Map<Member, FollowerProgress> replications = new HashMap<>();
 
     /** Forgets everything and assumes that every peer may have come as far as the log. */
     void restart(List<Member> peers, long nextIndex, long nowMillis) {
         replications.clear();
-        peers.forEach(peer -> replications.put(peer, new Replication(nextIndex, nowMillis)));
+        peers.forEach(peer -> replications.put(peer, new FollowerProgress(nextIndex, nowMillis)));
     }
 
-    Optional<Replication> find(Member member) {
+    Optional<FollowerProgress> find(Member member) {
         return Optional.ofNullable(replications.get(member));
     }
 
-    Replication findOrBegin(Member member, long nextIndex, long nowMillis) {
-        return replications.computeIfAbsent(member, key -> new Replication(nextIndex, nowMillis));
+    FollowerProgress findOrBegin(Member member, long nextIndex, long nowMillis) {
+        return replications.computeIfAbsent(member, key -> new FollowerProgress(nextIndex, nowMillis));
     }
 
     void begin(Member member, long nextIndex, long nowMillis) {
-        replications.put(member, new Replication(nextIndex, nowMillis));
+        replications.put(member, new FollowerProgress(nextIndex, nowMillis));
     }
 
     void remove(Member member) {
@@ -41,12 +41,12 @@
 
     /** Returns when a member was last heard, in milliseconds; long ago if it is not known. */
     long heardMillis(Member member) {
-        return find(member).map(Replication::heardMillis).orElse(NEVER_MILLIS);
+        return find(member).map(FollowerProgress::heardMillis).orElse(NEVER_MILLIS);
     }
 
     /** Returns the index up to which a member surely holds the log, 0 if it is not known. */
     long matchIndex(Member member) {
-        return find(member).map(Replication::matchIndex).orElse(0L);
+        return find(member).map(FollowerProgress::matchIndex).orElse(0L);
     }
 
     /** Returns the members heard after a moment, not null. */
--- a/core/src/test/java/org/bankturn/agreement/AgreementTest.java
+++ b/core/src/test/java/org/bankturn/agreement/AgreementTest.java
@@ -156,7 +156,7 @@
 
     @Test
     void a_rejection_that_comes_late_does_not_move_a_leader_forward() {
-        Replication replication = new Replication(5, 0);
+        FollowerProgress replication = new FollowerProgress(5, 0);
         replication.backTo(23);
         assertThat(replication.nextIndex()).isEqualTo(5);
         replication.backTo(2);
