--- a/core/src/main/java/org/bankturn/agreement/MembershipChanges.java
+++ b/core/src/main/java/org/bankturn/agreement/MembershipChanges.java
@@ -16,10 +16,10 @@
     private static final int SILENT_TIMEOUTS_TO_REMOVE = 4;
 
     private final RaftSettings settings;
-    private final ReplicationTable replications;
+    private final ProgressTracker replications;
     private Member joiner;
 
-    MembershipChanges(RaftSettings settings, ReplicationTable replications) {
+    MembershipChanges(RaftSettings settings, ProgressTracker replications) {
         this.settings = settings;
         this.replications = replications;
     }
--- a/core/src/main/java/org/bankturn/agreement/ReplicationTable.java
+++ b/core/src/main/java/org/bankturn/agreement/ProgressTracker.java
@@ -10,9 +10,9 @@
 /**
  * How far each other member has come, as a leader knows it.
  *
- * <p>ReplicationTable is mutable and belongs to one {@link RaftNode}.
+ * <p>ProgressTracker is mutable and belongs to one {@link RaftNode}.
  */
-final class ReplicationTable {
+final class ProgressTracker {
     private static final long NEVER_MILLIS = Long.MIN_VALUE / 2;
 
     private final Map<Member, FollowerProgress> replications = new HashMap<>();
--- a/core/src/main/java/org/bankturn/agreement/RaftNode.java
+++ b/core/src/main/java/org/bankturn/agreement/RaftNode.java
@@ -47,7 +47,7 @@
     private long heartbeatDueMillis;
     private boolean everHeardLeader;
     private final Set<Member> votes = new HashSet<>();
-    private final ReplicationTable replications = new ReplicationTable();
+    private final ProgressTracker replications = new ProgressTracker();
     private final MembershipChanges changes;
     private final Outbox outbox = new Outbox();
     private long handedOutIndex;
--- a/core/src/test/java/org/bankturn/agreement/MembershipChangesTest.java
+++ b/core/src/test/java/org/bankturn/agreement/MembershipChangesTest.java
@@ -14,7 +14,7 @@
     private final Member alive = member("b");
     private final Member silent = member("c");
     private final Member joiner = member("d");
-    private final ReplicationTable replications = new ReplicationTable();
+    private final ProgressTracker replications = new ProgressTracker();
     private final MembershipChanges changes = new MembershipChanges(SETTINGS, replications);
 
     /** Dropping the silent one first left two members that both had to live. */
