--- a/core/src/main/java/org/bankturn/agreement/RaftNode.java
+++ b/core/src/main/java/org/bankturn/agreement/RaftNode.java
@@ -178,7 +178,7 @@
      *
      * @param contacts where to ask; incarnations are ignored, not null
      */
-    public void askToJoin(List<Member> contacts) {
+    public void requestJoin(List<Member> contacts) {
         for (Member contact : contacts) {
             send(contact, new JoinRequest(self, 0));
         }
--- a/core/src/test/java/org/bankturn/agreement/GroupSchedule.java
+++ b/core/src/test/java/org/bankturn/agreement/GroupSchedule.java
@@ -299,7 +299,7 @@
         boolean alone = now - box.heardLeaderMillis > ALONE_MILLIS;
         if ((outside || alone) && now - box.joinAskedMillis >= JOIN_RETRY_MILLIS) {
             box.joinAskedMillis = now;
-            box.agreement.askToJoin(boxes.keySet().stream()
+            box.agreement.requestJoin(boxes.keySet().stream()
                     .filter(name -> !name.equals(box.name))
                     .map(name -> new Member(name, 0, name))
                     .toList());
--- a/core/src/test/java/org/bankturn/agreement/MemberGroup.java
+++ b/core/src/test/java/org/bankturn/agreement/MemberGroup.java
@@ -73,7 +73,7 @@
             member.tick();
             boolean outside = member.members().stream().noneMatch(member.self()::equals);
             if (outside || member.leader().isEmpty()) {
-                member.askToJoin(first);
+                member.requestJoin(first);
             }
             carryOut(member);
         }
--- a/daemon/src/main/java/org/bankturn/daemon/member/MemberLoop.java
+++ b/daemon/src/main/java/org/bankturn/daemon/member/MemberLoop.java
@@ -213,7 +213,7 @@
                 && now - heardLeaderMillis > ALONE_AFTER_JOIN_RETRIES * timing.joinRetryMillis();
         if ((outside || alone) && now - joinAskedMillis >= timing.joinRetryMillis()) {
             joinAskedMillis = now;
-            agreement.askToJoin(state.contacts());
+            agreement.requestJoin(state.contacts());
         }
     }
 
