--- a/core/src/main/java/org/bankturn/agreement/RaftNode.java
+++ b/core/src/main/java/org/bankturn/agreement/RaftNode.java
@@ -146,7 +146,7 @@
      *
      * <p>A member that hears its leader but lacks entries, as after it was down, is not current.
      */
-    public long currentMillis() {
+    public long lastUpToDateMillis() {
         if (role != Role.LEADER) {
             return caughtUpMillis;
         }
--- a/core/src/main/java/org/bankturn/agreement/StaleConnectionPolicy.java
+++ b/core/src/main/java/org/bankturn/agreement/StaleConnectionPolicy.java
@@ -28,7 +28,7 @@
      */
     public static OptionalLong distrustedUntilMillis(RaftNode member, RaftSettings settings, long nowMillis) {
         long heartbeat = settings.heartbeatMillis();
-        boolean quiet = nowMillis - member.currentMillis() >= HEARTBEATS_WITHOUT_NEWS * heartbeat;
+        boolean quiet = nowMillis - member.lastUpToDateMillis() >= HEARTBEATS_WITHOUT_NEWS * heartbeat;
         return quiet && member.leader().isPresent()
                 ? OptionalLong.of(nowMillis - HEARTBEATS_HEARD * heartbeat)
                 : OptionalLong.empty();
--- a/core/src/test/java/org/bankturn/agreement/AgreementTest.java
+++ b/core/src/test/java/org/bankturn/agreement/AgreementTest.java
@@ -139,14 +139,14 @@
     @Test
     void a_member_that_hears_its_leader_but_lacks_entries_is_not_current() {
         RaftNode member = followerWithEntries(2, 2);
-        long before = member.currentMillis();
+        long before = member.lastUpToDateMillis();
         member.receive(new RaftMessage.AppendRequest(LEADER, 1, 10, 1, List.of(), 10));
-        assertThat(member.currentMillis()).isEqualTo(before);
+        assertThat(member.lastUpToDateMillis()).isEqualTo(before);
         LogEntry third = new LogEntry(3, 1, new byte[] {1}, null);
         member.receive(new RaftMessage.AppendRequest(LEADER, 1, 2, 1, List.of(third), 10));
-        assertThat(member.currentMillis()).isEqualTo(before);
+        assertThat(member.lastUpToDateMillis()).isEqualTo(before);
         member.receive(new RaftMessage.AppendRequest(LEADER, 1, 3, 1, List.of(), 3));
-        assertThat(member.currentMillis()).isZero();
+        assertThat(member.lastUpToDateMillis()).isZero();
     }
 
     @Test
--- a/daemon/src/main/java/org/bankturn/daemon/group/GroupMember.java
+++ b/daemon/src/main/java/org/bankturn/daemon/group/GroupMember.java
@@ -202,7 +202,7 @@
             boolean leads = agreement.isEstablishedLeader();
             boolean hasLeader = leads || (leader != null && agreement.role() == Role.FOLLOWER);
             view = new GroupView(
-                    agreement.self(), leader, agreement.members(), leads, hasLeader, agreement.currentMillis());
+                    agreement.self(), leader, agreement.members(), leads, hasLeader, agreement.lastUpToDateMillis());
         }
 
         @Override
--- a/daemon/src/main/java/org/bankturn/daemon/group/QuietGroup.java
+++ b/daemon/src/main/java/org/bankturn/daemon/group/QuietGroup.java
@@ -54,7 +54,7 @@
             log.line(quiet ? DecisionKind.LOST : DecisionKind.REGAINED)
                     .with(DecisionField.DEPENDENCY, GROUP)
                     .with(DecisionField.TERM, member.term())
-                    .with(DecisionField.SILENT_MS, now - member.currentMillis())
+                    .with(DecisionField.SILENT_MS, now - member.lastUpToDateMillis())
                     .write();
         }
     }
