--- a/core/src/main/java/org/bankturn/agreement/RaftLog.java
+++ b/core/src/main/java/org/bankturn/agreement/RaftLog.java
@@ -29,7 +29,7 @@
         return termAt(lastIndex());
     }
 
-    boolean holds(long index) {
+    boolean contains(long index) {
         return index > snapshot.index() && index <= lastIndex();
     }
 
@@ -39,7 +39,7 @@
 
     /** Returns true if this log knows the entry at an index, and it is of that term. */
     boolean agreesAt(long index, long term) {
-        return (index == snapshot.index() || holds(index)) && termAt(index) == term;
+        return (index == snapshot.index() || contains(index)) && termAt(index) == term;
     }
 
     /** Returns the term at an index, or -1 if the index is beyond the log or under the snapshot. */
@@ -47,7 +47,7 @@
         if (index == snapshot.index()) {
             return snapshot.term();
         }
-        return holds(index) ? entryAt(index).term() : -1;
+        return contains(index) ? entryAt(index).term() : -1;
     }
 
     List<LogEntry> between(long firstIndex, long lastIndex) {
--- a/core/src/main/java/org/bankturn/agreement/RaftNode.java
+++ b/core/src/main/java/org/bankturn/agreement/RaftNode.java
@@ -495,7 +495,7 @@
         if (entry.index() <= commitIndex || log.termAt(entry.index()) == entry.term()) {
             return;
         }
-        if (log.holds(entry.index())) {
+        if (log.contains(entry.index())) {
             log.cutFrom(entry.index());
             outbox.dropFrom(entry.index());
         }
