--- a/core/src/main/java/org/bankturn/agreement/RaftLog.java
+++ b/core/src/main/java/org/bankturn/agreement/RaftLog.java
@@ -38,7 +38,7 @@
     }
 
     /** Returns true if this log knows the entry at an index, and it is of that term. */
-    boolean agreesAt(long index, long term) {
+    boolean matches(long index, long term) {
         return (index == snapshot.index() || contains(index)) && termAt(index) == term;
     }
 
--- a/core/src/main/java/org/bankturn/agreement/RaftNode.java
+++ b/core/src/main/java/org/bankturn/agreement/RaftNode.java
@@ -476,7 +476,7 @@
         }
         followLeader(request.from());
         long previous = request.previousIndex();
-        boolean agrees = previous <= commitIndex || log.agreesAt(previous, request.previousTerm());
+        boolean agrees = previous <= commitIndex || log.matches(previous, request.previousTerm());
         if (!agrees) {
             long hint = Math.min(log.lastIndex(), previous - 1);
             send(request.from(), new AppendReply(self, term, false, Math.max(hint, commitIndex)));
@@ -509,7 +509,7 @@
         }
         followLeader(request.from());
         Snapshot snapshot = request.snapshot();
-        if (log.agreesAt(snapshot.index(), snapshot.term())) {
+        if (log.matches(snapshot.index(), snapshot.term())) {
             // this log leads there and may lead further: what follows may have been acknowledged
             commitIndex = Math.max(commitIndex, snapshot.index());
         } else if (snapshot.index() > commitIndex) {
