--- a/core/src/main/java/org/bankturn/agreement/RaftLog.java
+++ b/core/src/main/java/org/bankturn/agreement/RaftLog.java
@@ -50,7 +50,7 @@
         return contains(index) ? entryAt(index).term() : -1;
     }
 
-    List<LogEntry> between(long firstIndex, long lastIndex) {
+    List<LogEntry> entriesBetween(long firstIndex, long lastIndex) {
         List<LogEntry> found = new ArrayList<>();
         for (long index = firstIndex; index <= Math.min(lastIndex, lastIndex()); index++) {
             found.add(entryAt(index));
--- a/core/src/main/java/org/bankturn/agreement/RaftNode.java
+++ b/core/src/main/java/org/bankturn/agreement/RaftNode.java
@@ -268,7 +268,7 @@
      * @return what to store, send and apply, not null
      */
     public Ready ready() {
-        List<LogEntry> committed = log.between(handedOutIndex + 1, commitIndex);
+        List<LogEntry> committed = log.entriesBetween(handedOutIndex + 1, commitIndex);
         Ready ready = outbox.take(new Vote(term, votedFor), commitIndex, committed);
         handedOutIndex = commitIndex;
         return ready;
@@ -417,7 +417,7 @@
         }
         long previous = replication.nextIndex() - 1;
         long last = previous + settings.batchEntries();
-        List<LogEntry> entries = log.between(replication.nextIndex(), last);
+        List<LogEntry> entries = log.entriesBetween(replication.nextIndex(), last);
         send(to, new AppendRequest(self, term, previous, log.termAt(previous), entries, commitIndex));
         replication.sentUpTo(previous + entries.size());
     }
