--- a/core/src/main/java/org/bankturn/agreement/RaftLog.java
+++ b/core/src/main/java/org/bankturn/agreement/RaftLog.java
@@ -74,7 +74,7 @@
         entries.add(entry);
     }
 
-    void cutFrom(long index) {
+    void truncateFrom(long index) {
         entries.subList((int) (index - snapshot.index() - 1), entries.size()).clear();
     }
 
--- a/core/src/main/java/org/bankturn/agreement/RaftNode.java
+++ b/core/src/main/java/org/bankturn/agreement/RaftNode.java
@@ -496,7 +496,7 @@
             return;
         }
         if (log.contains(entry.index())) {
-            log.cutFrom(entry.index());
+            log.truncateFrom(entry.index());
             outbox.dropFrom(entry.index());
         }
         log.append(entry);
