--- a/core/src/main/java/org/bankturn/agreement/RaftLog.java
+++ b/core/src/main/java/org/bankturn/agreement/RaftLog.java
@@ -84,7 +84,7 @@
         snapshot = newer;
     }
 
-    void replaceBy(Snapshot newer) {
+    void resetTo(Snapshot newer) {
         entries.clear();
         snapshot = newer;
     }
--- a/core/src/main/java/org/bankturn/agreement/RaftNode.java
+++ b/core/src/main/java/org/bankturn/agreement/RaftNode.java
@@ -513,7 +513,7 @@
             // this log leads there and may lead further: what follows may have been acknowledged
             commitIndex = Math.max(commitIndex, snapshot.index());
         } else if (snapshot.index() > commitIndex) {
-            log.replaceBy(snapshot);
+            log.resetTo(snapshot);
             outbox.install(snapshot);
             commitIndex = snapshot.index();
             handedOutIndex = snapshot.index();
