--- a/core/src/main/java/org/bankturn/agreement/RaftMessage.java
+++ b/core/src/main/java/org/bankturn/agreement/RaftMessage.java
@@ -1,5 +1,6 @@
 package org.bankturn.agreement;
 
+import com.fasterxml.jackson.annotation.JsonProperty;
 import com.fasterxml.jackson.annotation.JsonSubTypes;
 import com.fasterxml.jackson.annotation.JsonTypeInfo;
 import java.util.List;
@@ -25,7 +26,9 @@
     long term();
 
     /** Asks for a vote, or with {@code trial} whether a vote would be given (pre-vote). */
-    record VoteRequest(Member from, long term, boolean trial, long lastIndex, long lastTerm) implements RaftMessage {}
+    record VoteRequest(
+            Member from, long term, @JsonProperty("trial") boolean preVote, long lastIndex, long lastTerm)
+            implements RaftMessage {}
 
     /** Answers a request for a vote. */
     record VoteReply(Member from, long term, boolean trial, boolean granted) implements RaftMessage {}
--- a/core/src/main/java/org/bankturn/agreement/RaftNode.java
+++ b/core/src/main/java/org/bankturn/agreement/RaftNode.java
@@ -242,7 +242,7 @@
             onJoinRequest(request);
             return;
         }
-        boolean trial = (message instanceof VoteRequest request && request.trial())
+        boolean trial = (message instanceof VoteRequest request && request.preVote())
                 || (message instanceof VoteReply reply && reply.trial());
         if (message.term() > term && !trial) {
             becomeFollower(message.term(), null);
@@ -299,7 +299,7 @@
     private void onVoteRequest(VoteRequest request) {
         boolean upToDate = request.lastTerm() > log.lastTerm()
                 || (request.lastTerm() == log.lastTerm() && request.lastIndex() >= log.lastIndex());
-        if (request.trial()) {
+        if (request.preVote()) {
             boolean leaderSilent = clock.millis() - leaderHeardMillis >= settings.electionTimeoutMillis();
             boolean granted = upToDate && request.term() > term && leaderSilent && role != Role.LEADER;
             send(request.from(), new VoteReply(self, granted ? request.term() : term, true, granted));
