--- a/core/src/main/java/org/bankturn/agreement/RaftMessage.java
+++ b/core/src/main/java/org/bankturn/agreement/RaftMessage.java
@@ -31,7 +31,8 @@
             implements RaftMessage {}
 
     /** Answers a request for a vote. */
-    record VoteReply(Member from, long term, boolean trial, boolean granted) implements RaftMessage {}
+    record VoteReply(
+            Member from, long term, @JsonProperty("trial") boolean preVote, boolean granted) implements RaftMessage {}
 
     /** Carries entries after {@code previousIndex}, or none as a heartbeat. */
     record AppendRequest(
--- a/core/src/main/java/org/bankturn/agreement/RaftNode.java
+++ b/core/src/main/java/org/bankturn/agreement/RaftNode.java
@@ -243,7 +243,7 @@
             return;
         }
         boolean trial = (message instanceof VoteRequest request && request.preVote())
-                || (message instanceof VoteReply reply && reply.trial());
+                || (message instanceof VoteReply reply && reply.preVote());
         if (message.term() > term && !trial) {
             becomeFollower(message.term(), null);
         }
@@ -318,11 +318,11 @@
     }
 
     private void onVoteReply(VoteReply reply) {
-        if (reply.trial() && !reply.granted() && reply.term() > term) {
+        if (reply.preVote() && !reply.granted() && reply.term() > term) {
             becomeFollower(reply.term(), null);
             return;
         }
-        boolean awaited = reply.trial()
+        boolean awaited = reply.preVote()
                 ? role == Role.PRE_CANDIDATE && reply.term() == term + 1
                 : role == Role.CANDIDATE && reply.term() == term;
         if (awaited && reply.granted()) {
