--- a/core/src/main/java/org/bankturn/agreement/RaftSettings.java
+++ b/core/src/main/java/org/bankturn/agreement/RaftSettings.java
@@ -6,9 +6,9 @@
  * @param electionTimeoutMillis silence after which a member stands for election; drawn between one and two of these
  * @param heartbeatMillis the time between a leader's messages, well below the election timeout
  * @param batchEntries entries in one message at most
- * @param leastMembers silent members are taken out of larger groups than this
+ * @param minMembers silent members are taken out of larger groups than this
  */
-public record RaftSettings(long electionTimeoutMillis, long heartbeatMillis, int batchEntries, int leastMembers) {
+public record RaftSettings(long electionTimeoutMillis, long heartbeatMillis, int batchEntries, int minMembers) {
     /** A group that never takes out members because they are silent. */
     public static final int KEEP_SILENT_MEMBERS = Integer.MAX_VALUE;
 
