--- a/core/src/main/java/org/bankturn/agreement/RaftNode.java
+++ b/core/src/main/java/org/bankturn/agreement/RaftNode.java
@@ -416,7 +416,7 @@
             return;
         }
         long previous = replication.nextIndex() - 1;
-        long last = previous + settings.batchEntries();
+        long last = previous + settings.maxBatchEntries();
         List<LogEntry> entries = log.entriesBetween(replication.nextIndex(), last);
         send(to, new AppendRequest(self, term, previous, log.termAt(previous), entries, commitIndex));
         replication.sentUpTo(previous + entries.size());
--- a/core/src/main/java/org/bankturn/agreement/RaftSettings.java
+++ b/core/src/main/java/org/bankturn/agreement/RaftSettings.java
@@ -5,10 +5,10 @@
  *
  * @param electionTimeoutMillis silence after which a member stands for election; drawn between one and two of these
  * @param heartbeatMillis the time between a leader's messages, well below the election timeout
- * @param batchEntries entries in one message at most
+ * @param maxBatchEntries entries in one message at most
  * @param minMembers silent members are taken out of larger groups than this
  */
-public record RaftSettings(long electionTimeoutMillis, long heartbeatMillis, int batchEntries, int minMembers) {
+public record RaftSettings(long electionTimeoutMillis, long heartbeatMillis, int maxBatchEntries, int minMembers) {
     /** A group that never takes out members because they are silent. */
     public static final int KEEP_SILENT_MEMBERS = Integer.MAX_VALUE;
 
@@ -20,10 +20,10 @@
      *
      * @param electionTimeoutMillis see the class
      * @param heartbeatMillis see the class
-     * @param batchEntries see the class
+     * @param maxBatchEntries see the class
      */
-    public RaftSettings(long electionTimeoutMillis, long heartbeatMillis, int batchEntries) {
-        this(electionTimeoutMillis, heartbeatMillis, batchEntries, KEEP_SILENT_MEMBERS);
+    public RaftSettings(long electionTimeoutMillis, long heartbeatMillis, int maxBatchEntries) {
+        this(electionTimeoutMillis, heartbeatMillis, maxBatchEntries, KEEP_SILENT_MEMBERS);
     }
 
     /** Checks that heartbeats are well below the timeout. */
