--- a/core/src/main/java/org/bankturn/agreement/RaftSettings.java
+++ b/core/src/main/java/org/bankturn/agreement/RaftSettings.java
@@ -10,10 +10,10 @@
  */
 public record RaftSettings(long electionTimeoutMillis, long heartbeatMillis, int maxBatchEntries, int minMembers) {
     /** A group that never takes out members because they are silent. */
-    public static final int KEEP_SILENT_MEMBERS = Integer.MAX_VALUE;
+    public static final int NEVER_REMOVE_MEMBERS = Integer.MAX_VALUE;
 
     /** Settings for halls a few milliseconds apart. */
-    public static final RaftSettings DEFAULT = new RaftSettings(1_000, 150, 64, KEEP_SILENT_MEMBERS);
+    public static final RaftSettings DEFAULT = new RaftSettings(1_000, 150, 64, NEVER_REMOVE_MEMBERS);
 
     /**
      * Returns settings of a group that keeps silent members.
@@ -23,7 +23,7 @@
      * @param maxBatchEntries see the class
      */
     public RaftSettings(long electionTimeoutMillis, long heartbeatMillis, int maxBatchEntries) {
-        this(electionTimeoutMillis, heartbeatMillis, maxBatchEntries, KEEP_SILENT_MEMBERS);
+        this(electionTimeoutMillis, heartbeatMillis, maxBatchEntries, NEVER_REMOVE_MEMBERS);
     }
 
     /** Checks that heartbeats are well below the timeout. */
