--- a/core/src/main/java/org/bankturn/agreement/StaleConnectionPolicy.java
+++ b/core/src/main/java/org/bankturn/agreement/StaleConnectionPolicy.java
@@ -26,7 +26,7 @@
      * @param settings the group's timing, not null
      * @param nowMillis the time
      */
-    public static OptionalLong distrustedUntilMillis(RaftNode member, RaftSettings settings, long nowMillis) {
+    public static OptionalLong staleConnectionCutoffMillis(RaftNode member, RaftSettings settings, long nowMillis) {
         long heartbeat = settings.heartbeatMillis();
         boolean quiet = nowMillis - member.lastUpToDateMillis() >= HEARTBEATS_WITHOUT_NEWS * heartbeat;
         return quiet && member.leader().isPresent()
--- a/core/src/test/java/org/bankturn/agreement/SilencedGroup.java
+++ b/core/src/test/java/org/bankturn/agreement/SilencedGroup.java
@@ -40,7 +40,7 @@
         for (long step = 0; step < millis; step += 10) {
             members.tickAll();
             giveUpLost();
-            members.running.forEach((box, member) -> StaleConnectionPolicy.distrustedUntilMillis(
+            members.running.forEach((box, member) -> StaleConnectionPolicy.staleConnectionCutoffMillis(
                             member, SETTINGS, members.clock.millis())
                     .ifPresent(trusts.get(box)::wentSilent));
             deliverAll();
--- a/daemon/src/main/java/org/bankturn/daemon/group/QuietGroup.java
+++ b/daemon/src/main/java/org/bankturn/daemon/group/QuietGroup.java
@@ -46,7 +46,7 @@
     /** Looks at a member after a step of it. */
     void look(RaftNode member) {
         long now = clock.millis();
-        OptionalLong until = StaleConnectionPolicy.distrustedUntilMillis(member, settings, now);
+        OptionalLong until = StaleConnectionPolicy.staleConnectionCutoffMillis(member, settings, now);
         // found out by lost messages alone, a silence cost 1,730 and 1,937 ms without a leader (two groups of three)
         until.ifPresent(distrust);
         if (until.isPresent() != quiet) {
