--- a/core/src/main/java/org/bankturn/agreement/MembershipChanges.java
+++ b/core/src/main/java/org/bankturn/agreement/MembershipChanges.java
@@ -17,7 +17,7 @@
 
     private final RaftSettings settings;
     private final ProgressTracker replications;
-    private Member joiner;
+    private Member learner;
 
     MembershipChanges(RaftSettings settings, ProgressTracker replications) {
         this.settings = settings;
@@ -25,32 +25,32 @@
     }
 
     /** Returns the box that copies the log without a vote and waits to be admitted, not null. */
-    Optional<Member> joiner() {
-        return Optional.ofNullable(joiner);
+    Optional<Member> learner() {
+        return Optional.ofNullable(learner);
     }
 
     /** Forgets the joiner; called when leadership begins or ends. */
     void restart() {
-        joiner = null;
+        learner = null;
     }
 
     void begin(Member joining, long nextIndex, long nowMillis) {
-        joiner = joining;
+        learner = joining;
         replications.begin(joining, nextIndex, nowMillis);
     }
 
     /** Lets go of a joiner that is a member by now, or that fell silent. */
     void reviewJoiner(List<Member> members, long nowMillis) {
-        if (joiner == null) {
+        if (learner == null) {
             return;
         }
-        boolean admitted = members.contains(joiner);
-        boolean silent = nowMillis - replications.heardMillis(joiner) > settings.electionTimeoutMillis();
+        boolean admitted = members.contains(learner);
+        boolean silent = nowMillis - replications.heardMillis(learner) > settings.electionTimeoutMillis();
         if (silent && !admitted) {
-            replications.remove(joiner);
+            replications.remove(learner);
         }
         if (silent || admitted) {
-            joiner = null;
+            learner = null;
         }
     }
 
@@ -60,20 +60,20 @@
      * @return the members after the step, empty if there is no joiner that holds all that is committed
      */
     Optional<List<Member>> admission(List<Member> members, long commitIndex) {
-        if (joiner == null || replications.matchIndex(joiner) < commitIndex) {
+        if (learner == null || replications.matchIndex(learner) < commitIndex) {
             return Optional.empty();
         }
         List<Member> changed = new ArrayList<>(members);
-        boolean hadFormerLife = changed.removeIf(member -> member.box().equals(joiner.box()));
+        boolean hadFormerLife = changed.removeIf(member -> member.box().equals(learner.box()));
         if (!hadFormerLife) {
-            changed.add(joiner);
+            changed.add(learner);
         }
         return Optional.of(List.copyOf(changed));
     }
 
     /** Takes out a member that is long silent, so that a larger group does not need a majority that counts it. */
     Optional<List<Member>> removal(List<Member> members, List<Member> peers, long nowMillis) {
-        if (joiner != null || members.size() <= settings.minMembers()) {
+        if (learner != null || members.size() <= settings.minMembers()) {
             return Optional.empty();
         }
         List<Member> silent =
--- a/core/src/main/java/org/bankturn/agreement/RaftNode.java
+++ b/core/src/main/java/org/bankturn/agreement/RaftNode.java
@@ -406,7 +406,7 @@
         for (Member peer : peers()) {
             sendAppend(peer);
         }
-        changes.joiner().ifPresent(this::sendAppend);
+        changes.learner().ifPresent(this::sendAppend);
     }
 
     private void sendAppend(Member to) {
@@ -540,7 +540,7 @@
     // ---- members
 
     private void onJoinRequest(JoinRequest request) {
-        boolean free = changes.joiner().isEmpty() && !isVoter(request.from());
+        boolean free = changes.learner().isEmpty() && !isVoter(request.from());
         if (role == Role.LEADER && free && admissible.test(request.from())) {
             changes.begin(request.from(), log.lastIndex() + 1, clock.millis());
             sendAppend(request.from());
