--- a/core/src/main/java/org/bankturn/agreement/MembershipChanges.java
+++ b/core/src/main/java/org/bankturn/agreement/MembershipChanges.java
@@ -30,7 +30,7 @@
     }
 
     /** Forgets the joiner; called when leadership begins or ends. */
-    void restart() {
+    void reset() {
         learner = null;
     }
 
--- a/core/src/main/java/org/bankturn/agreement/RaftNode.java
+++ b/core/src/main/java/org/bankturn/agreement/RaftNode.java
@@ -346,7 +346,7 @@
         role = Role.LEADER;
         leader = self;
         everHeardLeader = true;
-        changes.restart();
+        changes.reset();
         long now = clock.millis();
         replications.restart(peers(), log.lastIndex() + 1, now);
         heartbeatDueMillis = now + settings.heartbeatMillis();
@@ -364,7 +364,7 @@
         }
         role = Role.FOLLOWER;
         leader = newLeader;
-        changes.restart();
+        changes.reset();
     }
 
     /** A member that has heard of no leader since it started asks soon: who knows of one will deny it a trial vote. */
