--- a/core/src/main/java/org/bankturn/agreement/MembershipChanges.java
+++ b/core/src/main/java/org/bankturn/agreement/MembershipChanges.java
@@ -34,7 +34,7 @@
         learner = null;
     }
 
-    void begin(Member joining, long nextIndex, long nowMillis) {
+    void addLearner(Member joining, long nextIndex, long nowMillis) {
         learner = joining;
         replications.begin(joining, nextIndex, nowMillis);
     }
--- a/core/src/main/java/org/bankturn/agreement/RaftNode.java
+++ b/core/src/main/java/org/bankturn/agreement/RaftNode.java
@@ -542,7 +542,7 @@
     private void onJoinRequest(JoinRequest request) {
         boolean free = changes.learner().isEmpty() && !isVoter(request.from());
         if (role == Role.LEADER && free && admissible.test(request.from())) {
-            changes.begin(request.from(), log.lastIndex() + 1, clock.millis());
+            changes.addLearner(request.from(), log.lastIndex() + 1, clock.millis());
             sendAppend(request.from());
         }
     }
--- a/core/src/test/java/org/bankturn/agreement/MembershipChangesTest.java
+++ b/core/src/test/java/org/bankturn/agreement/MembershipChangesTest.java
@@ -22,7 +22,7 @@
     void a_new_box_is_admitted_beside_a_silent_member() {
         replications.begin(alive, 1, NOW);
         replications.begin(silent, 1, LONG_AGO);
-        changes.begin(joiner, 1, NOW);
+        changes.addLearner(joiner, 1, NOW);
         assertThat(changes.admission(List.of(self, alive, silent), 0)).contains(List.of(self, alive, silent, joiner));
     }
 
@@ -47,7 +47,7 @@
     @Test
     void a_box_that_lost_its_disk_takes_the_place_of_the_member_it_was() {
         Member newLife = new Member("c", 2, "c");
-        changes.begin(newLife, 1, NOW);
+        changes.addLearner(newLife, 1, NOW);
         assertThat(changes.admission(List.of(self, alive, silent), 0)).contains(List.of(self, alive));
         assertThat(changes.admission(List.of(self, alive), 0)).contains(List.of(self, alive, newLife));
     }
