--- a/core/src/main/java/org/bankturn/agreement/MembershipChanges.java
+++ b/core/src/main/java/org/bankturn/agreement/MembershipChanges.java
@@ -40,7 +40,7 @@
     }
 
     /** Lets go of a joiner that is a member by now, or that fell silent. */
-    void reviewJoiner(List<Member> members, long nowMillis) {
+    void updateLearner(List<Member> members, long nowMillis) {
         if (learner == null) {
             return;
         }
--- a/core/src/main/java/org/bankturn/agreement/RaftNode.java
+++ b/core/src/main/java/org/bankturn/agreement/RaftNode.java
@@ -549,7 +549,7 @@
 
     /** Admits a joiner or removes a silent member, one step at a time, each committed before the next. */
     private void changeMembers(long now) {
-        changes.reviewJoiner(members(), now);
+        changes.updateLearner(members(), now);
         boolean changing = !log.membersAt(commitIndex).equals(members());
         if (changing || !isEstablishedLeader()) {
             return;
