--- a/core/src/main/java/org/bankturn/agreement/MembershipChanges.java
+++ b/core/src/main/java/org/bankturn/agreement/MembershipChanges.java
@@ -59,7 +59,7 @@
      *
      * @return the members after the step, empty if there is no joiner that holds all that is committed
      */
-    Optional<List<Member>> admission(List<Member> members, long commitIndex) {
+    Optional<List<Member>> nextAdmission(List<Member> members, long commitIndex) {
         if (learner == null || replications.matchIndex(learner) < commitIndex) {
             return Optional.empty();
         }
--- a/core/src/main/java/org/bankturn/agreement/RaftNode.java
+++ b/core/src/main/java/org/bankturn/agreement/RaftNode.java
@@ -554,7 +554,7 @@
         if (changing || !isEstablishedLeader()) {
             return;
         }
-        changes.admission(members(), commitIndex)
+        changes.nextAdmission(members(), commitIndex)
                 .or(() -> changes.removal(members(), peers(), now))
                 .ifPresent(changed -> appendAsLeader(new byte[0], changed));
     }
--- a/core/src/test/java/org/bankturn/agreement/MembershipChangesTest.java
+++ b/core/src/test/java/org/bankturn/agreement/MembershipChangesTest.java
@@ -23,7 +23,8 @@
         replications.begin(alive, 1, NOW);
         replications.begin(silent, 1, LONG_AGO);
         changes.addLearner(joiner, 1, NOW);
-        assertThat(changes.admission(List.of(self, alive, silent), 0)).contains(List.of(self, alive, silent, joiner));
+        assertThat(changes.nextAdmission(List.of(self, alive, silent), 0))
+                .contains(List.of(self, alive, silent, joiner));
     }
 
     @Test
@@ -48,8 +49,8 @@
     void a_box_that_lost_its_disk_takes_the_place_of_the_member_it_was() {
         Member newLife = new Member("c", 2, "c");
         changes.addLearner(newLife, 1, NOW);
-        assertThat(changes.admission(List.of(self, alive, silent), 0)).contains(List.of(self, alive));
-        assertThat(changes.admission(List.of(self, alive), 0)).contains(List.of(self, alive, newLife));
+        assertThat(changes.nextAdmission(List.of(self, alive, silent), 0)).contains(List.of(self, alive));
+        assertThat(changes.nextAdmission(List.of(self, alive), 0)).contains(List.of(self, alive, newLife));
     }
 
     private static Member member(String box) {
