--- a/core/src/main/java/org/bankturn/agreement/MembershipChanges.java
+++ b/core/src/main/java/org/bankturn/agreement/MembershipChanges.java
@@ -72,7 +72,7 @@
     }
 
     /** Takes out a member that is long silent, so that a larger group does not need a majority that counts it. */
-    Optional<List<Member>> removal(List<Member> members, List<Member> peers, long nowMillis) {
+    Optional<List<Member>> nextRemoval(List<Member> members, List<Member> peers, long nowMillis) {
         if (learner != null || members.size() <= settings.minMembers()) {
             return Optional.empty();
         }
--- a/core/src/main/java/org/bankturn/agreement/RaftNode.java
+++ b/core/src/main/java/org/bankturn/agreement/RaftNode.java
@@ -555,7 +555,7 @@
             return;
         }
         changes.nextAdmission(members(), commitIndex)
-                .or(() -> changes.removal(members(), peers(), now))
+                .or(() -> changes.nextRemoval(members(), peers(), now))
                 .ifPresent(changed -> appendAsLeader(new byte[0], changed));
     }
 
--- a/core/src/test/java/org/bankturn/agreement/MembershipChangesTest.java
+++ b/core/src/test/java/org/bankturn/agreement/MembershipChangesTest.java
@@ -32,7 +32,7 @@
         replications.begin(alive, 1, NOW);
         replications.begin(silent, 1, LONG_AGO);
         replications.begin(joiner, 1, NOW);
-        assertThat(changes.removal(List.of(self, alive, silent, joiner), List.of(alive, silent, joiner), NOW))
+        assertThat(changes.nextRemoval(List.of(self, alive, silent, joiner), List.of(alive, silent, joiner), NOW))
                 .contains(List.of(self, alive, joiner));
     }
 
@@ -41,7 +41,7 @@
         replications.begin(alive, 1, NOW - 150);
         replications.begin(silent, 1, LONG_AGO);
         replications.begin(joiner, 1, NOW);
-        assertThat(changes.removal(List.of(self, alive, silent, joiner), List.of(alive, silent, joiner), NOW))
+        assertThat(changes.nextRemoval(List.of(self, alive, silent, joiner), List.of(alive, silent, joiner), NOW))
                 .isEmpty();
     }
 
