--- a/core/src/main/java/org/bankturn/agreement/Outbox.java
+++ b/core/src/main/java/org/bankturn/agreement/Outbox.java
@@ -27,7 +27,7 @@
     }
 
     /** Drops entries that the log no longer holds. */
-    void dropFrom(long index) {
+    void truncateFrom(long index) {
         unstored.removeIf(waiting -> waiting.index() >= index);
     }
 
--- a/core/src/main/java/org/bankturn/agreement/RaftNode.java
+++ b/core/src/main/java/org/bankturn/agreement/RaftNode.java
@@ -497,7 +497,7 @@
         }
         if (log.contains(entry.index())) {
             log.truncateFrom(entry.index());
-            outbox.dropFrom(entry.index());
+            outbox.truncateFrom(entry.index());
         }
         log.append(entry);
         outbox.store(entry);
