--- a/core/src/main/java/org/bankturn/agreement/Outbox.java
+++ b/core/src/main/java/org/bankturn/agreement/Outbox.java
@@ -32,7 +32,7 @@
     }
 
     /** Stores a leader's snapshot in place of every entry that waits. */
-    void install(Snapshot snapshot) {
+    void installSnapshot(Snapshot snapshot) {
         unstored.clear();
         installed = snapshot;
     }
--- a/core/src/main/java/org/bankturn/agreement/RaftNode.java
+++ b/core/src/main/java/org/bankturn/agreement/RaftNode.java
@@ -514,7 +514,7 @@
             commitIndex = Math.max(commitIndex, snapshot.index());
         } else if (snapshot.index() > commitIndex) {
             log.resetTo(snapshot);
-            outbox.install(snapshot);
+            outbox.installSnapshot(snapshot);
             commitIndex = snapshot.index();
             handedOutIndex = snapshot.index();
         }
