--- a/core/src/main/java/org/bankturn/agreement/Outbox.java
+++ b/core/src/main/java/org/bankturn/agreement/Outbox.java
@@ -38,7 +38,7 @@
     }
 
     /** Hands everything out and is empty afterwards. */
-    Ready take(Vote vote, long commitIndex, List<LogEntry> committed) {
+    Ready drain(Vote vote, long commitIndex, List<LogEntry> committed) {
         Ready ready = new Ready(
                 voteChanged ? vote : null,
                 installed,
--- a/core/src/main/java/org/bankturn/agreement/RaftNode.java
+++ b/core/src/main/java/org/bankturn/agreement/RaftNode.java
@@ -269,7 +269,7 @@
      */
     public Ready ready() {
         List<LogEntry> committed = log.entriesBetween(handedOutIndex + 1, commitIndex);
-        Ready ready = outbox.take(new Vote(term, votedFor), commitIndex, committed);
+        Ready ready = outbox.drain(new Vote(term, votedFor), commitIndex, committed);
         handedOutIndex = commitIndex;
         return ready;
     }
