--- a/core/src/main/java/org/bankturn/agreement/FollowerProgress.java
+++ b/core/src/main/java/org/bankturn/agreement/FollowerProgress.java
@@ -32,7 +32,7 @@
         return snapshotSentMillis;
     }
 
-    void heard(long nowMillis) {
+    void recordContact(long nowMillis) {
         heardMillis = nowMillis;
     }
 
--- a/core/src/main/java/org/bankturn/agreement/RaftNode.java
+++ b/core/src/main/java/org/bankturn/agreement/RaftNode.java
@@ -436,7 +436,7 @@
         if (role != Role.LEADER || reply.term() != term || replication == null) {
             return;
         }
-        replication.heard(clock.millis());
+        replication.recordContact(clock.millis());
         if (!reply.accepted()) {
             replication.backTo(reply.matchIndex() + 1);
             sendAppend(reply.from());
