--- a/core/src/main/java/org/bankturn/agreement/FollowerProgress.java
+++ b/core/src/main/java/org/bankturn/agreement/FollowerProgress.java
@@ -8,12 +8,12 @@
 final class FollowerProgress {
     private long nextIndex;
     private long matchIndex;
-    private long heardMillis;
+    private long lastContactMillis;
     private long snapshotSentMillis = Long.MIN_VALUE;
 
     FollowerProgress(long nextIndex, long heardMillis) {
         this.nextIndex = nextIndex;
-        this.heardMillis = heardMillis;
+        this.lastContactMillis = heardMillis;
     }
 
     long nextIndex() {
@@ -24,8 +24,8 @@
         return matchIndex;
     }
 
-    long heardMillis() {
-        return heardMillis;
+    long lastContactMillis() {
+        return lastContactMillis;
     }
 
     long snapshotSentMillis() {
@@ -33,7 +33,7 @@
     }
 
     void recordContact(long nowMillis) {
-        heardMillis = nowMillis;
+        lastContactMillis = nowMillis;
     }
 
     void sentUpTo(long index) {
--- a/core/src/main/java/org/bankturn/agreement/ProgressTracker.java
+++ b/core/src/main/java/org/bankturn/agreement/ProgressTracker.java
@@ -41,7 +41,7 @@
 
     /** Returns when a member was last heard, in milliseconds; long ago if it is not known. */
     long heardMillis(Member member) {
-        return find(member).map(FollowerProgress::heardMillis).orElse(NEVER_MILLIS);
+        return find(member).map(FollowerProgress::lastContactMillis).orElse(NEVER_MILLIS);
     }
 
     /** Returns the index up to which a member surely holds the log, 0 if it is not known. */
@@ -53,7 +53,7 @@
     Set<Member> heardAfter(long millis) {
         Set<Member> heard = new HashSet<>();
         replications.forEach((member, replication) -> {
-            if (replication.heardMillis() > millis) {
+            if (replication.lastContactMillis() > millis) {
                 heard.add(member);
             }
         });
