--- a/core/src/main/java/org/bankturn/agreement/FollowerProgress.java
+++ b/core/src/main/java/org/bankturn/agreement/FollowerProgress.java
@@ -36,7 +36,7 @@
         lastContactMillis = nowMillis;
     }
 
-    void sentUpTo(long index) {
+    void recordSent(long index) {
         nextIndex = Math.max(nextIndex, index + 1);
     }
 
--- a/core/src/main/java/org/bankturn/agreement/RaftNode.java
+++ b/core/src/main/java/org/bankturn/agreement/RaftNode.java
@@ -419,7 +419,7 @@
         long last = previous + settings.maxBatchEntries();
         List<LogEntry> entries = log.entriesBetween(replication.nextIndex(), last);
         send(to, new AppendRequest(self, term, previous, log.termAt(previous), entries, commitIndex));
-        replication.sentUpTo(previous + entries.size());
+        replication.recordSent(previous + entries.size());
     }
 
     private void sendSnapshot(Member to, FollowerProgress replication) {
