--- a/core/src/main/java/org/bankturn/agreement/FollowerProgress.java
+++ b/core/src/main/java/org/bankturn/agreement/FollowerProgress.java
@@ -40,7 +40,7 @@
         nextIndex = Math.max(nextIndex, index + 1);
     }
 
-    void snapshotSent(long nowMillis) {
+    void recordSnapshotSent(long nowMillis) {
         snapshotSentMillis = nowMillis;
     }
 
--- a/core/src/main/java/org/bankturn/agreement/RaftNode.java
+++ b/core/src/main/java/org/bankturn/agreement/RaftNode.java
@@ -426,7 +426,7 @@
         long now = clock.millis();
         if (now - replication.snapshotSentMillis() >= settings.electionTimeoutMillis()
                 || replication.snapshotSentMillis() == Long.MIN_VALUE) {
-            replication.snapshotSent(now);
+            replication.recordSnapshotSent(now);
             send(to, new SnapshotRequest(self, term, log.snapshot()));
         }
     }
