--- a/core/src/main/java/org/bankturn/agreement/FollowerProgress.java
+++ b/core/src/main/java/org/bankturn/agreement/FollowerProgress.java
@@ -44,7 +44,7 @@
         snapshotSentMillis = nowMillis;
     }
 
-    void matched(long index) {
+    void recordMatch(long index) {
         matchIndex = Math.max(matchIndex, index);
         nextIndex = Math.max(nextIndex, matchIndex + 1);
     }
--- a/core/src/main/java/org/bankturn/agreement/RaftNode.java
+++ b/core/src/main/java/org/bankturn/agreement/RaftNode.java
@@ -442,7 +442,7 @@
             sendAppend(reply.from());
             return;
         }
-        replication.matched(reply.matchIndex());
+        replication.recordMatch(reply.matchIndex());
         advanceCommit();
         if (replication.nextIndex() <= log.lastIndex()) {
             sendAppend(reply.from());
