--- a/core/src/main/java/org/bankturn/agreement/FollowerProgress.java
+++ b/core/src/main/java/org/bankturn/agreement/FollowerProgress.java
@@ -50,7 +50,7 @@
     }
 
     /** Goes back after a rejection; one that comes late never moves on. */
-    void backTo(long index) {
+    void rewindTo(long index) {
         nextIndex = Math.max(matchIndex + 1, Math.min(nextIndex, index));
     }
 }
--- a/core/src/main/java/org/bankturn/agreement/RaftNode.java
+++ b/core/src/main/java/org/bankturn/agreement/RaftNode.java
@@ -438,7 +438,7 @@
         }
         replication.recordContact(clock.millis());
         if (!reply.accepted()) {
-            replication.backTo(reply.matchIndex() + 1);
+            replication.rewindTo(reply.matchIndex() + 1);
             sendAppend(reply.from());
             return;
         }
--- a/core/src/test/java/org/bankturn/agreement/AgreementTest.java
+++ b/core/src/test/java/org/bankturn/agreement/AgreementTest.java
@@ -157,9 +157,9 @@
     @Test
     void a_rejection_that_comes_late_does_not_move_a_leader_forward() {
         FollowerProgress replication = new FollowerProgress(5, 0);
-        replication.backTo(23);
+        replication.rewindTo(23);
         assertThat(replication.nextIndex()).isEqualTo(5);
-        replication.backTo(2);
+        replication.rewindTo(2);
         assertThat(replication.nextIndex()).isEqualTo(2);
     }
 
