--- a/core/src/main/java/org/bankturn/agreement/ProgressTracker.java
+++ b/core/src/main/java/org/bankturn/agreement/ProgressTracker.java
@@ -18,7 +18,7 @@
     private final Map<Member, FollowerProgress> replications = new HashMap<>();
 
     /** Forgets everything and assumes that every peer may have come as far as the log. */
-    void restart(List<Member> peers, long nextIndex, long nowMillis) {
+    void reset(List<Member> peers, long nextIndex, long nowMillis) {
         replications.clear();
         peers.forEach(peer -> replications.put(peer, new FollowerProgress(nextIndex, nowMillis)));
     }
--- a/core/src/main/java/org/bankturn/agreement/RaftNode.java
+++ b/core/src/main/java/org/bankturn/agreement/RaftNode.java
@@ -348,7 +348,7 @@
         everHeardLeader = true;
         changes.reset();
         long now = clock.millis();
-        replications.restart(peers(), log.lastIndex() + 1, now);
+        replications.reset(peers(), log.lastIndex() + 1, now);
         heartbeatDueMillis = now + settings.heartbeatMillis();
         appendAsLeader(new byte[0], null);
     }
