--- a/core/src/main/java/org/bankturn/agreement/ProgressTracker.java
+++ b/core/src/main/java/org/bankturn/agreement/ProgressTracker.java
@@ -27,7 +27,7 @@
         return Optional.ofNullable(replications.get(member));
     }
 
-    FollowerProgress findOrBegin(Member member, long nextIndex, long nowMillis) {
+    FollowerProgress findOrTrack(Member member, long nextIndex, long nowMillis) {
         return replications.computeIfAbsent(member, key -> new FollowerProgress(nextIndex, nowMillis));
     }
 
--- a/core/src/main/java/org/bankturn/agreement/RaftNode.java
+++ b/core/src/main/java/org/bankturn/agreement/RaftNode.java
@@ -410,7 +410,7 @@
     }
 
     private void sendAppend(Member to) {
-        FollowerProgress replication = replications.findOrBegin(to, log.lastIndex() + 1, clock.millis());
+        FollowerProgress replication = replications.findOrTrack(to, log.lastIndex() + 1, clock.millis());
         if (replication.nextIndex() <= log.snapshot().index()) {
             sendSnapshot(to, replication);
             return;
