--- a/core/src/main/java/org/bankturn/agreement/MembershipChanges.java
+++ b/core/src/main/java/org/bankturn/agreement/MembershipChanges.java
@@ -36,7 +36,7 @@
 
     void addLearner(Member joining, long nextIndex, long nowMillis) {
         learner = joining;
-        replications.begin(joining, nextIndex, nowMillis);
+        replications.track(joining, nextIndex, nowMillis);
     }
 
     /** Lets go of a joiner that is a member by now, or that fell silent. */
--- a/core/src/main/java/org/bankturn/agreement/ProgressTracker.java
+++ b/core/src/main/java/org/bankturn/agreement/ProgressTracker.java
@@ -31,7 +31,7 @@
         return replications.computeIfAbsent(member, key -> new FollowerProgress(nextIndex, nowMillis));
     }
 
-    void begin(Member member, long nextIndex, long nowMillis) {
+    void track(Member member, long nextIndex, long nowMillis) {
         replications.put(member, new FollowerProgress(nextIndex, nowMillis));
     }
 
--- a/core/src/test/java/org/bankturn/agreement/MembershipChangesTest.java
+++ b/core/src/test/java/org/bankturn/agreement/MembershipChangesTest.java
@@ -20,8 +20,8 @@
     /** Dropping the silent one first left two members that both had to live. */
     @Test
     void a_new_box_is_admitted_beside_a_silent_member() {
-        replications.begin(alive, 1, NOW);
-        replications.begin(silent, 1, LONG_AGO);
+        replications.track(alive, 1, NOW);
+        replications.track(silent, 1, LONG_AGO);
         changes.addLearner(joiner, 1, NOW);
         assertThat(changes.nextAdmission(List.of(self, alive, silent), 0))
                 .contains(List.of(self, alive, silent, joiner));
@@ -29,18 +29,18 @@
 
     @Test
     void the_silent_member_goes_once_the_group_is_larger() {
-        replications.begin(alive, 1, NOW);
-        replications.begin(silent, 1, LONG_AGO);
-        replications.begin(joiner, 1, NOW);
+        replications.track(alive, 1, NOW);
+        replications.track(silent, 1, LONG_AGO);
+        replications.track(joiner, 1, NOW);
         assertThat(changes.nextRemoval(List.of(self, alive, silent, joiner), List.of(alive, silent, joiner), NOW))
                 .contains(List.of(self, alive, joiner));
     }
 
     @Test
     void no_member_goes_while_two_are_silent() {
-        replications.begin(alive, 1, NOW - 150);
-        replications.begin(silent, 1, LONG_AGO);
-        replications.begin(joiner, 1, NOW);
+        replications.track(alive, 1, NOW - 150);
+        replications.track(silent, 1, LONG_AGO);
+        replications.track(joiner, 1, NOW);
         assertThat(changes.nextRemoval(List.of(self, alive, silent, joiner), List.of(alive, silent, joiner), NOW))
                 .isEmpty();
     }
