--- a/core/src/main/java/org/bankturn/agreement/MembershipChanges.java
+++ b/core/src/main/java/org/bankturn/agreement/MembershipChanges.java
@@ -45,7 +45,7 @@
             return;
         }
         boolean admitted = members.contains(learner);
-        boolean silent = nowMillis - replications.heardMillis(learner) > settings.electionTimeoutMillis();
+        boolean silent = nowMillis - replications.lastContactMillis(learner) > settings.electionTimeoutMillis();
         if (silent && !admitted) {
             replications.remove(learner);
         }
@@ -87,6 +87,6 @@
     }
 
     private boolean isSilent(Member peer, int electionTimeouts, long nowMillis) {
-        return nowMillis - replications.heardMillis(peer) > electionTimeouts * settings.electionTimeoutMillis();
+        return nowMillis - replications.lastContactMillis(peer) > electionTimeouts * settings.electionTimeoutMillis();
     }
 }
--- a/core/src/main/java/org/bankturn/agreement/ProgressTracker.java
+++ b/core/src/main/java/org/bankturn/agreement/ProgressTracker.java
@@ -40,7 +40,7 @@
     }
 
     /** Returns when a member was last heard, in milliseconds; long ago if it is not known. */
-    long heardMillis(Member member) {
+    long lastContactMillis(Member member) {
         return find(member).map(FollowerProgress::lastContactMillis).orElse(NEVER_MILLIS);
     }
 
--- a/core/src/main/java/org/bankturn/agreement/RaftNode.java
+++ b/core/src/main/java/org/bankturn/agreement/RaftNode.java
@@ -151,7 +151,7 @@
             return caughtUpMillis;
         }
         List<Long> heard = new ArrayList<>();
-        peers().forEach(peer -> heard.add(replications.heardMillis(peer)));
+        peers().forEach(peer -> heard.add(replications.lastContactMillis(peer)));
         heard.add(clock.millis());
         heard.sort((one, other) -> Long.compare(other, one));
         return heard.get(members().size() / 2);
