--- a/core/src/main/java/org/bankturn/agreement/ProgressTracker.java
+++ b/core/src/main/java/org/bankturn/agreement/ProgressTracker.java
@@ -50,7 +50,7 @@
     }
 
     /** Returns the members heard after a moment, not null. */
-    Set<Member> heardAfter(long millis) {
+    Set<Member> contactedAfter(long millis) {
         Set<Member> heard = new HashSet<>();
         replications.forEach((member, replication) -> {
             if (replication.lastContactMillis() > millis) {
--- a/core/src/main/java/org/bankturn/agreement/RaftNode.java
+++ b/core/src/main/java/org/bankturn/agreement/RaftNode.java
@@ -389,7 +389,7 @@
     }
 
     private boolean heardFromMajority(long now) {
-        Set<Member> heard = replications.heardAfter(now - settings.electionTimeoutMillis());
+        Set<Member> heard = replications.contactedAfter(now - settings.electionTimeoutMillis());
         heard.add(self);
         return isMajority(heard);
     }
