--- a/core/src/main/java/org/bankturn/agreement/ProgressTracker.java
+++ b/core/src/main/java/org/bankturn/agreement/ProgressTracker.java
@@ -61,7 +61,7 @@
     }
 
     /** Returns the members that surely hold an entry, not null. */
-    Set<Member> holdersOf(long index) {
+    Set<Member> membersHolding(long index) {
         Set<Member> holders = new HashSet<>();
         replications.forEach((member, replication) -> {
             if (replication.matchIndex() >= index) {
--- a/core/src/main/java/org/bankturn/agreement/RaftNode.java
+++ b/core/src/main/java/org/bankturn/agreement/RaftNode.java
@@ -451,7 +451,7 @@
 
     private void advanceCommit() {
         for (long index = log.lastIndex(); index > commitIndex && log.termAt(index) == term; index--) {
-            Set<Member> holders = replications.holdersOf(index);
+            Set<Member> holders = replications.membersHolding(index);
             holders.add(self);
             if (isMajority(holders)) {
                 commitIndex = index;
