--- a/core/src/test/java/org/bankturn/agreement/AgreementTest.java
+++ b/core/src/test/java/org/bankturn/agreement/RaftNodeTest.java
@@ -12,7 +12,7 @@
 import org.bankturn.time.ManualClock;
 import org.junit.jupiter.api.Test;
 
-class AgreementTest {
+class RaftNodeTest {
     private static final Member LEADER = new Member("b", 1, "b");
     private static final List<Member> MEMBERS = List.of(new Member("a", 1, "a"), LEADER, new Member("c", 1, "c"));
 
