--- a/core/src/test/java/org/bankturn/agreement/MemberGroup.java
+++ b/core/src/test/java/org/bankturn/agreement/InMemoryCluster.java
@@ -13,7 +13,7 @@
 import org.bankturn.time.ManualClock;
 
 /** Members of one group with a bag of messages between them, stepped by a test; checks the invariants of the spec. */
-final class MemberGroup {
+final class InMemoryCluster {
     static final RaftSettings SETTINGS = new RaftSettings(100, 20, 4);
 
     final ManualClock clock = ManualClock.startingAt(0);
@@ -27,11 +27,11 @@
     private final RaftSettings settings;
     private long lives = 1;
 
-    MemberGroup(long seed, String... boxes) {
+    InMemoryCluster(long seed, String... boxes) {
         this(SETTINGS, seed, boxes);
     }
 
-    MemberGroup(RaftSettings settings, long seed, String... boxes) {
+    InMemoryCluster(RaftSettings settings, long seed, String... boxes) {
         this.settings = settings;
         random = RandomSource.XO_RO_SHI_RO_128_PP.create(seed);
         first = List.of(boxes).stream().map(box -> new Member(box, 1, box)).toList();
--- a/core/src/test/java/org/bankturn/agreement/MembershipTest.java
+++ b/core/src/test/java/org/bankturn/agreement/MembershipTest.java
@@ -12,7 +12,7 @@
 
     @Test
     void an_empty_box_at_a_new_address_takes_the_place_of_a_dead_member() {
-        MemberGroup group = formed(1);
+        InMemoryCluster group = formed(1);
         group.stop("c");
         group.loseDisk("d");
         group.settle(ROUNDS);
@@ -24,7 +24,7 @@
 
     @Test
     void a_fourth_member_that_died_is_dropped_so_that_one_more_may_be_lost() {
-        MemberGroup group = formed(2);
+        InMemoryCluster group = formed(2);
         group.loseDisk("d");
         group.settle(ROUNDS);
         assertThat(boxesOf(group)).containsExactlyInAnyOrder("a", "b", "c", "d");
@@ -42,7 +42,7 @@
 
     @Test
     void a_member_that_was_dropped_while_silent_is_taken_back_with_its_disk() {
-        MemberGroup group = formed(3);
+        InMemoryCluster group = formed(3);
         group.loseDisk("d");
         group.settle(ROUNDS);
         String silent = followerOf(group);
@@ -57,23 +57,23 @@
 
     @Test
     void a_group_of_three_keeps_a_silent_member() {
-        MemberGroup group = formed(4);
+        InMemoryCluster group = formed(4);
         group.stop(followerOf(group));
         group.settle(ROUNDS);
         assertThat(boxesOf(group)).containsExactlyInAnyOrder("a", "b", "c");
     }
 
-    private static MemberGroup formed(long seed) {
-        MemberGroup group = new MemberGroup(SETTINGS, seed, "a", "b", "c");
+    private static InMemoryCluster formed(long seed) {
+        InMemoryCluster group = new InMemoryCluster(SETTINGS, seed, "a", "b", "c");
         group.settle(ROUNDS);
         return group;
     }
 
-    private static List<String> boxesOf(MemberGroup group) {
+    private static List<String> boxesOf(InMemoryCluster group) {
         return group.leader().members().stream().map(Member::box).toList();
     }
 
-    private static String followerOf(MemberGroup group) {
+    private static String followerOf(InMemoryCluster group) {
         String leader = group.leader().self().box();
         return group.running.keySet().stream()
                 .filter(box -> !box.equals(leader))
--- a/core/src/test/java/org/bankturn/agreement/RaftNodeTest.java
+++ b/core/src/test/java/org/bankturn/agreement/RaftNodeTest.java
@@ -18,7 +18,7 @@
 
     @Property(tries = 150, seed = "20261202")
     void no_schedule_of_faults_reverts_an_accepted_entry(@ForAll @LongRange(min = 1, max = 1_000_000) long seed) {
-        MemberGroup group = new MemberGroup(seed, "a", "b", "c");
+        InMemoryCluster group = new InMemoryCluster(seed, "a", "b", "c");
         List<String> boxes = List.of("a", "b", "c");
         boolean diskLost = false;
         for (int step = 0; step < 1_500; step++) {
@@ -49,7 +49,7 @@
 
     @Test
     void a_second_box_may_be_lost_right_after_the_first_was_repaired() {
-        MemberGroup group = new MemberGroup(7, "a", "b", "c");
+        InMemoryCluster group = new InMemoryCluster(7, "a", "b", "c");
         group.settle(60);
         group.propose(group.leader(), "kept");
         group.settle(5);
@@ -66,7 +66,7 @@
 
     @Test
     void a_leader_that_was_frozen_accepts_nothing_when_it_wakes() {
-        MemberGroup group = new MemberGroup(3, "a", "b", "c");
+        InMemoryCluster group = new InMemoryCluster(3, "a", "b", "c");
         group.settle(60);
         RaftNode old = group.leader();
         RaftNode other = group.running.values().stream()
@@ -74,7 +74,7 @@
                 .findFirst()
                 .orElseThrow();
         long before = group.accepted.size();
-        group.clock.advance(10 * MemberGroup.SETTINGS.electionTimeoutMillis());
+        group.clock.advance(10 * InMemoryCluster.SETTINGS.electionTimeoutMillis());
         old.propose("woken".getBytes(StandardCharsets.UTF_8));
         old.tick();
         assertThat(old.role()).isEqualTo(Role.FOLLOWER);
@@ -84,11 +84,11 @@
 
     @Test
     void a_box_with_an_empty_disk_gives_no_vote_before_it_is_admitted() {
-        MemberGroup group = new MemberGroup(5, "a", "b", "c");
+        InMemoryCluster group = new InMemoryCluster(5, "a", "b", "c");
         group.settle(60);
         group.loseDisk("c");
         RaftNode empty = group.running.get("c");
-        group.clock.advance(10 * MemberGroup.SETTINGS.electionTimeoutMillis());
+        group.clock.advance(10 * InMemoryCluster.SETTINGS.electionTimeoutMillis());
         empty.tick();
         assertThat(empty.role()).isEqualTo(Role.FOLLOWER);
         assertThat(empty.members()).isEmpty();
@@ -96,7 +96,7 @@
 
     @Test
     void a_planned_stop_hands_leadership_over_at_once() {
-        MemberGroup group = new MemberGroup(9, "a", "b", "c");
+        InMemoryCluster group = new InMemoryCluster(9, "a", "b", "c");
         group.settle(60);
         RaftNode old = group.leader();
         long term = old.term();
@@ -174,7 +174,7 @@
         return RaftNode.recover(
                 MEMBERS.get(0),
                 new PersistentState(new Vote(1, LEADER), Snapshot.initial(MEMBERS), entries, commitIndex),
-                MemberGroup.SETTINGS,
+                InMemoryCluster.SETTINGS,
                 ManualClock.startingAt(0),
                 RandomSource.XO_RO_SHI_RO_128_PP.create(1),
                 asking -> true);
--- a/core/src/test/java/org/bankturn/agreement/SilencedGroup.java
+++ b/core/src/test/java/org/bankturn/agreement/SilencedGroup.java
@@ -16,7 +16,7 @@
 
     private static final long ANSWER_MILLIS = 1_000;
 
-    final MemberGroup members;
+    final InMemoryCluster members;
     private final Map<String, ConnectionTrust> trusts = new HashMap<>();
     private final Map<Way, Connection> connections = new HashMap<>();
     private final List<Lost> lost = new ArrayList<>();
@@ -31,7 +31,7 @@
     }
 
     SilencedGroup(long seed) {
-        members = new MemberGroup(SETTINGS, seed, "a", "b", "c");
+        members = new InMemoryCluster(SETTINGS, seed, "a", "b", "c");
         members.running.keySet().forEach(box -> trusts.put(box, ConnectionTrust.of(members.clock, MOST_REST_MILLIS)));
     }
 
