--- a/core/src/test/java/org/bankturn/agreement/GroupSchedule.java
+++ b/core/src/test/java/org/bankturn/agreement/FaultSimulation.java
@@ -29,7 +29,7 @@
  * while: one leader a term, one entry an index, no read older than what was acknowledged before it began. Checked at the
  * end, when all is whole again: the group works, and the newest acknowledged change is in force everywhere.
  */
-final class GroupSchedule {
+final class FaultSimulation {
     private static final RaftSettings SETTINGS = new RaftSettings(100, 20, 4, 3);
     private static final List<String> SEEDS = List.of("a", "b", "c");
     private static final long TICK_MILLIS = 10;
@@ -86,7 +86,7 @@
         }
     }
 
-    GroupSchedule(long seed, SeededFault fault) {
+    FaultSimulation(long seed, SeededFault fault) {
         this.random = RandomSource.XO_RO_SHI_RO_128_PP.create(seed);
         this.fault = fault;
         SEEDS.forEach(name -> boxes.put(name, new Box(name)));
@@ -141,7 +141,7 @@
     private void startEmpty(Box box, long life) {
         boolean forms = life == 1 && SEEDS.contains(box.name);
         List<Member> first =
-                forms ? SEEDS.stream().map(GroupSchedule::firstMember).toList() : List.of();
+                forms ? SEEDS.stream().map(FaultSimulation::firstMember).toList() : List.of();
         box.device = new CrashingDevice(Integer.MAX_VALUE, 0);
         try {
             AgreementStorage.create(box.device, life, Snapshot.initial(first));
--- a/core/src/test/java/org/bankturn/agreement/GroupScheduleTest.java
+++ b/core/src/test/java/org/bankturn/agreement/GroupScheduleTest.java
@@ -49,7 +49,7 @@
     /** Returns what went wrong, null if nothing did. */
     private static String play(long seed, SeededFault fault) {
         try {
-            new GroupSchedule(seed, fault).play();
+            new FaultSimulation(seed, fault).play();
             return null;
         } catch (AssertionError e) {
             return String.valueOf(e.getMessage());
