--- a/core/src/test/java/org/bankturn/agreement/GroupScheduleTest.java
+++ b/core/src/test/java/org/bankturn/agreement/FaultSimulationTest.java
@@ -13,7 +13,7 @@
  * <p>The number of schedules is set with {@code -Dbankturn.schedules=10000}; a failure names its seed, which plays it
  * again.
  */
-class GroupScheduleTest {
+class FaultSimulationTest {
     private static final int SCHEDULES = Integer.getInteger("bankturn.schedules", 200);
     private static final long FIRST_SEED = Long.getLong("bankturn.schedules.first", 1);
     private static final int SCHEDULES_TO_FIND_A_FAULT = 2_000;
