--- a/core/src/test/java/org/bankturn/agreement/SilencedGroupTest.java
+++ b/core/src/test/java/org/bankturn/agreement/SilencedGroupTest.java
@@ -20,7 +20,7 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16, 17, 18, 19, 20})
     void a_group_whose_connections_went_silent_keeps_its_leader_and_accepts_changes_within_half_a_second(long seed) {
-        SilencedGroup group = new SilencedGroup(seed);
+        StaleConnectionSimulation group = new StaleConnectionSimulation(seed);
         group.pass(SETTLED_MILLIS + 10 * seed);
         RaftNode leader = group.members.leader();
         long term = leader.term();
--- a/core/src/test/java/org/bankturn/agreement/SilencedGroup.java
+++ b/core/src/test/java/org/bankturn/agreement/StaleConnectionSimulation.java
@@ -8,7 +8,7 @@
 import org.bankturn.routing.ConnectionTrust;
 
 /** A group in virtual time whose members send over kept connections, which can all go silent at one moment. */
-final class SilencedGroup {
+final class StaleConnectionSimulation {
     static final RaftSettings SETTINGS = new RaftSettings(500, 100, 64, 3);
 
     /** As between processes: a connection that rested longer is replaced, and a message is given up on after a second. */
@@ -30,7 +30,7 @@
         private boolean silent;
     }
 
-    SilencedGroup(long seed) {
+    StaleConnectionSimulation(long seed) {
         members = new InMemoryCluster(SETTINGS, seed, "a", "b", "c");
         members.running.keySet().forEach(box -> trusts.put(box, ConnectionTrust.of(members.clock, MOST_REST_MILLIS)));
     }
