--- a/core/src/test/java/org/bankturn/agreement/SilencedGroupTest.java
+++ b/core/src/test/java/org/bankturn/agreement/StaleConnectionPolicyTest.java
@@ -13,7 +13,7 @@
  * on silent connections as well: two groups of three had a leader again after 1,730 and 1,937 ms, and accepted no change
  * until then.
  */
-class SilencedGroupTest {
+class StaleConnectionPolicyTest {
     private static final long SETTLED_MILLIS = 5_000;
     private static final long HALF_A_SECOND = 500;
 
