--- a/core/src/test/java/org/bankturn/agreement/FaultSimulation.java
+++ b/core/src/test/java/org/bankturn/agreement/FaultSimulation.java
@@ -197,7 +197,7 @@
         }
         lostDisks++;
         anyUp().ifPresent(box -> {
-            if (fault == SeededFault.SAME_LIFE_AFTER_LOST_DISK) {
+            if (fault == SeededFault.REUSES_INCARNATION_AFTER_DISK_LOSS) {
                 startAsFormerMember(box);
             } else {
                 startEmpty(box, comesBackAsItWas(box) ? 1 : ++lives);
--- a/core/src/test/java/org/bankturn/agreement/SeededFault.java
+++ b/core/src/test/java/org/bankturn/agreement/SeededFault.java
@@ -5,7 +5,7 @@
     /** The design as it is. */
     NONE,
     /** A box whose disk was lost comes back as the member that it was. */
-    SAME_LIFE_AFTER_LOST_DISK,
+    REUSES_INCARNATION_AFTER_DISK_LOSS,
     /** A box whose disk was lost forms the group again from the seeds. */
     FORMS_AGAIN_AFTER_LOST_DISK,
     /** Messages leave before what they tell is synced. */
