--- a/core/src/test/java/org/bankturn/agreement/FaultSimulation.java
+++ b/core/src/test/java/org/bankturn/agreement/FaultSimulation.java
@@ -206,7 +206,7 @@
     }
 
     private boolean comesBackAsItWas(Box box) {
-        return fault == SeededFault.FORMS_AGAIN_AFTER_LOST_DISK && SEEDS.contains(box.name);
+        return fault == SeededFault.BOOTSTRAPS_AGAIN_AFTER_DISK_LOSS && SEEDS.contains(box.name);
     }
 
     /** The seeded fault: the identity outlived the disk, the vote and the log did not. */
--- a/core/src/test/java/org/bankturn/agreement/SeededFault.java
+++ b/core/src/test/java/org/bankturn/agreement/SeededFault.java
@@ -7,7 +7,7 @@
     /** A box whose disk was lost comes back as the member that it was. */
     REUSES_INCARNATION_AFTER_DISK_LOSS,
     /** A box whose disk was lost forms the group again from the seeds. */
-    FORMS_AGAIN_AFTER_LOST_DISK,
+    BOOTSTRAPS_AGAIN_AFTER_DISK_LOSS,
     /** Messages leave before what they tell is synced. */
     SENDS_BEFORE_SYNC,
     /** A member that starts again takes all that its log holds for committed. */
