--- a/core/src/test/java/org/bankturn/agreement/FaultSimulation.java
+++ b/core/src/test/java/org/bankturn/agreement/FaultSimulation.java
@@ -172,7 +172,7 @@
 
     private PersistentState stored(Box box) {
         PersistentState stored = box.storage.stored();
-        return fault == SeededFault.WHOLE_LOG_COUNTS_AS_COMMITTED
+        return fault == SeededFault.TREATS_WHOLE_LOG_AS_COMMITTED
                 ? new PersistentState(stored.vote(), stored.snapshot(), stored.entries(), Long.MAX_VALUE)
                 : stored;
     }
--- a/core/src/test/java/org/bankturn/agreement/SeededFault.java
+++ b/core/src/test/java/org/bankturn/agreement/SeededFault.java
@@ -11,7 +11,7 @@
     /** Messages leave before what they tell is synced. */
     SENDS_BEFORE_SYNC,
     /** A member that starts again takes all that its log holds for committed. */
-    WHOLE_LOG_COUNTS_AS_COMMITTED,
+    TREATS_WHOLE_LOG_AS_COMMITTED,
     /** A leader answers a read from what it has applied, without an entry that confirms it. */
     READS_WITHOUT_CONFIRMATION
 }
