--- a/core/src/test/java/org/bankturn/agreement/InMemoryCluster.java
+++ b/core/src/test/java/org/bankturn/agreement/InMemoryCluster.java
@@ -22,7 +22,7 @@
     final Map<String, PersistentState> disks = new HashMap<>();
     final Map<Long, LogEntry> accepted = new TreeMap<>();
     final Map<Long, Member> leaders = new HashMap<>();
-    final List<Outbound> bag = new ArrayList<>();
+    final List<Outbound> inFlight = new ArrayList<>();
     private final List<Member> first;
     private final RaftSettings settings;
     private long lives = 1;
@@ -81,15 +81,15 @@
 
     /** Delivers a message taken at random; it is doubled or lost one time in ten each. */
     void deliverOne(boolean faulty) {
-        if (bag.isEmpty()) {
+        if (inFlight.isEmpty()) {
             return;
         }
-        int chosen = random.nextInt(bag.size());
+        int chosen = random.nextInt(inFlight.size());
         int fate = faulty ? random.nextInt(10) : 9;
-        Outbound outbound = fate == 0 ? bag.get(chosen) : bag.remove(chosen);
+        Outbound outbound = fate == 0 ? inFlight.get(chosen) : inFlight.remove(chosen);
         RaftNode member = running.get(outbound.to().box());
         if (member == null) {
-            bag.remove(outbound);
+            inFlight.remove(outbound);
             return;
         }
         boolean sameLife = member.self().equals(outbound.to()) || outbound.message() instanceof RaftMessage.JoinRequest;
@@ -101,7 +101,7 @@
 
     /** Delivers the oldest message. */
     void deliverFirst() {
-        Outbound outbound = bag.remove(0);
+        Outbound outbound = inFlight.remove(0);
         RaftNode member = running.get(outbound.to().box());
         member.receive(outbound.message());
         carryOut(member);
@@ -110,7 +110,7 @@
     void settle(int rounds) {
         for (int round = 0; round < rounds; round++) {
             tickAll();
-            for (int step = 0; step < 400 && !bag.isEmpty(); step++) {
+            for (int step = 0; step < 400 && !inFlight.isEmpty(); step++) {
                 deliverOne(false);
             }
         }
@@ -145,7 +145,7 @@
     private void carryOut(RaftNode member) {
         Ready ready = member.ready();
         store(member.self().box(), ready);
-        bag.addAll(ready.messages());
+        inFlight.addAll(ready.messages());
         for (LogEntry entry : ready.committed()) {
             LogEntry before = accepted.putIfAbsent(entry.index(), entry);
             if (before != null && (before.term() != entry.term() || !sameCommand(before, entry))) {
--- a/core/src/test/java/org/bankturn/agreement/StaleConnectionSimulation.java
+++ b/core/src/test/java/org/bankturn/agreement/StaleConnectionSimulation.java
@@ -53,12 +53,12 @@
     }
 
     private void deliverAll() {
-        while (!members.bag.isEmpty()) {
-            Outbound outbound = members.bag.get(0);
+        while (!members.inFlight.isEmpty()) {
+            Outbound outbound = members.inFlight.get(0);
             String from = outbound.message().from().box();
             Connection connection = connection(new Way(from, outbound.to().box()));
             if (connection.silent) {
-                members.bag.remove(0);
+                members.inFlight.remove(0);
                 lost.add(new Lost(from, connection, members.clock.millis()));
             } else {
                 connection.heardMillis = members.clock.millis();
