--- a/core/src/test/java/org/bankturn/agreement/InMemoryCluster.java
+++ b/core/src/test/java/org/bankturn/agreement/InMemoryCluster.java
@@ -80,7 +80,7 @@
     }
 
     /** Delivers a message taken at random; it is doubled or lost one time in ten each. */
-    void deliverOne(boolean faulty) {
+    void deliverRandom(boolean faulty) {
         if (inFlight.isEmpty()) {
             return;
         }
@@ -111,7 +111,7 @@
         for (int round = 0; round < rounds; round++) {
             tickAll();
             for (int step = 0; step < 400 && !inFlight.isEmpty(); step++) {
-                deliverOne(false);
+                deliverRandom(false);
             }
         }
     }
--- a/core/src/test/java/org/bankturn/agreement/RaftNodeTest.java
+++ b/core/src/test/java/org/bankturn/agreement/RaftNodeTest.java
@@ -36,7 +36,7 @@
                 diskLost = true;
                 group.loseDisk(box);
             } else {
-                group.deliverOne(true);
+                group.deliverRandom(true);
             }
         }
         group.settle(150);
