--- a/core/src/test/java/org/bankturn/agreement/InMemoryCluster.java
+++ b/core/src/test/java/org/bankturn/agreement/InMemoryCluster.java
@@ -100,7 +100,7 @@
     }
 
     /** Delivers the oldest message. */
-    void deliverFirst() {
+    void deliverOldest() {
         Outbound outbound = inFlight.remove(0);
         RaftNode member = running.get(outbound.to().box());
         member.receive(outbound.message());
--- a/core/src/test/java/org/bankturn/agreement/StaleConnectionSimulation.java
+++ b/core/src/test/java/org/bankturn/agreement/StaleConnectionSimulation.java
@@ -62,7 +62,7 @@
                 lost.add(new Lost(from, connection, members.clock.millis()));
             } else {
                 connection.heardMillis = members.clock.millis();
-                members.deliverFirst();
+                members.deliverOldest();
             }
         }
     }
