--- a/core/src/test/java/org/bankturn/agreement/InMemoryCluster.java
+++ b/core/src/test/java/org/bankturn/agreement/InMemoryCluster.java
@@ -107,7 +107,7 @@
         carryOut(member);
     }
 
-    void settle(int rounds) {
+    void runRounds(int rounds) {
         for (int round = 0; round < rounds; round++) {
             tickAll();
             for (int step = 0; step < 400 && !inFlight.isEmpty(); step++) {
--- a/core/src/test/java/org/bankturn/agreement/MembershipTest.java
+++ b/core/src/test/java/org/bankturn/agreement/MembershipTest.java
@@ -15,10 +15,10 @@
         InMemoryCluster group = formed(1);
         group.stop("c");
         group.loseDisk("d");
-        group.settle(ROUNDS);
+        group.runRounds(ROUNDS);
         assertThat(boxesOf(group)).containsExactlyInAnyOrder("a", "b", "d");
         group.stop(group.leader().self().box());
-        group.settle(ROUNDS);
+        group.runRounds(ROUNDS);
         assertThat(group.leader().isEstablishedLeader()).isTrue();
     }
 
@@ -26,15 +26,15 @@
     void a_fourth_member_that_died_is_dropped_so_that_one_more_may_be_lost() {
         InMemoryCluster group = formed(2);
         group.loseDisk("d");
-        group.settle(ROUNDS);
+        group.runRounds(ROUNDS);
         assertThat(boxesOf(group)).containsExactlyInAnyOrder("a", "b", "c", "d");
         group.stop(followerOf(group));
-        group.settle(ROUNDS);
+        group.runRounds(ROUNDS);
         assertThat(boxesOf(group)).hasSize(3);
         group.stop(followerOf(group));
-        group.settle(ROUNDS);
+        group.runRounds(ROUNDS);
         group.propose(group.leader(), "still accepted");
-        group.settle(ROUNDS);
+        group.runRounds(ROUNDS);
         assertThat(group.accepted.values())
                 .anyMatch(entry ->
                         new String(entry.command(), java.nio.charset.StandardCharsets.UTF_8).equals("still accepted"));
@@ -44,14 +44,14 @@
     void a_member_that_was_dropped_while_silent_is_taken_back_with_its_disk() {
         InMemoryCluster group = formed(3);
         group.loseDisk("d");
-        group.settle(ROUNDS);
+        group.runRounds(ROUNDS);
         String silent = followerOf(group);
         Member kept = group.running.get(silent).self();
         group.stop(silent);
-        group.settle(ROUNDS);
+        group.runRounds(ROUNDS);
         assertThat(boxesOf(group)).doesNotContain(silent);
         group.startAgain(kept);
-        group.settle(ROUNDS);
+        group.runRounds(ROUNDS);
         assertThat(boxesOf(group)).contains(silent).hasSize(4);
     }
 
@@ -59,13 +59,13 @@
     void a_group_of_three_keeps_a_silent_member() {
         InMemoryCluster group = formed(4);
         group.stop(followerOf(group));
-        group.settle(ROUNDS);
+        group.runRounds(ROUNDS);
         assertThat(boxesOf(group)).containsExactlyInAnyOrder("a", "b", "c");
     }
 
     private static InMemoryCluster formed(long seed) {
         InMemoryCluster group = new InMemoryCluster(SETTINGS, seed, "a", "b", "c");
-        group.settle(ROUNDS);
+        group.runRounds(ROUNDS);
         return group;
     }
 
--- a/core/src/test/java/org/bankturn/agreement/RaftNodeTest.java
+++ b/core/src/test/java/org/bankturn/agreement/RaftNodeTest.java
@@ -39,26 +39,26 @@
                 group.deliverRandom(true);
             }
         }
-        group.settle(150);
+        group.runRounds(150);
         assertThat(group.leader().members()).hasSize(3);
         long before = group.leader().commitIndex();
         group.propose(group.leader(), "last");
-        group.settle(5);
+        group.runRounds(5);
         assertThat(group.leader().commitIndex()).isGreaterThan(before);
     }
 
     @Test
     void a_second_box_may_be_lost_right_after_the_first_was_repaired() {
         InMemoryCluster group = new InMemoryCluster(7, "a", "b", "c");
-        group.settle(60);
+        group.runRounds(60);
         group.propose(group.leader(), "kept");
-        group.settle(5);
+        group.runRounds(5);
         long index = group.leader().commitIndex();
         group.loseDisk("a");
-        group.settle(100);
+        group.runRounds(100);
         assertThat(group.leader().members()).extracting(Member::incarnation).contains(2L);
         group.loseDisk("b");
-        group.settle(100);
+        group.runRounds(100);
         assertThat(group.leader().members()).extracting(Member::incarnation).contains(2L, 3L);
         assertThat(group.leader().commitIndex()).isGreaterThan(index);
         assertThat(group.accepted.get(index).command()).asString().isEqualTo("kept");
@@ -67,7 +67,7 @@
     @Test
     void a_leader_that_was_frozen_accepts_nothing_when_it_wakes() {
         InMemoryCluster group = new InMemoryCluster(3, "a", "b", "c");
-        group.settle(60);
+        group.runRounds(60);
         RaftNode old = group.leader();
         RaftNode other = group.running.values().stream()
                 .filter(member -> member != old)
@@ -85,7 +85,7 @@
     @Test
     void a_box_with_an_empty_disk_gives_no_vote_before_it_is_admitted() {
         InMemoryCluster group = new InMemoryCluster(5, "a", "b", "c");
-        group.settle(60);
+        group.runRounds(60);
         group.loseDisk("c");
         RaftNode empty = group.running.get("c");
         group.clock.advance(10 * InMemoryCluster.SETTINGS.electionTimeoutMillis());
@@ -97,11 +97,11 @@
     @Test
     void a_planned_stop_hands_leadership_over_at_once() {
         InMemoryCluster group = new InMemoryCluster(9, "a", "b", "c");
-        group.settle(60);
+        group.runRounds(60);
         RaftNode old = group.leader();
         long term = old.term();
         old.transferLeadership();
-        group.settle(3);
+        group.runRounds(3);
         assertThat(group.leader().self()).isNotEqualTo(old.self());
         assertThat(group.leader().term()).isEqualTo(term + 1);
     }
