--- a/core/src/test/java/org/bankturn/agreement/InMemoryCluster.java
+++ b/core/src/test/java/org/bankturn/agreement/InMemoryCluster.java
@@ -20,7 +20,7 @@
     final UniformRandomProvider random;
     final Map<String, RaftNode> running = new TreeMap<>();
     final Map<String, PersistentState> disks = new HashMap<>();
-    final Map<Long, LogEntry> accepted = new TreeMap<>();
+    final Map<Long, LogEntry> committed = new TreeMap<>();
     final Map<Long, Member> leaders = new HashMap<>();
     final List<Outbound> inFlight = new ArrayList<>();
     private final List<Member> first;
@@ -147,7 +147,7 @@
         store(member.self().box(), ready);
         inFlight.addAll(ready.messages());
         for (LogEntry entry : ready.committed()) {
-            LogEntry before = accepted.putIfAbsent(entry.index(), entry);
+            LogEntry before = committed.putIfAbsent(entry.index(), entry);
             if (before != null && (before.term() != entry.term() || !sameCommand(before, entry))) {
                 throw new AssertionError("accepted entry reverted at " + entry.index());
             }
--- a/core/src/test/java/org/bankturn/agreement/MembershipTest.java
+++ b/core/src/test/java/org/bankturn/agreement/MembershipTest.java
@@ -35,7 +35,7 @@
         group.runRounds(ROUNDS);
         group.propose(group.leader(), "still accepted");
         group.runRounds(ROUNDS);
-        assertThat(group.accepted.values())
+        assertThat(group.committed.values())
                 .anyMatch(entry ->
                         new String(entry.command(), java.nio.charset.StandardCharsets.UTF_8).equals("still accepted"));
     }
--- a/core/src/test/java/org/bankturn/agreement/RaftNodeTest.java
+++ b/core/src/test/java/org/bankturn/agreement/RaftNodeTest.java
@@ -61,7 +61,7 @@
         group.runRounds(100);
         assertThat(group.leader().members()).extracting(Member::incarnation).contains(2L, 3L);
         assertThat(group.leader().commitIndex()).isGreaterThan(index);
-        assertThat(group.accepted.get(index).command()).asString().isEqualTo("kept");
+        assertThat(group.committed.get(index).command()).asString().isEqualTo("kept");
     }
 
     @Test
@@ -73,12 +73,12 @@
                 .filter(member -> member != old)
                 .findFirst()
                 .orElseThrow();
-        long before = group.accepted.size();
+        long before = group.committed.size();
         group.clock.advance(10 * InMemoryCluster.SETTINGS.electionTimeoutMillis());
         old.propose("woken".getBytes(StandardCharsets.UTF_8));
         old.tick();
         assertThat(old.role()).isEqualTo(Role.FOLLOWER);
-        assertThat(group.accepted).hasSize((int) before);
+        assertThat(group.committed).hasSize((int) before);
         assertThat(other.role()).isEqualTo(Role.FOLLOWER);
     }
 
