--- a/core/src/test/java/org/bankturn/agreement/InMemoryCluster.java
+++ b/core/src/test/java/org/bankturn/agreement/InMemoryCluster.java
@@ -56,7 +56,7 @@
     }
 
     /** Starts a stopped box with the disk that it had. */
-    void startAgain(Member member) {
+    void startStopped(Member member) {
         start(member);
     }
 
--- a/core/src/test/java/org/bankturn/agreement/MembershipTest.java
+++ b/core/src/test/java/org/bankturn/agreement/MembershipTest.java
@@ -50,7 +50,7 @@
         group.stop(silent);
         group.runRounds(ROUNDS);
         assertThat(boxesOf(group)).doesNotContain(silent);
-        group.startAgain(kept);
+        group.startStopped(kept);
         group.runRounds(ROUNDS);
         assertThat(boxesOf(group)).contains(silent).hasSize(4);
     }
