--- a/core/src/test/java/org/bankturn/agreement/InMemoryCluster.java
+++ b/core/src/test/java/org/bankturn/agreement/InMemoryCluster.java
@@ -61,7 +61,7 @@
     }
 
     /** Starts a box with an empty disk, under a name that may be new. */
-    void loseDisk(String box) {
+    void startWithEmptyDisk(String box) {
         lives++;
         disks.put(box, new PersistentState(Vote.NONE, Snapshot.initial(List.of()), List.of(), 0));
         start(new Member(box, lives, box));
--- a/core/src/test/java/org/bankturn/agreement/MembershipTest.java
+++ b/core/src/test/java/org/bankturn/agreement/MembershipTest.java
@@ -14,7 +14,7 @@
     void an_empty_box_at_a_new_address_takes_the_place_of_a_dead_member() {
         InMemoryCluster group = formed(1);
         group.stop("c");
-        group.loseDisk("d");
+        group.startWithEmptyDisk("d");
         group.runRounds(ROUNDS);
         assertThat(boxesOf(group)).containsExactlyInAnyOrder("a", "b", "d");
         group.stop(group.leader().self().box());
@@ -25,7 +25,7 @@
     @Test
     void a_fourth_member_that_died_is_dropped_so_that_one_more_may_be_lost() {
         InMemoryCluster group = formed(2);
-        group.loseDisk("d");
+        group.startWithEmptyDisk("d");
         group.runRounds(ROUNDS);
         assertThat(boxesOf(group)).containsExactlyInAnyOrder("a", "b", "c", "d");
         group.stop(followerOf(group));
@@ -43,7 +43,7 @@
     @Test
     void a_member_that_was_dropped_while_silent_is_taken_back_with_its_disk() {
         InMemoryCluster group = formed(3);
-        group.loseDisk("d");
+        group.startWithEmptyDisk("d");
         group.runRounds(ROUNDS);
         String silent = followerOf(group);
         Member kept = group.running.get(silent).self();
--- a/core/src/test/java/org/bankturn/agreement/RaftNodeTest.java
+++ b/core/src/test/java/org/bankturn/agreement/RaftNodeTest.java
@@ -34,7 +34,7 @@
                 group.compact(box);
             } else if (choice < 26 && !diskLost && step > 300) {
                 diskLost = true;
-                group.loseDisk(box);
+                group.startWithEmptyDisk(box);
             } else {
                 group.deliverRandom(true);
             }
@@ -54,10 +54,10 @@
         group.propose(group.leader(), "kept");
         group.runRounds(5);
         long index = group.leader().commitIndex();
-        group.loseDisk("a");
+        group.startWithEmptyDisk("a");
         group.runRounds(100);
         assertThat(group.leader().members()).extracting(Member::incarnation).contains(2L);
-        group.loseDisk("b");
+        group.startWithEmptyDisk("b");
         group.runRounds(100);
         assertThat(group.leader().members()).extracting(Member::incarnation).contains(2L, 3L);
         assertThat(group.leader().commitIndex()).isGreaterThan(index);
@@ -86,7 +86,7 @@
     void a_box_with_an_empty_disk_gives_no_vote_before_it_is_admitted() {
         InMemoryCluster group = new InMemoryCluster(5, "a", "b", "c");
         group.runRounds(60);
-        group.loseDisk("c");
+        group.startWithEmptyDisk("c");
         RaftNode empty = group.running.get("c");
         group.clock.advance(10 * InMemoryCluster.SETTINGS.electionTimeoutMillis());
         empty.tick();
