--- a/core/src/test/java/org/bankturn/agreement/FaultSimulation.java
+++ b/core/src/test/java/org/bankturn/agreement/FaultSimulation.java
@@ -94,7 +94,7 @@
     }
 
     /** Plays the schedule; throws an AssertionError that says what went wrong. */
-    void play() {
+    void run() {
         for (int step = 0; step < STEPS; step++) {
             act(random.nextInt(100));
         }
--- a/core/src/test/java/org/bankturn/agreement/FaultSimulationTest.java
+++ b/core/src/test/java/org/bankturn/agreement/FaultSimulationTest.java
@@ -49,7 +49,7 @@
     /** Returns what went wrong, null if nothing did. */
     private static String play(long seed, SeededFault fault) {
         try {
-            new FaultSimulation(seed, fault).play();
+            new FaultSimulation(seed, fault).run();
             return null;
         } catch (AssertionError e) {
             return String.valueOf(e.getMessage());
