--- a/core/src/test/java/org/bankturn/agreement/StaleConnectionPolicyTest.java
+++ b/core/src/test/java/org/bankturn/agreement/StaleConnectionPolicyTest.java
@@ -21,17 +21,17 @@
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16, 17, 18, 19, 20})
     void a_group_whose_connections_went_silent_keeps_its_leader_and_accepts_changes_within_half_a_second(long seed) {
         StaleConnectionSimulation group = new StaleConnectionSimulation(seed);
-        group.pass(SETTLED_MILLIS + 10 * seed);
+        group.advance(SETTLED_MILLIS + 10 * seed);
         RaftNode leader = group.members.leader();
         long term = leader.term();
         group.silence();
         group.members.propose(leader, "first");
         long index = leader.lastIndex();
-        group.pass(HALF_A_SECOND);
+        group.advance(HALF_A_SECOND);
         assertThat(group.members.leader()).isSameAs(leader);
         assertThat(leader.term()).isEqualTo(term);
         assertThat(leader.commitIndex()).isGreaterThanOrEqualTo(index);
-        group.pass(SETTLED_MILLIS);
+        group.advance(SETTLED_MILLIS);
         assertThat(group.members.leader().term()).isEqualTo(term);
     }
 }
--- a/core/src/test/java/org/bankturn/agreement/StaleConnectionSimulation.java
+++ b/core/src/test/java/org/bankturn/agreement/StaleConnectionSimulation.java
@@ -36,7 +36,7 @@
     }
 
     /** Lets time pass, in steps of ten milliseconds. */
-    void pass(long millis) {
+    void advance(long millis) {
         for (long step = 0; step < millis; step += 10) {
             members.tickAll();
             giveUpLost();
