--- a/core/src/test/java/org/bankturn/agreement/StaleConnectionPolicyTest.java
+++ b/core/src/test/java/org/bankturn/agreement/StaleConnectionPolicyTest.java
@@ -24,7 +24,7 @@
         group.advance(SETTLED_MILLIS + 10 * seed);
         RaftNode leader = group.members.leader();
         long term = leader.term();
-        group.silence();
+        group.silenceOpenConnections();
         group.members.propose(leader, "first");
         long index = leader.lastIndex();
         group.advance(HALF_A_SECOND);
--- a/core/src/test/java/org/bankturn/agreement/StaleConnectionSimulation.java
+++ b/core/src/test/java/org/bankturn/agreement/StaleConnectionSimulation.java
@@ -48,7 +48,7 @@
     }
 
     /** From now on the connections that are open carry nothing. */
-    void silence() {
+    void silenceOpenConnections() {
         connections.values().forEach(connection -> connection.silent = true);
     }
 
