--- a/core/src/main/java/org/bankturn/storage/AgreementStorage.java
+++ b/core/src/main/java/org/bankturn/storage/RaftStorage.java
@@ -20,9 +20,9 @@
  * whatever the log held from its index on. The commit index is stored along with them and never synced for itself, so it
  * lags by the entries that were on their way then. After any failed write or sync this object must not be used again.
  *
- * <p>AgreementStorage is mutable and not thread-safe.
+ * <p>RaftStorage is mutable and not thread-safe.
  */
-public final class AgreementStorage {
+public final class RaftStorage {
     private static final String IDENTITY = "identity";
     private static final String SNAPSHOT = "snapshot";
     private static final String LOG = "log";
@@ -62,9 +62,8 @@
      * @return the storage, not null
      * @throws IOException if it cannot be written
      */
-    public static AgreementStorage create(StorageDevice device, long incarnation, Snapshot snapshot)
-            throws IOException {
-        AgreementStorage storage = new AgreementStorage(device, snapshot);
+    public static RaftStorage create(StorageDevice device, long incarnation, Snapshot snapshot) throws IOException {
+        RaftStorage storage = new RaftStorage(device, snapshot);
         storage.writeSnapshot();
         storage.rewriteLog();
         device.replace(
@@ -80,14 +79,14 @@
      * @throws CorruptLogException if a synced record was damaged
      * @throws IOException if the device cannot be read or written
      */
-    public static AgreementStorage recover(StorageDevice device) throws IOException {
+    public static RaftStorage recover(StorageDevice device) throws IOException {
         byte[] snapshotFile = device.read(SNAPSHOT).orElseThrow(() -> new CorruptLogException(SNAPSHOT, 0));
         List<byte[]> records = RecordFile.decode(SNAPSHOT, snapshotFile).payloads();
         if (records.size() != 1) {
             throw new CorruptLogException(SNAPSHOT, 0);
         }
         Snapshot snapshot = MessagePackCodec.instance().decode(records.get(0), Snapshot.class);
-        AgreementStorage storage = new AgreementStorage(device, snapshot);
+        RaftStorage storage = new RaftStorage(device, snapshot);
         byte[] logFile = device.read(LOG).orElse(new byte[0]);
         RecordFile.Content content = RecordFile.decode(LOG, logFile);
         for (byte[] payload : content.payloads()) {
@@ -99,7 +98,7 @@
         return storage;
     }
 
-    private AgreementStorage(StorageDevice device, Snapshot snapshot) {
+    private RaftStorage(StorageDevice device, Snapshot snapshot) {
         this.device = device;
         this.snapshot = snapshot;
         this.commitIndex = snapshot.index();
--- a/core/src/test/java/org/bankturn/agreement/FaultSimulation.java
+++ b/core/src/test/java/org/bankturn/agreement/FaultSimulation.java
@@ -17,8 +17,8 @@
 import org.bankturn.codec.MessagePackCodec;
 import org.bankturn.publication.PublicationCommand;
 import org.bankturn.publication.PublicationState;
-import org.bankturn.storage.AgreementStorage;
 import org.bankturn.storage.CrashingDevice;
+import org.bankturn.storage.RaftStorage;
 import org.bankturn.time.ManualClock;
 
 /**
@@ -65,7 +65,7 @@
         private final ManualClock clock = ManualClock.startingAt(0);
         private CrashingDevice device;
         private RaftNode agreement;
-        private AgreementStorage storage;
+        private RaftStorage storage;
         private PublicationState state;
         private boolean clockStands;
         private long joinAskedMillis;
@@ -144,7 +144,7 @@
                 forms ? SEEDS.stream().map(FaultSimulation::firstMember).toList() : List.of();
         box.device = new CrashingDevice(Integer.MAX_VALUE, 0);
         try {
-            AgreementStorage.create(box.device, life, Snapshot.initial(first));
+            RaftStorage.create(box.device, life, Snapshot.initial(first));
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
@@ -159,8 +159,8 @@
         box.down();
         box.device = box.device.afterCrash();
         try {
-            box.storage = AgreementStorage.recover(box.device);
-            long life = AgreementStorage.readIncarnation(box.device).orElseThrow();
+            box.storage = RaftStorage.recover(box.device);
+            long life = RaftStorage.readIncarnation(box.device).orElseThrow();
             Member self = new Member(box.name, life, box.name);
             box.agreement = RaftNode.recover(self, stored(box), SETTINGS, box.clock, random, asking -> true);
         } catch (IOException e) {
@@ -218,7 +218,7 @@
                 .orElse(firstMember(box.name));
         box.device = new CrashingDevice(Integer.MAX_VALUE, 0);
         try {
-            AgreementStorage.create(box.device, former.incarnation(), Snapshot.initial(leader.members()));
+            RaftStorage.create(box.device, former.incarnation(), Snapshot.initial(leader.members()));
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
@@ -259,7 +259,7 @@
         Box box = boxes.get(member.box());
         try {
             return box != null
-                    && AgreementStorage.readIncarnation(box.device)
+                    && RaftStorage.readIncarnation(box.device)
                             .filter(life -> life == member.incarnation())
                             .isPresent();
         } catch (IOException e) {
--- a/core/src/test/java/org/bankturn/storage/AgreementStorageTest.java
+++ b/core/src/test/java/org/bankturn/storage/AgreementStorageTest.java
@@ -28,7 +28,7 @@
     private static int fill(StorageDevice device) {
         int stored = 0;
         try {
-            AgreementStorage storage = AgreementStorage.create(device, 5, Snapshot.initial(List.of(SELF)));
+            RaftStorage storage = RaftStorage.create(device, 5, Snapshot.initial(List.of(SELF)));
             for (int index = 1; index <= CHANGES; index++) {
                 storage.store(ready(index));
                 stored = index;
@@ -54,11 +54,11 @@
                 CrashingDevice device = new CrashingDevice(operations, torn);
                 int stored = fill(device);
                 CrashingDevice found = device.afterCrash();
-                if (AgreementStorage.readIncarnation(found).isEmpty()) {
+                if (RaftStorage.readIncarnation(found).isEmpty()) {
                     assertThat(stored).isZero();
                     continue;
                 }
-                PersistentState recovered = AgreementStorage.recover(found).stored();
+                PersistentState recovered = RaftStorage.recover(found).stored();
                 long last = recovered.snapshot().index() + recovered.entries().size();
                 assertThat(last).as("stopped after %d", operations).isBetween((long) stored, stored + 1L);
                 assertThat(recovered.commitIndex()).isBetween((long) Math.max(0, stored - 1), Math.max(0, last));
@@ -76,7 +76,7 @@
             CrashingDevice damaged = new CrashingDevice(Integer.MAX_VALUE, 0);
             fill(damaged);
             damaged.damage("log", position);
-            assertThatThrownBy(() -> AgreementStorage.recover(damaged))
+            assertThatThrownBy(() -> RaftStorage.recover(damaged))
                     .as("byte %d", position)
                     .isInstanceOf(CorruptLogException.class)
                     .hasMessageContaining("4003");
@@ -86,7 +86,7 @@
     @Test
     void ten_thousand_changes_are_recovered_from_a_real_folder_without_loss() throws IOException {
         FolderDevice device = FolderDevice.open(folder);
-        AgreementStorage storage = AgreementStorage.create(device, 5, Snapshot.initial(List.of(SELF)));
+        RaftStorage storage = RaftStorage.create(device, 5, Snapshot.initial(List.of(SELF)));
         List<LogEntry> many = LongStream.rangeClosed(1, 10_000)
                 .mapToObj(index -> new LogEntry(index, 1, new byte[64], null))
                 .toList();
@@ -95,11 +95,11 @@
         storage.store(ready(10_001));
         device.close();
         FolderDevice reopened = FolderDevice.open(folder);
-        PersistentState recovered = AgreementStorage.recover(reopened).stored();
+        PersistentState recovered = RaftStorage.recover(reopened).stored();
         assertThat(recovered.snapshot().index()).isEqualTo(9_990);
         assertThat(recovered.entries()).hasSize(11);
         assertThat(recovered.commitIndex()).isEqualTo(10_000);
-        assertThat(AgreementStorage.readIncarnation(reopened)).contains(5L);
+        assertThat(RaftStorage.readIncarnation(reopened)).contains(5L);
         reopened.close();
     }
 
@@ -113,8 +113,7 @@
         FormerLogRecord former =
                 new FormerLogRecord(new Vote(1, SELF), List.of(new LogEntry(CHANGES / 2 + 1, 1, new byte[] {1}, null)));
         device.replace("log", RecordFile.encode(MessagePackCodec.instance().encode(former)));
-        PersistentState recovered =
-                AgreementStorage.recover(device.afterCrash()).stored();
+        PersistentState recovered = RaftStorage.recover(device.afterCrash()).stored();
         assertThat(recovered.entries()).hasSize(1);
         assertThat(recovered.commitIndex()).isEqualTo(CHANGES / 2);
     }
@@ -123,10 +122,10 @@
     void a_newer_entry_cuts_off_what_stood_from_its_index_on() throws IOException {
         CrashingDevice device = new CrashingDevice(Integer.MAX_VALUE, 0);
         fill(device);
-        AgreementStorage storage = AgreementStorage.recover(device);
+        RaftStorage storage = RaftStorage.recover(device);
         storage.store(ready(CHANGES - 1));
         List<LogEntry> entries =
-                AgreementStorage.recover(device.afterCrash()).stored().entries();
+                RaftStorage.recover(device.afterCrash()).stored().entries();
         assertThat(entries.get(entries.size() - 1).index()).isEqualTo(CHANGES - 1);
     }
 }
--- a/daemon/src/main/java/org/bankturn/daemon/control/ControlMember.java
+++ b/daemon/src/main/java/org/bankturn/daemon/control/ControlMember.java
@@ -25,7 +25,7 @@
 import org.bankturn.state.ReplicatedState;
 import org.bankturn.state.command.Command;
 import org.bankturn.state.command.CommandResult;
-import org.bankturn.storage.AgreementStorage;
+import org.bankturn.storage.RaftStorage;
 import org.bankturn.time.Clock;
 
 /**
@@ -42,7 +42,7 @@
     private static final long JOIN_RETRY_MILLIS = 500;
 
     private final RaftNode agreement;
-    private final AgreementStorage storage;
+    private final RaftStorage storage;
     private final ConfigurationHolder holder;
     private final Clock clock;
     private final ControlWiring wiring;
@@ -89,20 +89,12 @@
      * @return the member, not null
      */
     public static ControlMember of(
-            RaftNode agreement,
-            AgreementStorage storage,
-            ConfigurationHolder holder,
-            Clock clock,
-            ControlWiring wiring) {
+            RaftNode agreement, RaftStorage storage, ConfigurationHolder holder, Clock clock, ControlWiring wiring) {
         return new ControlMember(agreement, storage, holder, clock, wiring);
     }
 
     private ControlMember(
-            RaftNode agreement,
-            AgreementStorage storage,
-            ConfigurationHolder holder,
-            Clock clock,
-            ControlWiring wiring) {
+            RaftNode agreement, RaftStorage storage, ConfigurationHolder holder, Clock clock, ControlWiring wiring) {
         this.agreement = agreement;
         this.storage = storage;
         this.holder = holder;
--- a/daemon/src/main/java/org/bankturn/daemon/control/ControlRole.java
+++ b/daemon/src/main/java/org/bankturn/daemon/control/ControlRole.java
@@ -33,8 +33,8 @@
 import org.bankturn.result.ResultCode;
 import org.bankturn.state.command.Command;
 import org.bankturn.state.command.CommandResult;
-import org.bankturn.storage.AgreementStorage;
 import org.bankturn.storage.FolderDevice;
+import org.bankturn.storage.RaftStorage;
 import org.bankturn.time.Clock;
 
 /**
@@ -94,12 +94,12 @@
         this.reports = reports;
         this.holder = holder;
         FolderDevice device = FolderDevice.open(settings.control().dataFolder());
-        Optional<Long> storedLife = AgreementStorage.readIncarnation(device);
+        Optional<Long> storedLife = RaftStorage.readIncarnation(device);
         UniformRandomProvider random = RandomSource.XO_RO_SHI_RO_128_PP.create();
         long life = storedLife.orElseGet(() -> formsGroup ? FIRST_LIFE : newLife(random));
-        AgreementStorage storage = storedLife.isPresent()
-                ? AgreementStorage.recover(device)
-                : AgreementStorage.create(device, life, Snapshot.initial(formsGroup ? firstMembers() : List.of()));
+        RaftStorage storage = storedLife.isPresent()
+                ? RaftStorage.recover(device)
+                : RaftStorage.create(device, life, Snapshot.initial(formsGroup ? firstMembers() : List.of()));
         RaftSettings timing = new RaftSettings(
                 settings.control().electionTimeoutMillis(), settings.control().heartbeatMillis(), BATCH_ENTRIES);
         Member self =
--- a/daemon/src/main/java/org/bankturn/daemon/group/GroupNode.java
+++ b/daemon/src/main/java/org/bankturn/daemon/group/GroupNode.java
@@ -37,8 +37,8 @@
 import org.bankturn.service.DocumentFormat;
 import org.bankturn.service.ServingConfiguration;
 import org.bankturn.service.UnreadableDocumentException;
-import org.bankturn.storage.AgreementStorage;
 import org.bankturn.storage.FolderDevice;
+import org.bankturn.storage.RaftStorage;
 import org.bankturn.time.Clock;
 
 /**
@@ -162,9 +162,9 @@
 
     private MemberState.Recovered openFolder() throws IOException {
         FolderDevice device = FolderDevice.open(Path.of(settings.dataFolder()));
-        Optional<Long> incarnation = AgreementStorage.readIncarnation(device);
-        AgreementStorage storage = incarnation.isPresent() ? AgreementStorage.recover(device) : prepareFolder(device);
-        long life = AgreementStorage.readIncarnation(device).orElseThrow();
+        Optional<Long> incarnation = RaftStorage.readIncarnation(device);
+        RaftStorage storage = incarnation.isPresent() ? RaftStorage.recover(device) : prepareFolder(device);
+        long life = RaftStorage.readIncarnation(device).orElseThrow();
         RaftNode agreement = RaftNode.recover(
                 member(settings.nodeAddress(), life),
                 storage.stored(),
@@ -176,18 +176,18 @@
     }
 
     /** A box that may form the group starts from the seeds; any other starts outside and asks to join. */
-    private AgreementStorage prepareFolder(FolderDevice device) throws IOException {
+    private RaftStorage prepareFolder(FolderDevice device) throws IOException {
         boolean forms = settings.formsGroup() && settings.seeds().contains(settings.nodeAddress());
         if (forms) {
             List<Member> first = settings.seeds().stream()
                     .map(seed -> member(seed, FIRST_INCARNATION))
                     .sorted()
                     .toList();
-            return AgreementStorage.create(device, FIRST_INCARNATION, Snapshot.initial(first));
+            return RaftStorage.create(device, FIRST_INCARNATION, Snapshot.initial(first));
         }
         long life = Math.max(
                 FIRST_INCARNATION + 1, RandomSource.XO_RO_SHI_RO_128_PP.create().nextLong(Long.MAX_VALUE));
-        return AgreementStorage.create(device, life, Snapshot.initial(List.of()));
+        return RaftStorage.create(device, life, Snapshot.initial(List.of()));
     }
 
     private static Member member(Address address, long incarnation) {
--- a/daemon/src/main/java/org/bankturn/daemon/member/MemberLoop.java
+++ b/daemon/src/main/java/org/bankturn/daemon/member/MemberLoop.java
@@ -16,7 +16,7 @@
 import org.bankturn.agreement.RaftNode;
 import org.bankturn.agreement.Ready;
 import org.bankturn.agreement.Role;
-import org.bankturn.storage.AgreementStorage;
+import org.bankturn.storage.RaftStorage;
 import org.bankturn.time.Clock;
 
 /**
@@ -38,7 +38,7 @@
     private final Map<Long, Submission<R>> submissions = new HashMap<>();
     private final Thread thread;
     private RaftNode agreement;
-    private AgreementStorage storage;
+    private RaftStorage storage;
     private long appliedIndex;
     private long joinAskedMillis;
     private long heardLeaderMillis;
--- a/daemon/src/main/java/org/bankturn/daemon/member/MemberState.java
+++ b/daemon/src/main/java/org/bankturn/daemon/member/MemberState.java
@@ -6,7 +6,7 @@
 import org.bankturn.agreement.Member;
 import org.bankturn.agreement.RaftNode;
 import org.bankturn.agreement.Ready;
-import org.bankturn.storage.AgreementStorage;
+import org.bankturn.storage.RaftStorage;
 
 /**
  * What a {@link MemberLoop} drives: the state that the group replicates, and the process around it.
@@ -59,5 +59,5 @@
      * @param agreement the state machine, not null
      * @param storage its storage, not null
      */
-    record Recovered(RaftNode agreement, AgreementStorage storage) {}
+    record Recovered(RaftNode agreement, RaftStorage storage) {}
 }
--- a/daemon/src/test/java/org/bankturn/daemon/wire/EarlierFormatTest.java
+++ b/daemon/src/test/java/org/bankturn/daemon/wire/EarlierFormatTest.java
@@ -18,7 +18,7 @@
 import org.bankturn.state.command.CommandResult;
 import org.bankturn.state.query.ShowReply;
 import org.bankturn.state.query.StatusReply;
-import org.bankturn.storage.AgreementStorage;
+import org.bankturn.storage.RaftStorage;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.Arguments;
 import org.junit.jupiter.params.provider.MethodSource;
@@ -34,7 +34,7 @@
                 Arguments.of("command", Command.class),
                 Arguments.of("command-result", CommandResult.class),
                 Arguments.of("frame", Frame.class),
-                Arguments.of("log-record", recordIn(AgreementStorage.class)),
+                Arguments.of("log-record", recordIn(RaftStorage.class)),
                 Arguments.of("node-reply", NodeReply.class),
                 Arguments.of("node-request", NodeRequest.class),
                 Arguments.of("publication", PublicationCommand.class),
