--- a/core/src/test/java/org/bankturn/storage/AgreementStorageTest.java
+++ b/core/src/test/java/org/bankturn/storage/RaftStorageTest.java
@@ -17,7 +17,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-class AgreementStorageTest {
+class RaftStorageTest {
     private static final Member SELF = new Member("a", 1, "127.0.0.1:1");
     private static final int CHANGES = 12;
 
