--- a/core/src/main/java/org/bankturn/storage/FolderDevice.java
+++ b/core/src/main/java/org/bankturn/storage/FolderDevice.java
@@ -19,7 +19,7 @@
  *
  * <p>FolderDevice is mutable and not thread-safe.
  */
-public final class FolderDevice implements StorageDevice, AutoCloseable {
+public final class FolderDevice implements StorageDirectory, AutoCloseable {
     private static final String TEMPORARY_SUFFIX = ".new";
 
     private final Path folder;
--- a/core/src/main/java/org/bankturn/storage/RaftStorage.java
+++ b/core/src/main/java/org/bankturn/storage/RaftStorage.java
@@ -27,7 +27,7 @@
     private static final String SNAPSHOT = "snapshot";
     private static final String LOG = "log";
 
-    private final StorageDevice device;
+    private final StorageDirectory device;
     private Vote vote = Vote.NONE;
     private Snapshot snapshot;
     private final List<LogEntry> entries = new ArrayList<>();
@@ -49,7 +49,7 @@
      * @return the incarnation, empty if the disk was never used or was lost
      * @throws IOException if it cannot be read
      */
-    public static Optional<Long> readIncarnation(StorageDevice device) throws IOException {
+    public static Optional<Long> readIncarnation(StorageDirectory device) throws IOException {
         return device.read(IDENTITY).map(bytes -> ByteBuffer.wrap(bytes).getLong());
     }
 
@@ -62,7 +62,7 @@
      * @return the storage, not null
      * @throws IOException if it cannot be written
      */
-    public static RaftStorage create(StorageDevice device, long incarnation, Snapshot snapshot) throws IOException {
+    public static RaftStorage create(StorageDirectory device, long incarnation, Snapshot snapshot) throws IOException {
         RaftStorage storage = new RaftStorage(device, snapshot);
         storage.writeSnapshot();
         storage.rewriteLog();
@@ -79,7 +79,7 @@
      * @throws CorruptLogException if a synced record was damaged
      * @throws IOException if the device cannot be read or written
      */
-    public static RaftStorage recover(StorageDevice device) throws IOException {
+    public static RaftStorage recover(StorageDirectory device) throws IOException {
         byte[] snapshotFile = device.read(SNAPSHOT).orElseThrow(() -> new CorruptLogException(SNAPSHOT, 0));
         List<byte[]> records = RecordFile.decode(SNAPSHOT, snapshotFile).payloads();
         if (records.size() != 1) {
@@ -98,7 +98,7 @@
         return storage;
     }
 
-    private RaftStorage(StorageDevice device, Snapshot snapshot) {
+    private RaftStorage(StorageDirectory device, Snapshot snapshot) {
         this.device = device;
         this.snapshot = snapshot;
         this.commitIndex = snapshot.index();
--- a/core/src/main/java/org/bankturn/storage/StorageDevice.java
+++ b/core/src/main/java/org/bankturn/storage/StorageDirectory.java
@@ -8,7 +8,7 @@
  *
  * <p>A program that embeds the agreement may bring its own; tests bring one that stops at any chosen operation.
  */
-public interface StorageDevice {
+public interface StorageDirectory {
     /**
      * Reads a file whole.
      *
--- a/core/src/test/java/org/bankturn/storage/CrashingDevice.java
+++ b/core/src/test/java/org/bankturn/storage/CrashingDevice.java
@@ -7,7 +7,7 @@
 import java.util.Optional;
 
 /** Files in memory that forget what was not synced, and that stop at a chosen operation. */
-public final class CrashingDevice implements StorageDevice {
+public final class CrashingDevice implements StorageDirectory {
     private final Map<String, byte[]> synced = new HashMap<>();
     private final Map<String, byte[]> written = new HashMap<>();
     private int tornBytes;
--- a/core/src/test/java/org/bankturn/storage/RaftStorageTest.java
+++ b/core/src/test/java/org/bankturn/storage/RaftStorageTest.java
@@ -25,7 +25,7 @@
     Path folder;
 
     /** Stores entries, with a snapshot half way; returns how many stores had returned. */
-    private static int fill(StorageDevice device) {
+    private static int fill(StorageDirectory device) {
         int stored = 0;
         try {
             RaftStorage storage = RaftStorage.create(device, 5, Snapshot.initial(List.of(SELF)));
