--- a/core/src/main/java/org/bankturn/storage/FolderDevice.java
+++ b/core/src/main/java/org/bankturn/storage/FileSystemDirectory.java
@@ -17,9 +17,9 @@
  * <p>New names are synced with the folder; a replacement is written beside the file, synced, renamed, and the folder
  * synced. See "All file systems are not created equal" (OSDI 2014) for why in this order.
  *
- * <p>FolderDevice is mutable and not thread-safe.
+ * <p>FileSystemDirectory is mutable and not thread-safe.
  */
-public final class FolderDevice implements StorageDirectory, AutoCloseable {
+public final class FileSystemDirectory implements StorageDirectory, AutoCloseable {
     private static final String TEMPORARY_SUFFIX = ".new";
 
     private final Path folder;
@@ -32,12 +32,12 @@
      * @return a device, not null
      * @throws IOException if the folder cannot be made
      */
-    public static FolderDevice open(Path folder) throws IOException {
+    public static FileSystemDirectory open(Path folder) throws IOException {
         Files.createDirectories(folder);
-        return new FolderDevice(folder);
+        return new FileSystemDirectory(folder);
     }
 
-    private FolderDevice(Path folder) {
+    private FileSystemDirectory(Path folder) {
         this.folder = folder;
     }
 
--- a/core/src/test/java/org/bankturn/storage/RaftStorageTest.java
+++ b/core/src/test/java/org/bankturn/storage/RaftStorageTest.java
@@ -85,7 +85,7 @@
 
     @Test
     void ten_thousand_changes_are_recovered_from_a_real_folder_without_loss() throws IOException {
-        FolderDevice device = FolderDevice.open(folder);
+        FileSystemDirectory device = FileSystemDirectory.open(folder);
         RaftStorage storage = RaftStorage.create(device, 5, Snapshot.initial(List.of(SELF)));
         List<LogEntry> many = LongStream.rangeClosed(1, 10_000)
                 .mapToObj(index -> new LogEntry(index, 1, new byte[64], null))
@@ -94,7 +94,7 @@
         storage.compact(new Snapshot(9_990, 1, List.of(SELF), new byte[1_000]));
         storage.store(ready(10_001));
         device.close();
-        FolderDevice reopened = FolderDevice.open(folder);
+        FileSystemDirectory reopened = FileSystemDirectory.open(folder);
         PersistentState recovered = RaftStorage.recover(reopened).stored();
         assertThat(recovered.snapshot().index()).isEqualTo(9_990);
         assertThat(recovered.entries()).hasSize(11);
--- a/daemon/src/main/java/org/bankturn/daemon/control/ControlRole.java
+++ b/daemon/src/main/java/org/bankturn/daemon/control/ControlRole.java
@@ -33,7 +33,7 @@
 import org.bankturn.result.ResultCode;
 import org.bankturn.state.command.Command;
 import org.bankturn.state.command.CommandResult;
-import org.bankturn.storage.FolderDevice;
+import org.bankturn.storage.FileSystemDirectory;
 import org.bankturn.storage.RaftStorage;
 import org.bankturn.time.Clock;
 
@@ -93,7 +93,7 @@
         this.clients = clients;
         this.reports = reports;
         this.holder = holder;
-        FolderDevice device = FolderDevice.open(settings.control().dataFolder());
+        FileSystemDirectory device = FileSystemDirectory.open(settings.control().dataFolder());
         Optional<Long> storedLife = RaftStorage.readIncarnation(device);
         UniformRandomProvider random = RandomSource.XO_RO_SHI_RO_128_PP.create();
         long life = storedLife.orElseGet(() -> formsGroup ? FIRST_LIFE : newLife(random));
--- a/daemon/src/main/java/org/bankturn/daemon/group/GroupNode.java
+++ b/daemon/src/main/java/org/bankturn/daemon/group/GroupNode.java
@@ -37,7 +37,7 @@
 import org.bankturn.service.DocumentFormat;
 import org.bankturn.service.ServingConfiguration;
 import org.bankturn.service.UnreadableDocumentException;
-import org.bankturn.storage.FolderDevice;
+import org.bankturn.storage.FileSystemDirectory;
 import org.bankturn.storage.RaftStorage;
 import org.bankturn.time.Clock;
 
@@ -161,7 +161,7 @@
     // ---- the member's folder and group
 
     private MemberState.Recovered openFolder() throws IOException {
-        FolderDevice device = FolderDevice.open(Path.of(settings.dataFolder()));
+        FileSystemDirectory device = FileSystemDirectory.open(Path.of(settings.dataFolder()));
         Optional<Long> incarnation = RaftStorage.readIncarnation(device);
         RaftStorage storage = incarnation.isPresent() ? RaftStorage.recover(device) : prepareFolder(device);
         long life = RaftStorage.readIncarnation(device).orElseThrow();
@@ -176,7 +176,7 @@
     }
 
     /** A box that may form the group starts from the seeds; any other starts outside and asks to join. */
-    private RaftStorage prepareFolder(FolderDevice device) throws IOException {
+    private RaftStorage prepareFolder(FileSystemDirectory device) throws IOException {
         boolean forms = settings.formsGroup() && settings.seeds().contains(settings.nodeAddress());
         if (forms) {
             List<Member> first = settings.seeds().stream()
