--- a/core/src/test/java/org/bankturn/agreement/FaultSimulation.java
+++ b/core/src/test/java/org/bankturn/agreement/FaultSimulation.java
@@ -17,7 +17,7 @@
 import org.bankturn.codec.MessagePackCodec;
 import org.bankturn.publication.PublicationCommand;
 import org.bankturn.publication.PublicationState;
-import org.bankturn.storage.CrashingDevice;
+import org.bankturn.storage.CrashingDirectory;
 import org.bankturn.storage.RaftStorage;
 import org.bankturn.time.ManualClock;
 
@@ -63,7 +63,7 @@
     private static final class Box {
         private final String name;
         private final ManualClock clock = ManualClock.startingAt(0);
-        private CrashingDevice device;
+        private CrashingDirectory device;
         private RaftNode agreement;
         private RaftStorage storage;
         private PublicationState state;
@@ -142,7 +142,7 @@
         boolean forms = life == 1 && SEEDS.contains(box.name);
         List<Member> first =
                 forms ? SEEDS.stream().map(FaultSimulation::firstMember).toList() : List.of();
-        box.device = new CrashingDevice(Integer.MAX_VALUE, 0);
+        box.device = new CrashingDirectory(Integer.MAX_VALUE, 0);
         try {
             RaftStorage.create(box.device, life, Snapshot.initial(first));
         } catch (IOException e) {
@@ -216,7 +216,7 @@
                 .filter(member -> member.box().equals(box.name))
                 .findFirst()
                 .orElse(firstMember(box.name));
-        box.device = new CrashingDevice(Integer.MAX_VALUE, 0);
+        box.device = new CrashingDirectory(Integer.MAX_VALUE, 0);
         try {
             RaftStorage.create(box.device, former.incarnation(), Snapshot.initial(leader.members()));
         } catch (IOException e) {
--- a/core/src/test/java/org/bankturn/storage/CrashingDevice.java
+++ b/core/src/test/java/org/bankturn/storage/CrashingDirectory.java
@@ -7,14 +7,14 @@
 import java.util.Optional;
 
 /** Files in memory that forget what was not synced, and that stop at a chosen operation. */
-public final class CrashingDevice implements StorageDirectory {
+public final class CrashingDirectory implements StorageDirectory {
     private final Map<String, byte[]> synced = new HashMap<>();
     private final Map<String, byte[]> written = new HashMap<>();
     private int tornBytes;
     private int operationsLeft;
 
     /** Stops at the operation after {@code operations} more; of unsynced bytes {@code tornBytes} survive. */
-    public CrashingDevice(int operations, int tornBytes) {
+    public CrashingDirectory(int operations, int tornBytes) {
         this.operationsLeft = operations;
         this.tornBytes = tornBytes;
     }
@@ -26,8 +26,8 @@
     }
 
     /** Returns what a restart finds. */
-    public CrashingDevice afterCrash() {
-        CrashingDevice found = new CrashingDevice(Integer.MAX_VALUE, 0);
+    public CrashingDirectory afterCrash() {
+        CrashingDirectory found = new CrashingDirectory(Integer.MAX_VALUE, 0);
         written.forEach((name, bytes) -> {
             byte[] lasting = synced.getOrDefault(name, new byte[0]);
             int length = Math.min(bytes.length, lasting.length + tornBytes);
--- a/core/src/test/java/org/bankturn/storage/RaftStorageTest.java
+++ b/core/src/test/java/org/bankturn/storage/RaftStorageTest.java
@@ -51,9 +51,9 @@
     void nothing_stored_is_missing_after_a_stop_at_any_operation() throws IOException {
         for (int operations = 0; operations < 3 * CHANGES; operations++) {
             for (int torn : new int[] {0, 1, 9, 1_000}) {
-                CrashingDevice device = new CrashingDevice(operations, torn);
+                CrashingDirectory device = new CrashingDirectory(operations, torn);
                 int stored = fill(device);
-                CrashingDevice found = device.afterCrash();
+                CrashingDirectory found = device.afterCrash();
                 if (RaftStorage.readIncarnation(found).isEmpty()) {
                     assertThat(stored).isZero();
                     continue;
@@ -69,11 +69,11 @@
 
     @Test
     void damage_in_the_middle_is_refused_and_never_read_as_a_torn_tail() {
-        CrashingDevice whole = new CrashingDevice(Integer.MAX_VALUE, 0);
+        CrashingDirectory whole = new CrashingDirectory(Integer.MAX_VALUE, 0);
         fill(whole);
         int lastRecord = 60;
         for (int position = 0; position < whole.sizeOf("log") - 2 * lastRecord; position++) {
-            CrashingDevice damaged = new CrashingDevice(Integer.MAX_VALUE, 0);
+            CrashingDirectory damaged = new CrashingDirectory(Integer.MAX_VALUE, 0);
             fill(damaged);
             damaged.damage("log", position);
             assertThatThrownBy(() -> RaftStorage.recover(damaged))
@@ -108,7 +108,7 @@
 
     @Test
     void a_log_of_a_release_that_kept_no_commit_index_is_recovered_whole() throws IOException {
-        CrashingDevice device = new CrashingDevice(Integer.MAX_VALUE, 0);
+        CrashingDirectory device = new CrashingDirectory(Integer.MAX_VALUE, 0);
         fill(device);
         FormerLogRecord former =
                 new FormerLogRecord(new Vote(1, SELF), List.of(new LogEntry(CHANGES / 2 + 1, 1, new byte[] {1}, null)));
@@ -120,7 +120,7 @@
 
     @Test
     void a_newer_entry_cuts_off_what_stood_from_its_index_on() throws IOException {
-        CrashingDevice device = new CrashingDevice(Integer.MAX_VALUE, 0);
+        CrashingDirectory device = new CrashingDirectory(Integer.MAX_VALUE, 0);
         fill(device);
         RaftStorage storage = RaftStorage.recover(device);
         storage.store(ready(CHANGES - 1));
