--- a/core/src/test/java/org/bankturn/storage/CrashingDirectory.java
+++ b/core/src/test/java/org/bankturn/storage/CrashingDirectory.java
@@ -39,7 +39,7 @@
         return found;
     }
 
-    void damage(String name, int position) {
+    void corrupt(String name, int position) {
         written.get(name)[position] ^= 0x40;
     }
 
--- a/core/src/test/java/org/bankturn/storage/RaftStorageTest.java
+++ b/core/src/test/java/org/bankturn/storage/RaftStorageTest.java
@@ -75,7 +75,7 @@
         for (int position = 0; position < whole.sizeOf("log") - 2 * lastRecord; position++) {
             CrashingDirectory damaged = new CrashingDirectory(Integer.MAX_VALUE, 0);
             fill(damaged);
-            damaged.damage("log", position);
+            damaged.corrupt("log", position);
             assertThatThrownBy(() -> RaftStorage.recover(damaged))
                     .as("byte %d", position)
                     .isInstanceOf(CorruptLogException.class)
