--- a/core/src/main/java/org/bankturn/state/ReplicatedState.java
+++ b/core/src/main/java/org/bankturn/state/ReplicatedState.java
@@ -125,7 +125,7 @@
      */
     public boolean wouldChange(Command.GrantOrigin grant) {
         OriginBudget budget = originBudgets.get(grant.manifest());
-        return budget == null || grant.tellsOfEnds() || budget.hasGrantFor(grant.request());
+        return budget == null || grant.reportsCompletedFetches() || budget.hasGrantFor(grant.request());
     }
 
     /** Returns the whole state, encoded, not null. */
--- a/core/src/main/java/org/bankturn/state/command/Command.java
+++ b/core/src/main/java/org/bankturn/state/command/Command.java
@@ -77,7 +77,7 @@
         }
 
         /** Returns true if a draw has ended since the box last asked. */
-        public boolean tellsOfEnds() {
+        public boolean reportsCompletedFetches() {
             return kept.length + failed.length > 0;
         }
     }
