--- a/core/src/main/java/org/bankturn/state/command/CommandResult.java
+++ b/core/src/main/java/org/bankturn/state/command/CommandResult.java
@@ -16,7 +16,7 @@
     @JsonSubTypes.Type(value = CommandResult.LeaseAnswer.class, name = "leaseAnswer"),
     @JsonSubTypes.Type(value = CommandResult.ClaimAnswer.class, name = "claimAnswer"),
     @JsonSubTypes.Type(value = CommandResult.OriginGranted.class, name = "originGranted"),
-    @JsonSubTypes.Type(value = CommandResult.NotDone.class, name = "notDone")
+    @JsonSubTypes.Type(value = CommandResult.NotExecuted.class, name = "notDone")
 })
 public sealed interface CommandResult {
     /** The file is in force from this index on; the same answer whenever it is sent again. */
@@ -44,5 +44,5 @@
      * @param code why: not the leader, or no majority answered, not null
      * @param leaderAddress where the leader is reached, null if not known
      */
-    record NotDone(ResultCode code, String leaderAddress) implements CommandResult {}
+    record NotExecuted(ResultCode code, String leaderAddress) implements CommandResult {}
 }
--- a/daemon/src/main/java/org/bankturn/daemon/OperatorServlet.java
+++ b/daemon/src/main/java/org/bankturn/daemon/OperatorServlet.java
@@ -82,7 +82,7 @@
             if (reply instanceof NodeReply.History history) {
                 return json(OK, history.history(), Object.class);
             }
-            CommandResult noAnswer = new CommandResult.NotDone(ResultCode.NO_QUORUM, null);
+            CommandResult noAnswer = new CommandResult.NotExecuted(ResultCode.NO_QUORUM, null);
             return json(ResultCode.NO_QUORUM.httpStatus(), noAnswer, CommandResult.class);
         });
     }
@@ -91,7 +91,9 @@
         if (result instanceof CommandResult.FileRefused refused) {
             return refused.code().httpStatus();
         }
-        return result instanceof CommandResult.NotDone notDone ? notDone.code().httpStatus() : OK;
+        return result instanceof CommandResult.NotExecuted notDone
+                ? notDone.code().httpStatus()
+                : OK;
     }
 
     private static HttpResponse json(int status, Object value, Class<?> type) {
--- a/daemon/src/main/java/org/bankturn/daemon/control/ControlClient.java
+++ b/daemon/src/main/java/org/bankturn/daemon/control/ControlClient.java
@@ -55,13 +55,13 @@
      *
      * @param command the command, not null
      * @param timeoutMillis how long to go on trying
-     * @return the result; {@link CommandResult.NotDone} if no leader answered in time
+     * @return the result; {@link CommandResult.NotExecuted} if no leader answered in time
      */
     public CompletableFuture<CommandResult> submit(Command command, long timeoutMillis) {
         return ask(new NodeRequest.Submit(command), timeoutMillis)
                 .thenApply(reply -> reply instanceof NodeReply.Submitted submitted
                         ? submitted.result()
-                        : new CommandResult.NotDone(ResultCode.NO_QUORUM, null));
+                        : new CommandResult.NotExecuted(ResultCode.NO_QUORUM, null));
     }
 
     /**
@@ -96,15 +96,15 @@
     }
 
     private static boolean isFinal(NodeReply reply) {
-        boolean notDone =
-                reply instanceof NodeReply.Submitted submitted && submitted.result() instanceof CommandResult.NotDone;
+        boolean notDone = reply instanceof NodeReply.Submitted submitted
+                && submitted.result() instanceof CommandResult.NotExecuted;
         return !notDone && !(reply instanceof NodeReply.Failed);
     }
 
     /** Turns to the leader that a reply names, or else to the next box; returns true if one was named. */
     private boolean followHint(Address asked, NodeReply reply) {
         if (reply instanceof NodeReply.Submitted submitted
-                && submitted.result() instanceof CommandResult.NotDone notDone
+                && submitted.result() instanceof CommandResult.NotExecuted notDone
                 && notDone.leaderAddress() != null) {
             likelyLeader.set(Address.parse(notDone.leaderAddress()));
             return true;
--- a/daemon/src/main/java/org/bankturn/daemon/control/ControlMember.java
+++ b/daemon/src/main/java/org/bankturn/daemon/control/ControlMember.java
@@ -131,7 +131,7 @@
      * Submits a command; times in it are relative to now.
      *
      * @param command the command, not null
-     * @return the result once a majority has synced it; {@link CommandResult.NotDone} if that is not known
+     * @return the result once a majority has synced it; {@link CommandResult.NotExecuted} if that is not known
      */
     public CompletableFuture<CommandResult> submit(Command command) {
         CompletableFuture<CommandResult> result = new CompletableFuture<>();
@@ -212,7 +212,7 @@
                 .filter(leader -> !leader.equals(agreement.self()))
                 .map(Member::address)
                 .orElse(null);
-        return new CommandResult.NotDone(code, address);
+        return new CommandResult.NotExecuted(code, address);
     }
 
     /** The replicated state, as the loop drives it. */
--- a/daemon/src/main/java/org/bankturn/daemon/control/ControlRole.java
+++ b/daemon/src/main/java/org/bankturn/daemon/control/ControlRole.java
@@ -168,7 +168,7 @@
         if (!view.established()) {
             String leader =
                     view.leader() == null ? null : addressOf(view.leader()).toString();
-            CommandResult elsewhere = new CommandResult.NotDone(ResultCode.NOT_LEADER, leader);
+            CommandResult elsewhere = new CommandResult.NotExecuted(ResultCode.NOT_LEADER, leader);
             return Promise.of(new NodeReply.Submitted(elsewhere));
         }
         return request instanceof NodeRequest.GetStatus
--- a/daemon/src/main/java/org/bankturn/daemon/entry/KeyedRequests.java
+++ b/daemon/src/main/java/org/bankturn/daemon/entry/KeyedRequests.java
@@ -35,7 +35,7 @@
         return UUID.randomUUID().toString();
     }
 
-    /** Asks for the claim; completes with NotDone if no majority answered within the request's time. */
+    /** Asks for the claim; completes with NotExecuted if no majority answered within the request's time. */
     Promise<CommandResult> claim(CallerRequest request, String attempt) {
         long remaining = Math.max(1, request.dueMillis() - clock.millis());
         Command command = new Command.ClaimRequest(
