--- a/core/src/main/java/org/bankturn/state/ReplicatedState.java
+++ b/core/src/main/java/org/bankturn/state/ReplicatedState.java
@@ -240,7 +240,7 @@
     private CommandResult acquireLease(long index, Command.AcquireLease acquire) {
         Lease lease = leases.acquire(
                 acquire.name(), acquire.holder(), index, acquire.durationMillis(), acquire.expiredFence());
-        return new CommandResult.LeaseAnswer(lease, lease.fence() == index, 0);
+        return new CommandResult.LeaseState(lease, lease.fence() == index, 0);
     }
 
     private CommandResult claimRequest(Command.ClaimRequest claim) {
--- a/core/src/main/java/org/bankturn/state/command/CommandResult.java
+++ b/core/src/main/java/org/bankturn/state/command/CommandResult.java
@@ -13,7 +13,7 @@
     @JsonSubTypes.Type(value = CommandResult.FileAccepted.class, name = "fileAccepted"),
     @JsonSubTypes.Type(value = CommandResult.FileRefused.class, name = "fileRefused"),
     @JsonSubTypes.Type(value = CommandResult.Done.class, name = "done"),
-    @JsonSubTypes.Type(value = CommandResult.LeaseAnswer.class, name = "leaseAnswer"),
+    @JsonSubTypes.Type(value = CommandResult.LeaseState.class, name = "leaseAnswer"),
     @JsonSubTypes.Type(value = CommandResult.ClaimAnswer.class, name = "claimAnswer"),
     @JsonSubTypes.Type(value = CommandResult.OriginGranted.class, name = "originGranted"),
     @JsonSubTypes.Type(value = CommandResult.NotExecuted.class, name = "notDone")
@@ -30,7 +30,7 @@
     record Done() implements CommandResult {}
 
     /** The lease now in force; {@code granted} tells whether it is the asker's. */
-    record LeaseAnswer(Lease lease, boolean granted, long retryAfterMillis) implements CommandResult {}
+    record LeaseState(Lease lease, boolean granted, long retryAfterMillis) implements CommandResult {}
 
     /** What came of a claim. */
     record ClaimAnswer(ClaimResult result) implements CommandResult {}
--- a/core/src/test/java/org/bankturn/state/ReplicatedStateTest.java
+++ b/core/src/test/java/org/bankturn/state/ReplicatedStateTest.java
@@ -134,7 +134,7 @@
 
     private Lease lease(long index, String holder, long expiredFence) {
         Command command = new Command.AcquireLease("box", holder, 1_000, expiredFence);
-        return ((CommandResult.LeaseAnswer) state.apply(index, command)).lease();
+        return ((CommandResult.LeaseState) state.apply(index, command)).lease();
     }
 
     @Test
--- a/daemon/src/main/java/org/bankturn/daemon/control/ControlMember.java
+++ b/daemon/src/main/java/org/bankturn/daemon/control/ControlMember.java
@@ -189,7 +189,7 @@
                         .filter(lease -> {
                             long remaining = leaseExpiry.remainingMillis(lease, clock.millis());
                             return remaining > 0
-                                    && result.complete(new CommandResult.LeaseAnswer(lease, false, remaining));
+                                    && result.complete(new CommandResult.LeaseState(lease, false, remaining));
                         })
                         .isPresent();
     }
--- a/daemon/src/main/java/org/bankturn/daemon/target/EngineOrders.java
+++ b/daemon/src/main/java/org/bankturn/daemon/target/EngineOrders.java
@@ -108,7 +108,7 @@
         Command command = new Command.AcquireLease(context.box(), holder, leaseMillis, 0);
         return Promise.<CommandResult>ofFuture(context.control().submit(command, SUBMIT_TIMEOUT_MILLIS))
                 .then(result -> {
-                    if (!(result instanceof CommandResult.LeaseAnswer answer)) {
+                    if (!(result instanceof CommandResult.LeaseState answer)) {
                         return Promise.ofException(new IOException("no lease: " + result));
                     }
                     if (answer.granted()) {
