--- a/core/src/main/java/org/bankturn/state/ReplicatedState.java
+++ b/core/src/main/java/org/bankturn/state/ReplicatedState.java
@@ -253,7 +253,7 @@
                 claim.deadlineMillis(),
                 claim.expiresMillis(),
                 null);
-        return new CommandResult.ClaimAnswer(ledger.claim(wanted, claim.nowMillis()));
+        return new CommandResult.ClaimDecision(ledger.claim(wanted, claim.nowMillis()));
     }
 
     private CommandResult grantOrigin(Command.GrantOrigin grant) {
--- a/core/src/main/java/org/bankturn/state/command/CommandResult.java
+++ b/core/src/main/java/org/bankturn/state/command/CommandResult.java
@@ -14,7 +14,7 @@
     @JsonSubTypes.Type(value = CommandResult.FileRefused.class, name = "fileRefused"),
     @JsonSubTypes.Type(value = CommandResult.Done.class, name = "done"),
     @JsonSubTypes.Type(value = CommandResult.LeaseState.class, name = "leaseAnswer"),
-    @JsonSubTypes.Type(value = CommandResult.ClaimAnswer.class, name = "claimAnswer"),
+    @JsonSubTypes.Type(value = CommandResult.ClaimDecision.class, name = "claimAnswer"),
     @JsonSubTypes.Type(value = CommandResult.OriginGranted.class, name = "originGranted"),
     @JsonSubTypes.Type(value = CommandResult.NotExecuted.class, name = "notDone")
 })
@@ -33,7 +33,7 @@
     record LeaseState(Lease lease, boolean granted, long retryAfterMillis) implements CommandResult {}
 
     /** What came of a claim. */
-    record ClaimAnswer(ClaimResult result) implements CommandResult {}
+    record ClaimDecision(ClaimResult result) implements CommandResult {}
 
     /** The chunks that may be drawn from the origin, once each. */
     record OriginGranted(List<Integer> chunks) implements CommandResult {}
--- a/core/src/test/java/org/bankturn/state/ReplicatedStateTest.java
+++ b/core/src/test/java/org/bankturn/state/ReplicatedStateTest.java
@@ -32,7 +32,7 @@
     private ClaimResult claim(String attempt, String fingerprint, long now) {
         Command.ClaimRequest request =
                 new Command.ClaimRequest("account", "key", fingerprint, attempt, now, now + 100, now + 10_000);
-        return ((CommandResult.ClaimAnswer) state.apply(1, request)).result();
+        return ((CommandResult.ClaimDecision) state.apply(1, request)).result();
     }
 
     @Test
