--- a/core/src/main/java/org/bankturn/state/ReplicatedState.java
+++ b/core/src/main/java/org/bankturn/state/ReplicatedState.java
@@ -166,7 +166,7 @@
             leases.release(release.name(), release.fence());
         } else if (command instanceof Command.ClaimRequest claim) {
             return claimRequest(claim);
-        } else if (command instanceof Command.RecordAnswer record) {
+        } else if (command instanceof Command.RecordResponse record) {
             ledger.record(record.account(), record.key(), record.attempt(), record.answer());
         } else if (command instanceof Command.ReleaseClaim release) {
             ledger.release(release.account(), release.key(), release.attempt());
--- a/core/src/main/java/org/bankturn/state/command/Command.java
+++ b/core/src/main/java/org/bankturn/state/command/Command.java
@@ -20,7 +20,7 @@
     @JsonSubTypes.Type(value = Command.AcquireLease.class, name = "acquireLease"),
     @JsonSubTypes.Type(value = Command.ReleaseLease.class, name = "releaseLease"),
     @JsonSubTypes.Type(value = Command.ClaimRequest.class, name = "claimRequest"),
-    @JsonSubTypes.Type(value = Command.RecordAnswer.class, name = "recordAnswer"),
+    @JsonSubTypes.Type(value = Command.RecordResponse.class, name = "recordAnswer"),
     @JsonSubTypes.Type(value = Command.ReleaseClaim.class, name = "releaseClaim"),
     @JsonSubTypes.Type(value = Command.GrantOrigin.class, name = "grantOrigin")
 })
@@ -49,7 +49,7 @@
             implements Command {}
 
     /** Records what a claimed request was answered with; a null answer says that the outcome is not known. */
-    record RecordAnswer(String account, String key, String attempt, RecordedAnswer answer) implements Command {}
+    record RecordResponse(String account, String key, String attempt, RecordedAnswer answer) implements Command {}
 
     /** Takes back a claim whose request was proven not to have run. */
     record ReleaseClaim(String account, String key, String attempt) implements Command {}
--- a/core/src/test/java/org/bankturn/state/ReplicatedStateTest.java
+++ b/core/src/test/java/org/bankturn/state/ReplicatedStateTest.java
@@ -92,7 +92,7 @@
     void a_retry_meets_the_running_claim_then_its_answer() {
         assertThat(claim("first", "f", 0)).isInstanceOf(ClaimResult.Granted.class);
         assertThat(claim("second", "f", 10)).isInstanceOf(ClaimResult.Running.class);
-        state.apply(3, new Command.RecordAnswer("account", "key", "first", BOOKED));
+        state.apply(3, new Command.RecordResponse("account", "key", "first", BOOKED));
         assertThat(((ClaimResult.Answered) claim("third", "f", 20)).answer().body())
                 .containsExactly(1);
     }
@@ -117,7 +117,7 @@
     @Test
     void a_key_is_forgotten_after_its_lifetime() {
         claim("first", "f", 0);
-        state.apply(3, new Command.RecordAnswer("account", "key", "first", BOOKED));
+        state.apply(3, new Command.RecordResponse("account", "key", "first", BOOKED));
         assertThat(claim("later", "f", 10_002)).isInstanceOf(ClaimResult.Granted.class);
     }
 
--- a/daemon/src/main/java/org/bankturn/daemon/entry/KeyedRequests.java
+++ b/daemon/src/main/java/org/bankturn/daemon/entry/KeyedRequests.java
@@ -51,7 +51,8 @@
 
     /** Records the answer; a null answer says that the outcome is not known. Completes whether or not that worked. */
     Promise<Void> record(CallerRequest request, String attempt, RecordedAnswer answer) {
-        Command command = new Command.RecordAnswer(request.account().name(), request.idempotencyKey(), attempt, answer);
+        Command command =
+                new Command.RecordResponse(request.account().name(), request.idempotencyKey(), attempt, answer);
         return Promise.ofFuture(control.submit(command, RECORD_MILLIS)).toVoid();
     }
 
--- a/standins/src/main/java/org/bankturn/bench/PartCosts.java
+++ b/standins/src/main/java/org/bankturn/bench/PartCosts.java
@@ -102,7 +102,7 @@
         for (int number = 0; number < claims; number++) {
             String key = "key-" + number;
             state.apply(number, new Command.ClaimRequest("account", key, MANIFEST, key, 0, 1_000, Long.MAX_VALUE));
-            state.apply(number, new Command.RecordAnswer("account", key, key, answer));
+            state.apply(number, new Command.RecordResponse("account", key, key, answer));
         }
     }
 
