--- a/core/src/main/java/org/bankturn/lease/HeldLease.java
+++ b/core/src/main/java/org/bankturn/lease/HeldLease.java
@@ -6,9 +6,9 @@
  * <p>HeldLease is thread-safe and immutable.
  *
  * @param lease the lease, not null
- * @param askedMillis the holder's time before it sent the request
+ * @param requestedMillis the holder's time before it sent the request
  */
-public record HeldLease(Lease lease, long askedMillis) {
+public record HeldLease(Lease lease, long requestedMillis) {
     private static final long TRANSIT_DIVISOR = 4;
 
     /**
@@ -31,6 +31,6 @@
     public boolean isValidAt(long nowMillis) {
         long duration = lease.durationMillis();
         long usable = duration - duration / LeaseExpiry.DRIFT_DIVISOR - transitMillis(duration);
-        return nowMillis - askedMillis < usable;
+        return nowMillis - requestedMillis < usable;
     }
 }
