--- a/core/src/main/java/org/bankturn/lease/HeldLease.java
+++ b/core/src/main/java/org/bankturn/lease/HeldLease.java
@@ -17,7 +17,7 @@
      * @param durationMillis the duration of leases
      * @return milliseconds, a quarter of the duration
      */
-    public static long transitMillis(long durationMillis) {
+    public static long maxDeliveryMillis(long durationMillis) {
         return durationMillis / TRANSIT_DIVISOR;
     }
 
@@ -30,7 +30,7 @@
      */
     public boolean isValidAt(long nowMillis) {
         long duration = lease.durationMillis();
-        long usable = duration - duration / LeaseExpiry.DRIFT_DIVISOR - transitMillis(duration);
+        long usable = duration - duration / LeaseExpiry.DRIFT_DIVISOR - maxDeliveryMillis(duration);
         return nowMillis - requestedMillis < usable;
     }
 }
--- a/core/src/test/java/org/bankturn/state/ReplicatedStateTest.java
+++ b/core/src/test/java/org/bankturn/state/ReplicatedStateTest.java
@@ -146,7 +146,7 @@
         assertThat(expiry.remainingMillis(lease, 1_070)).isZero();
         HeldLease held = new HeldLease(lease, 50);
         assertThat(held.isValidAt(700)).isTrue();
-        assertThat(held.isValidAt(50 + 1_000 - 20 - HeldLease.transitMillis(1_000)))
+        assertThat(held.isValidAt(50 + 1_000 - 20 - HeldLease.maxDeliveryMillis(1_000)))
                 .isFalse();
         expiry.restart();
         assertThat(expiry.remainingMillis(lease, 1_070)).isEqualTo(1_020);
--- a/daemon/src/main/java/org/bankturn/daemon/target/EngineOrders.java
+++ b/daemon/src/main/java/org/bankturn/daemon/target/EngineOrders.java
@@ -92,7 +92,7 @@
                     if (failure == null || failure instanceof OrderAnsweredException) {
                         release(held);
                     } else {
-                        settledMillis = context.clock().millis() + HeldLease.transitMillis(leaseMillis);
+                        settledMillis = context.clock().millis() + HeldLease.maxDeliveryMillis(leaseMillis);
                     }
                 }));
     }
--- a/daemon/src/main/java/org/bankturn/daemon/target/TargetRole.java
+++ b/daemon/src/main/java/org/bankturn/daemon/target/TargetRole.java
@@ -102,7 +102,9 @@
 
     /** Before an engine that does not check fences, an order of an earlier start of this process must be over first. */
     private static long firstOrderMillis(TargetSettings target, long startMillis) {
-        return target.backendChecksFence() ? startMillis : startMillis + HeldLease.transitMillis(target.leaseMillis());
+        return target.backendChecksFence()
+                ? startMillis
+                : startMillis + HeldLease.maxDeliveryMillis(target.leaseMillis());
     }
 
     /** Begins to keep versions as the configuration wants them. */
