--- a/core/src/main/java/org/bankturn/lease/LeaseExpiry.java
+++ b/core/src/main/java/org/bankturn/lease/LeaseExpiry.java
@@ -19,7 +19,7 @@
     private final Map<Long, Long> firstSeenMillis = new HashMap<>();
 
     /** Forgets all counts, as on becoming leader. */
-    public void restart() {
+    public void reset() {
         firstSeenMillis.clear();
     }
 
--- a/core/src/test/java/org/bankturn/state/ReplicatedStateTest.java
+++ b/core/src/test/java/org/bankturn/state/ReplicatedStateTest.java
@@ -148,7 +148,7 @@
         assertThat(held.isValidAt(700)).isTrue();
         assertThat(held.isValidAt(50 + 1_000 - 20 - HeldLease.maxDeliveryMillis(1_000)))
                 .isFalse();
-        expiry.restart();
+        expiry.reset();
         assertThat(expiry.remainingMillis(lease, 1_070)).isEqualTo(1_020);
     }
 }
--- a/daemon/src/main/java/org/bankturn/daemon/control/ControlMember.java
+++ b/daemon/src/main/java/org/bankturn/daemon/control/ControlMember.java
@@ -266,7 +266,7 @@
 
         @Override
         public void leadershipChanged(RaftNode at) {
-            leaseExpiry.restart();
+            leaseExpiry.reset();
             String event = at.role() == Role.LEADER ? " leads" : " follows";
             LOG.log(Level.INFO, at.self().box() + event + ", term " + at.term());
         }
