--- a/core/src/main/java/org/bankturn/lease/OrderGuard.java
+++ b/core/src/main/java/org/bankturn/lease/FenceGuard.java
@@ -5,13 +5,13 @@
  *
  * <p>It stands before an engine, or in a target process before an engine that does not check for itself.
  *
- * <p>OrderGuard is thread-safe: its methods exclude each other.
+ * <p>FenceGuard is thread-safe: its methods exclude each other.
  */
-public final class OrderGuard {
+public final class FenceGuard {
     private long highestFence;
 
     /** Creates a guard that has seen no order. */
-    public OrderGuard() {}
+    public FenceGuard() {}
 
     /**
      * Decides on an order.
--- a/daemon/src/main/java/org/bankturn/daemon/target/EngineOrders.java
+++ b/daemon/src/main/java/org/bankturn/daemon/target/EngineOrders.java
@@ -15,8 +15,8 @@
 import java.util.List;
 import java.util.Map;
 import org.bankturn.daemon.BackendClient;
+import org.bankturn.lease.FenceGuard;
 import org.bankturn.lease.HeldLease;
-import org.bankturn.lease.OrderGuard;
 import org.bankturn.result.ResultCode;
 import org.bankturn.state.command.Command;
 import org.bankturn.state.command.CommandResult;
@@ -45,7 +45,7 @@
     private final String backend;
     private final String holder;
     private final long leaseMillis;
-    private final OrderGuard guard = new OrderGuard();
+    private final FenceGuard guard = new FenceGuard();
     private long settledMillis;
 
     EngineOrders(
--- a/standins/src/main/java/org/bankturn/standin/EngineStandin.java
+++ b/standins/src/main/java/org/bankturn/standin/EngineStandin.java
@@ -21,7 +21,7 @@
 import java.util.concurrent.ForkJoinPool;
 import java.util.concurrent.atomic.AtomicInteger;
 import org.bankturn.distribution.ChunkFile;
-import org.bankturn.lease.OrderGuard;
+import org.bankturn.lease.FenceGuard;
 
 /**
  * A model engine: loads weights on fenced orders, and answers chat requests token by token at a set pace.
@@ -37,7 +37,7 @@
     private final Settings settings;
     private final Executor loader = ForkJoinPool.commonPool();
     private final Map<String, String> weightsByManifest = new ConcurrentHashMap<>();
-    private final OrderGuard guard = new OrderGuard();
+    private final FenceGuard guard = new FenceGuard();
     private final AtomicInteger answered = new AtomicInteger();
     private final AtomicInteger running = new AtomicInteger();
     private StandinServer server;
