--- a/core/src/main/java/org/bankturn/ledger/Claim.java
+++ b/core/src/main/java/org/bankturn/ledger/Claim.java
@@ -20,9 +20,9 @@
         ClaimState state,
         long deadlineMillis,
         long expiresMillis,
-        RecordedAnswer answer) {
+        RecordedResponse answer) {
     /** Returns this claim with its answer, not null. */
-    Claim withAnswer(RecordedAnswer recorded) {
+    Claim withAnswer(RecordedResponse recorded) {
         return new Claim(
                 account, key, fingerprint, attempt, ClaimState.ANSWERED, deadlineMillis, expiresMillis, recorded);
     }
--- a/core/src/main/java/org/bankturn/ledger/ClaimResult.java
+++ b/core/src/main/java/org/bankturn/ledger/ClaimResult.java
@@ -20,7 +20,7 @@
     record Running(long remainingMillis) implements ClaimResult {}
 
     /** It ran; here is its answer. */
-    record Answered(RecordedAnswer answer) implements ClaimResult {}
+    record Answered(RecordedResponse answer) implements ClaimResult {}
 
     /** It may have run and must not be run again. */
     record Unknown() implements ClaimResult {}
--- a/core/src/main/java/org/bankturn/ledger/RequestLedger.java
+++ b/core/src/main/java/org/bankturn/ledger/RequestLedger.java
@@ -82,7 +82,7 @@
      * @param attempt the attempt, not null
      * @param answer the answer, null if the outcome is not known
      */
-    public void record(String account, String key, String attempt, RecordedAnswer answer) {
+    public void record(String account, String key, String attempt, RecordedResponse answer) {
         claims.computeIfPresent(identity(account, key), (identity, held) -> {
             if (!held.attempt().equals(attempt) || held.state() == ClaimState.ANSWERED) {
                 return held;
--- a/core/src/main/java/org/bankturn/state/command/Command.java
+++ b/core/src/main/java/org/bankturn/state/command/Command.java
@@ -6,7 +6,7 @@
 import java.util.Set;
 import org.bankturn.distribution.BurstPolicy;
 import org.bankturn.distribution.OriginBudget;
-import org.bankturn.ledger.RecordedAnswer;
+import org.bankturn.ledger.RecordedResponse;
 
 /**
  * Something to be put into the agreement log; every member applies it in the same order with the same result.
@@ -49,7 +49,7 @@
             implements Command {}
 
     /** Records what a claimed request was answered with; a null answer says that the outcome is not known. */
-    record RecordResponse(String account, String key, String attempt, RecordedAnswer answer) implements Command {}
+    record RecordResponse(String account, String key, String attempt, RecordedResponse answer) implements Command {}
 
     /** Takes back a claim whose request was proven not to have run. */
     record ReleaseClaim(String account, String key, String attempt) implements Command {}
--- a/core/src/test/java/org/bankturn/state/ReplicatedStateTest.java
+++ b/core/src/test/java/org/bankturn/state/ReplicatedStateTest.java
@@ -10,14 +10,14 @@
 import org.bankturn.lease.Lease;
 import org.bankturn.lease.LeaseExpiry;
 import org.bankturn.ledger.ClaimResult;
-import org.bankturn.ledger.RecordedAnswer;
+import org.bankturn.ledger.RecordedResponse;
 import org.bankturn.result.ResultCode;
 import org.bankturn.state.command.Command;
 import org.bankturn.state.command.CommandResult;
 import org.junit.jupiter.api.Test;
 
 class ReplicatedStateTest {
-    private static final RecordedAnswer BOOKED = new RecordedAnswer(200, "text/plain", new byte[] {1});
+    private static final RecordedResponse BOOKED = new RecordedResponse(200, "text/plain", new byte[] {1});
 
     private final ReplicatedState state = ReplicatedState.empty();
 
--- a/daemon/src/main/java/org/bankturn/daemon/entry/EntryServlet.java
+++ b/daemon/src/main/java/org/bankturn/daemon/entry/EntryServlet.java
@@ -17,7 +17,7 @@
 import org.bankturn.daemon.BackendClient;
 import org.bankturn.daemon.BankturnHeaders;
 import org.bankturn.ledger.ClaimResult;
-import org.bankturn.ledger.RecordedAnswer;
+import org.bankturn.ledger.RecordedResponse;
 import org.bankturn.result.ResultCode;
 import org.bankturn.routing.AttemptOutcome;
 import org.bankturn.state.command.CommandResult;
@@ -226,7 +226,7 @@
                 .whenComplete(begun.load()::ended)
                 .then(
                         body -> {
-                            RecordedAnswer answer = new RecordedAnswer(
+                            RecordedResponse answer = new RecordedResponse(
                                     response.getCode(), response.getHeader(HttpHeaders.CONTENT_TYPE), body.getArray());
                             return keyed.record(passage.request, attempt, ifKept(answer))
                                     .map(nothing -> {
@@ -239,11 +239,11 @@
     }
 
     /** An answer too large to keep is recorded as not known: a retry must never get a short one. */
-    private static RecordedAnswer ifKept(RecordedAnswer answer) {
-        return answer.body().length <= RecordedAnswer.MAXIMUM_BODY_BYTES ? answer : null;
+    private static RecordedResponse ifKept(RecordedResponse answer) {
+        return answer.body().length <= RecordedResponse.MAXIMUM_BODY_BYTES ? answer : null;
     }
 
-    private static HttpResponse answerFrom(RecordedAnswer answer) {
+    private static HttpResponse answerFrom(RecordedResponse answer) {
         HttpResponse.Builder builder = HttpResponse.ofCode(answer.status());
         if (answer.contentType() != null) {
             builder.withHeader(HttpHeaders.CONTENT_TYPE, answer.contentType());
--- a/daemon/src/main/java/org/bankturn/daemon/entry/KeyedRequests.java
+++ b/daemon/src/main/java/org/bankturn/daemon/entry/KeyedRequests.java
@@ -5,7 +5,7 @@
 import java.util.UUID;
 import org.bankturn.configuration.Digest;
 import org.bankturn.daemon.control.ControlClient;
-import org.bankturn.ledger.RecordedAnswer;
+import org.bankturn.ledger.RecordedResponse;
 import org.bankturn.state.command.Command;
 import org.bankturn.state.command.CommandResult;
 import org.bankturn.time.Clock;
@@ -50,7 +50,7 @@
     }
 
     /** Records the answer; a null answer says that the outcome is not known. Completes whether or not that worked. */
-    Promise<Void> record(CallerRequest request, String attempt, RecordedAnswer answer) {
+    Promise<Void> record(CallerRequest request, String attempt, RecordedResponse answer) {
         Command command =
                 new Command.RecordResponse(request.account().name(), request.idempotencyKey(), attempt, answer);
         return Promise.ofFuture(control.submit(command, RECORD_MILLIS)).toVoid();
--- a/standins/src/main/java/org/bankturn/bench/PartCosts.java
+++ b/standins/src/main/java/org/bankturn/bench/PartCosts.java
@@ -13,7 +13,7 @@
 import org.bankturn.configuration.FileRecord;
 import org.bankturn.crash.RequestFingerprint;
 import org.bankturn.distribution.ChunkPlanner;
-import org.bankturn.ledger.RecordedAnswer;
+import org.bankturn.ledger.RecordedResponse;
 import org.bankturn.membership.ProcessReport;
 import org.bankturn.membership.ReportTable;
 import org.bankturn.membership.TargetStatus;
@@ -98,7 +98,7 @@
     }
 
     private static void fill(ReplicatedState state, int claims) {
-        RecordedAnswer answer = new RecordedAnswer(200, "application/json", new byte[200]);
+        RecordedResponse answer = new RecordedResponse(200, "application/json", new byte[200]);
         for (int number = 0; number < claims; number++) {
             String key = "key-" + number;
             state.apply(number, new Command.ClaimRequest("account", key, MANIFEST, key, 0, 1_000, Long.MAX_VALUE));
