--- a/core/src/main/java/org/bankturn/ledger/RecentAttempts.java
+++ b/core/src/main/java/org/bankturn/ledger/RecentAttempts.java
@@ -29,7 +29,7 @@
      * @param attempt the attempt's unique name, not null
      * @return true if it was not seen before
      */
-    public synchronized boolean isFirst(String attempt) {
+    public synchronized boolean addIfAbsent(String attempt) {
         return seen.putIfAbsent(attempt, Boolean.TRUE) == null;
     }
 }
--- a/daemon/src/main/java/org/bankturn/daemon/target/TargetServlet.java
+++ b/daemon/src/main/java/org/bankturn/daemon/target/TargetServlet.java
@@ -80,7 +80,7 @@
         if (running >= mostAtOnce.getAsInt()) {
             return refuse(ResultCode.NOT_RUN_OVERLOADED);
         }
-        if (!attempt.isEmpty() && !attempts.isFirst(attempt)) {
+        if (!attempt.isEmpty() && !attempts.addIfAbsent(attempt)) {
             return refuse(ResultCode.ATTEMPT_DOUBLED);
         }
         return pass(request, version);
