--- a/core/src/main/java/org/bankturn/ledger/Claim.java
+++ b/core/src/main/java/org/bankturn/ledger/Claim.java
@@ -22,7 +22,7 @@
         long expiresMillis,
         RecordedResponse answer) {
     /** Returns this claim with its answer, not null. */
-    Claim withAnswer(RecordedResponse recorded) {
+    Claim withResponse(RecordedResponse recorded) {
         return new Claim(
                 account, key, fingerprint, attempt, ClaimState.ANSWERED, deadlineMillis, expiresMillis, recorded);
     }
--- a/core/src/main/java/org/bankturn/ledger/RequestLedger.java
+++ b/core/src/main/java/org/bankturn/ledger/RequestLedger.java
@@ -87,7 +87,7 @@
             if (!held.attempt().equals(attempt) || held.state() == ClaimState.ANSWERED) {
                 return held;
             }
-            return answer == null ? held.withUnknownOutcome() : held.withAnswer(answer);
+            return answer == null ? held.withUnknownOutcome() : held.withResponse(answer);
         });
     }
 
