--- a/core/src/main/java/org/bankturn/membership/ReportTable.java
+++ b/core/src/main/java/org/bankturn/membership/ReportTable.java
@@ -78,7 +78,7 @@
     }
 
     /** Returns the processes that were heard from once but not of late, not null. */
-    public Set<String> silentProcesses() {
+    public Set<String> staleProcesses() {
         long since = clock.millis() - STALE_MILLIS;
         return newest.values().stream()
                 .filter(received -> received.receivedMillis() < since)
--- a/daemon/src/main/java/org/bankturn/daemon/control/ControlRole.java
+++ b/daemon/src/main/java/org/bankturn/daemon/control/ControlRole.java
@@ -114,7 +114,7 @@
                         this::send,
                         otherBoxes(),
                         settings.control().snapshotEvery(),
-                        reports::silentProcesses,
+                        reports::staleProcesses,
                         this::stopProcess));
         this.statusQuery = new StatusQuery(settings.process(), member, reports, clock);
     }
