--- a/core/src/main/java/org/bankturn/membership/TargetView.java
+++ b/core/src/main/java/org/bankturn/membership/TargetView.java
@@ -47,7 +47,7 @@
      *
      * @param status the status, not null
      */
-    public void statusReceived(TargetStatus status) {
+    public void recordStatus(TargetStatus status) {
         long now = clock.millis();
         targets.compute(status.box(), (box, known) -> new Known(status, now, false, 0, 0));
     }
--- a/core/src/test/java/org/bankturn/routing/RoutingTest.java
+++ b/core/src/test/java/org/bankturn/routing/RoutingTest.java
@@ -54,7 +54,7 @@
     }
 
     private void everyBoxServes() {
-        configuration.boxes().forEach(box -> view.statusReceived(status(box.name(), false)));
+        configuration.boxes().forEach(box -> view.recordStatus(status(box.name(), false)));
     }
 
     private static TargetStatus status(String box, boolean leaving) {
@@ -99,15 +99,15 @@
         view.listedLeaving(Set.of());
         view.refusedAsLeaving("here-chat");
         assertThat(candidates("chat", "narrow")).isEmpty();
-        view.statusReceived(status("here-chat", false));
+        view.recordStatus(status("here-chat", false));
         assertThat(candidates("chat", "narrow")).containsExactly("here-chat");
-        view.statusReceived(status("here-chat", true));
+        view.recordStatus(status("here-chat", true));
         assertThat(candidates("chat", "narrow")).isEmpty();
     }
 
     @Test
     void a_target_that_does_not_serve_the_version_in_service_gets_no_request() {
-        view.statusReceived(new TargetStatus("here-chat", List.of("b".repeat(64)), false, 0));
+        view.recordStatus(new TargetStatus("here-chat", List.of("b".repeat(64)), false, 0));
         assertThat(candidates("chat", "narrow")).isEmpty();
     }
 
--- a/daemon/src/main/java/org/bankturn/daemon/entry/TargetPoller.java
+++ b/daemon/src/main/java/org/bankturn/daemon/entry/TargetPoller.java
@@ -56,7 +56,7 @@
                 .whenComplete((reply, failure) -> {
                     asking.remove(box.name());
                     if (reply instanceof NodeReply.Target target) {
-                        state.targets().statusReceived(target.status());
+                        state.targets().recordStatus(target.status());
                     } else {
                         state.targets().failed(box.name());
                     }
--- a/standins/src/main/java/org/bankturn/bench/PartCosts.java
+++ b/standins/src/main/java/org/bankturn/bench/PartCosts.java
@@ -131,7 +131,7 @@
             TargetView view = TargetView.using(Clock.system());
             configuration
                     .boxes()
-                    .forEach(box -> view.statusReceived(new TargetStatus(box.name(), List.of(MANIFEST), false, 0)));
+                    .forEach(box -> view.recordStatus(new TargetStatus(box.name(), List.of(MANIFEST), false, 0)));
             TargetSelector selector = TargetSelector.of(configuration, view, "hall-1");
             out.addObject()
                     .put("boxes", boxes)
