--- a/core/src/main/java/org/bankturn/membership/TargetView.java
+++ b/core/src/main/java/org/bankturn/membership/TargetView.java
@@ -57,7 +57,7 @@
      *
      * @param box the target's box, not null
      */
-    public void refusedAsLeaving(String box) {
+    public void recordLeavingRefusal(String box) {
         targets.compute(box, (name, old) -> {
             Known known = old == null ? UNKNOWN : old;
             return new Known(known.status(), known.statusMillis(), true, known.failures(), known.restsUntilMillis());
--- a/core/src/test/java/org/bankturn/routing/RoutingTest.java
+++ b/core/src/test/java/org/bankturn/routing/RoutingTest.java
@@ -97,7 +97,7 @@
         view.listedLeaving(Set.of("here-chat"));
         assertThat(candidates("chat", "narrow")).isEmpty();
         view.listedLeaving(Set.of());
-        view.refusedAsLeaving("here-chat");
+        view.recordLeavingRefusal("here-chat");
         assertThat(candidates("chat", "narrow")).isEmpty();
         view.recordStatus(status("here-chat", false));
         assertThat(candidates("chat", "narrow")).containsExactly("here-chat");
--- a/daemon/src/main/java/org/bankturn/daemon/entry/Dispatcher.java
+++ b/daemon/src/main/java/org/bankturn/daemon/entry/Dispatcher.java
@@ -104,7 +104,7 @@
         if (rejected.isPresent()) {
             load.ended();
             if (rejected.get() == ResultCode.NOT_RUN_LEAVING) {
-                state.targets().refusedAsLeaving(box.name());
+                state.targets().recordLeavingRefusal(box.name());
             }
             return rejected.get().saysNotRun()
                     ? new AttemptOutcome.NotRun<>(NotRunProof.rejectedByTargetProcess(rejected.get()))
