--- a/core/src/main/java/org/bankturn/membership/TargetView.java
+++ b/core/src/main/java/org/bankturn/membership/TargetView.java
@@ -69,7 +69,7 @@
      *
      * @param box the target's box, not null
      */
-    public void failed(String box) {
+    public void recordFailure(String box) {
         long now = clock.millis();
         targets.compute(box, (name, old) -> {
             Known known = old == null ? UNKNOWN : old;
--- a/core/src/test/java/org/bankturn/routing/RoutingTest.java
+++ b/core/src/test/java/org/bankturn/routing/RoutingTest.java
@@ -72,12 +72,12 @@
     void the_own_hall_goes_first_and_others_only_where_the_files_allow() {
         everyBoxServes();
         assertThat(candidates("chat", "wide")).containsExactly("here-chat");
-        view.failed("here-chat");
+        view.recordFailure("here-chat");
         assertThat(candidates("chat", "wide")).containsExactly("there-chat");
-        view.failed("there-chat");
+        view.recordFailure("there-chat");
         assertThat(candidates("chat", "wide")).isEmpty();
         assertThat(candidates("chat", "narrow")).isEmpty();
-        view.failed("here-plain");
+        view.recordFailure("here-plain");
         assertThat(candidates("plain", "narrow")).isEmpty();
         assertThat(candidates("plain", "wide")).containsExactlyInAnyOrder("there-plain", "abroad-plain");
     }
--- a/daemon/src/main/java/org/bankturn/daemon/entry/Dispatcher.java
+++ b/daemon/src/main/java/org/bankturn/daemon/entry/Dispatcher.java
@@ -92,7 +92,7 @@
         return Promises.timeout(remaining, exchange.response())
                 .map(response -> began(box, response, load, startNanos), failure -> {
                     load.ended();
-                    state.targets().failed(box.name());
+                    state.targets().recordFailure(box.name());
                     return exchange.witness().neverConnected()
                             ? new AttemptOutcome.NotRun<Begun>(NotRunProof.neverConnected())
                             : new AttemptOutcome.Unknown<Begun>(String.valueOf(failure.getMessage()));
--- a/daemon/src/main/java/org/bankturn/daemon/entry/TargetPoller.java
+++ b/daemon/src/main/java/org/bankturn/daemon/entry/TargetPoller.java
@@ -58,7 +58,7 @@
                     if (reply instanceof NodeReply.Target target) {
                         state.targets().recordStatus(target.status());
                     } else {
-                        state.targets().failed(box.name());
+                        state.targets().recordFailure(box.name());
                     }
                 });
     }
