--- a/core/src/main/java/org/bankturn/membership/TargetView.java
+++ b/core/src/main/java/org/bankturn/membership/TargetView.java
@@ -95,7 +95,7 @@
      * @param box the target's box, not null
      * @return false if anyone said it is leaving, or it rests after failures
      */
-    public boolean mayTakeWork(String box) {
+    public boolean isAvailable(String box) {
         if (listedLeaving.contains(box)) {
             return false;
         }
--- a/core/src/main/java/org/bankturn/routing/TargetSelector.java
+++ b/core/src/main/java/org/bankturn/routing/TargetSelector.java
@@ -79,7 +79,7 @@
         }
         return boxes.stream()
                 .filter(box -> !box.leaving() && account.mayLiveIn(box.dataHall()))
-                .filter(box -> !tried.contains(box.name()) && view.mayTakeWork(box.name()))
+                .filter(box -> !tried.contains(box.name()) && view.isAvailable(box.name()))
                 .filter(box -> version == null || view.serves(box.name(), version))
                 .toList();
     }
