--- a/core/src/main/java/org/bankturn/agreement/FollowerProgress.java
+++ b/core/src/main/java/org/bankturn/agreement/FollowerProgress.java
@@ -1,7 +1,7 @@
 package org.bankturn.agreement;
 
 /**
- * What a leader knows of one follower.
+ * The replication progress of one follower, as tracked by the leader.
  *
  * <p>FollowerProgress is mutable and not thread-safe.
  */
@@ -11,9 +11,9 @@
     private long lastContactMillis;
     private long snapshotSentMillis = Long.MIN_VALUE;
 
-    FollowerProgress(long nextIndex, long heardMillis) {
+    FollowerProgress(long nextIndex, long lastContactMillis) {
         this.nextIndex = nextIndex;
-        this.lastContactMillis = heardMillis;
+        this.lastContactMillis = lastContactMillis;
     }
 
     long nextIndex() {
@@ -49,7 +49,7 @@
         nextIndex = Math.max(nextIndex, matchIndex + 1);
     }
 
-    /** Goes back after a rejection; one that comes late never moves on. */
+    /** Moves the next index back after a rejection; a delayed rejection never moves it forward. */
     void rewindTo(long index) {
         nextIndex = Math.max(matchIndex + 1, Math.min(nextIndex, index));
     }
--- a/core/src/main/java/org/bankturn/agreement/LogEntry.java
+++ b/core/src/main/java/org/bankturn/agreement/LogEntry.java
@@ -3,15 +3,15 @@
 import java.util.List;
 
 /**
- * One entry of the agreement log: a command, or a change of the members.
+ * An entry of the Raft log: a command or a membership change.
  *
- * @param index the place in the log, from 1
- * @param term the term of the leader that wrote it
- * @param command the encoded command; empty for a leader's first entry and for a change of members
- * @param members the members from this entry on, null unless the entry changes them
+ * @param index the position in the log, starting at 1
+ * @param term the term of the leader that created the entry
+ * @param command the encoded command; empty for the first entry of a term and for membership changes, not null
+ * @param members the membership from this entry on, null unless the entry changes it
  */
 public record LogEntry(long index, long term, byte[] command, List<Member> members) {
-    /** Returns true if the entry changes the members. */
+    /** Returns true if the entry changes the membership. */
     public boolean changesMembers() {
         return members != null;
     }
--- a/core/src/main/java/org/bankturn/agreement/Member.java
+++ b/core/src/main/java/org/bankturn/agreement/Member.java
@@ -1,15 +1,14 @@
 package org.bankturn.agreement;
 
 /**
- * A control box in one life of its disk.
+ * A member of a Raft group, identified by its box and the incarnation of its data directory.
  *
- * <p>A box that lost its disk comes back with a new incarnation and so as another member: it cannot vote in the place of
- * the member that it was. {@code incarnation} is a random number written when the data folder is first used. Where a
- * member is reached may change or look different from elsewhere, so the address does not count for equality.
+ * <p>A box that lost its disk returns as a different member with a new incarnation, so that it cannot vote twice in a
+ * term. The address may change and is not part of equality.
  *
- * @param box the box's name, not null
- * @param incarnation the life of its disk
- * @param address host:port of its node port, not null
+ * @param box the name of the box, not null
+ * @param incarnation the random number written when the data directory is first used
+ * @param address the host and port of the member's node port, not null
  */
 public record Member(String box, long incarnation, String address) implements Comparable<Member> {
     @Override
--- a/core/src/main/java/org/bankturn/agreement/MembershipChanges.java
+++ b/core/src/main/java/org/bankturn/agreement/MembershipChanges.java
@@ -5,49 +5,49 @@
 import java.util.Optional;
 
 /**
- * Decides on a leader which box joins the group next and which member leaves it, one change at a time.
+ * Decides on the leader which member to add or remove next, one change at a time.
  *
- * <p>A box that lost its disk takes the place of the member it was. A box that is new makes the group larger; a member
- * that is silent then goes, so that the new one has its place. It goes last, since it may come back, and only while all
- * others are heard, since one of them may have died meanwhile. MembershipChanges is mutable and belongs to one
- * {@link RaftNode}.
+ * <p>A box that lost its disk replaces its former member. A new box is added first; an unresponsive member is removed
+ * only afterwards, and only while all other members are responsive, so that the group keeps its majority.
+ *
+ * <p>MembershipChanges is mutable and owned by one {@link RaftNode}.
  */
 final class MembershipChanges {
-    private static final int SILENT_TIMEOUTS_TO_REMOVE = 4;
+    private static final int REMOVAL_TIMEOUTS = 4;
 
     private final RaftSettings settings;
-    private final ProgressTracker replications;
+    private final ProgressTracker progress;
     private Member learner;
 
-    MembershipChanges(RaftSettings settings, ProgressTracker replications) {
+    MembershipChanges(RaftSettings settings, ProgressTracker progress) {
         this.settings = settings;
-        this.replications = replications;
+        this.progress = progress;
     }
 
-    /** Returns the box that copies the log without a vote and waits to be admitted, not null. */
+    /** Returns the non-voting member that is replicating the log before its admission, empty if there is none. */
     Optional<Member> learner() {
         return Optional.ofNullable(learner);
     }
 
-    /** Forgets the joiner; called when leadership begins or ends. */
+    /** Discards the learner; called when leadership is gained or lost. */
     void reset() {
         learner = null;
     }
 
-    void addLearner(Member joining, long nextIndex, long nowMillis) {
-        learner = joining;
-        replications.track(joining, nextIndex, nowMillis);
+    void addLearner(Member member, long nextIndex, long nowMillis) {
+        learner = member;
+        progress.track(member, nextIndex, nowMillis);
     }
 
-    /** Lets go of a joiner that is a member by now, or that fell silent. */
+    /** Discards the learner if it has been admitted or is unresponsive. */
     void updateLearner(List<Member> members, long nowMillis) {
         if (learner == null) {
             return;
         }
         boolean admitted = members.contains(learner);
-        boolean silent = nowMillis - replications.lastContactMillis(learner) > settings.electionTimeoutMillis();
+        boolean silent = nowMillis - progress.lastContactMillis(learner) > settings.electionTimeoutMillis();
         if (silent && !admitted) {
-            replications.remove(learner);
+            progress.remove(learner);
         }
         if (silent || admitted) {
             learner = null;
@@ -55,31 +55,33 @@
     }
 
     /**
-     * Takes the next of two steps of admission: removes the member that the joiner was, then adds the joiner.
+     * Returns the membership after the next step of admission: first removes the learner's former member, if any, then
+     * adds the learner.
      *
-     * @return the members after the step, empty if there is no joiner that holds all that is committed
+     * @return the new membership, empty if there is no learner or it lacks committed entries
      */
     Optional<List<Member>> nextAdmission(List<Member> members, long commitIndex) {
-        if (learner == null || replications.matchIndex(learner) < commitIndex) {
+        if (learner == null || progress.matchIndex(learner) < commitIndex) {
             return Optional.empty();
         }
-        List<Member> changed = new ArrayList<>(members);
-        boolean hadFormerLife = changed.removeIf(member -> member.box().equals(learner.box()));
-        if (!hadFormerLife) {
-            changed.add(learner);
+        List<Member> nextMembers = new ArrayList<>(members);
+        boolean hadPreviousIncarnation =
+                nextMembers.removeIf(member -> member.box().equals(learner.box()));
+        if (!hadPreviousIncarnation) {
+            nextMembers.add(learner);
         }
-        return Optional.of(List.copyOf(changed));
+        return Optional.of(List.copyOf(nextMembers));
     }
 
-    /** Takes out a member that is long silent, so that a larger group does not need a majority that counts it. */
+    /** Returns the membership without the only unresponsive member, empty if no member should be removed. */
     Optional<List<Member>> nextRemoval(List<Member> members, List<Member> peers, long nowMillis) {
         if (learner != null || members.size() <= settings.minMembers()) {
             return Optional.empty();
         }
         List<Member> silent =
                 peers.stream().filter(peer -> isSilent(peer, 1, nowMillis)).toList();
-        boolean onlyOne = silent.size() == 1 && isSilent(silent.get(0), SILENT_TIMEOUTS_TO_REMOVE, nowMillis);
-        return onlyOne
+        boolean removable = silent.size() == 1 && isSilent(silent.get(0), REMOVAL_TIMEOUTS, nowMillis);
+        return removable
                 ? Optional.of(members.stream()
                         .filter(member -> !member.equals(silent.get(0)))
                         .toList())
@@ -87,6 +89,6 @@
     }
 
     private boolean isSilent(Member peer, int electionTimeouts, long nowMillis) {
-        return nowMillis - replications.lastContactMillis(peer) > electionTimeouts * settings.electionTimeoutMillis();
+        return nowMillis - progress.lastContactMillis(peer) > electionTimeouts * settings.electionTimeoutMillis();
     }
 }
--- a/core/src/main/java/org/bankturn/agreement/Outbox.java
+++ b/core/src/main/java/org/bankturn/agreement/Outbox.java
@@ -4,15 +4,15 @@
 import java.util.List;
 
 /**
- * Collects what must be stored and sent until {@link Ready} hands it out.
+ * Accumulates pending writes and messages until the next {@link Ready}.
  *
- * <p>Outbox is mutable and belongs to one {@link RaftNode}.
+ * <p>Outbox is mutable and owned by one {@link RaftNode}.
  */
 final class Outbox {
-    private final List<LogEntry> unstored = new ArrayList<>();
+    private final List<LogEntry> entries = new ArrayList<>();
     private final List<Ready.Outbound> messages = new ArrayList<>();
     private boolean voteChanged;
-    private Snapshot installed;
+    private Snapshot installedSnapshot;
 
     void send(Member to, RaftMessage message) {
         messages.add(new Ready.Outbound(to, message));
@@ -23,32 +23,32 @@
     }
 
     void store(LogEntry entry) {
-        unstored.add(entry);
+        entries.add(entry);
     }
 
-    /** Drops entries that the log no longer holds. */
+    /** Discards pending entries from an index on, after the log was truncated. */
     void truncateFrom(long index) {
-        unstored.removeIf(waiting -> waiting.index() >= index);
+        entries.removeIf(waiting -> waiting.index() >= index);
     }
 
-    /** Stores a leader's snapshot in place of every entry that waits. */
+    /** Replaces all pending entries with a snapshot received from the leader. */
     void installSnapshot(Snapshot snapshot) {
-        unstored.clear();
-        installed = snapshot;
+        entries.clear();
+        installedSnapshot = snapshot;
     }
 
-    /** Hands everything out and is empty afterwards. */
+    /** Returns and clears the pending work. */
     Ready drain(Vote vote, long commitIndex, List<LogEntry> committed) {
         Ready ready = new Ready(
                 voteChanged ? vote : null,
-                installed,
-                List.copyOf(unstored),
+                installedSnapshot,
+                List.copyOf(entries),
                 commitIndex,
                 List.copyOf(messages),
                 committed);
         voteChanged = false;
-        installed = null;
-        unstored.clear();
+        installedSnapshot = null;
+        entries.clear();
         messages.clear();
         return ready;
     }
--- a/core/src/main/java/org/bankturn/agreement/PersistentState.java
+++ b/core/src/main/java/org/bankturn/agreement/PersistentState.java
@@ -3,11 +3,11 @@
 import java.util.List;
 
 /**
- * What a member's storage holds when it starts.
+ * The state that a member recovers from storage.
  *
  * @param vote the vote, not null
  * @param snapshot the snapshot, not null
  * @param entries the entries after the snapshot, in order, not null
- * @param commitIndex the index up to which they were known to be committed; the snapshot's or more
+ * @param commitIndex the persisted commit index, not less than the snapshot's index
  */
 public record PersistentState(Vote vote, Snapshot snapshot, List<LogEntry> entries, long commitIndex) {}
--- a/core/src/main/java/org/bankturn/agreement/ProgressTracker.java
+++ b/core/src/main/java/org/bankturn/agreement/ProgressTracker.java
@@ -8,66 +8,66 @@
 import java.util.Set;
 
 /**
- * How far each other member has come, as a leader knows it.
+ * The replication progress of all other members, as tracked by the leader.
  *
- * <p>ProgressTracker is mutable and belongs to one {@link RaftNode}.
+ * <p>ProgressTracker is mutable and owned by one {@link RaftNode}.
  */
 final class ProgressTracker {
-    private static final long NEVER_MILLIS = Long.MIN_VALUE / 2;
+    private static final long NEVER = Long.MIN_VALUE / 2;
 
-    private final Map<Member, FollowerProgress> replications = new HashMap<>();
+    private final Map<Member, FollowerProgress> followers = new HashMap<>();
 
-    /** Forgets everything and assumes that every peer may have come as far as the log. */
+    /** Discards all progress and optimistically sets the next index of every peer. */
     void reset(List<Member> peers, long nextIndex, long nowMillis) {
-        replications.clear();
-        peers.forEach(peer -> replications.put(peer, new FollowerProgress(nextIndex, nowMillis)));
+        followers.clear();
+        peers.forEach(peer -> followers.put(peer, new FollowerProgress(nextIndex, nowMillis)));
     }
 
     Optional<FollowerProgress> find(Member member) {
-        return Optional.ofNullable(replications.get(member));
+        return Optional.ofNullable(followers.get(member));
     }
 
     FollowerProgress findOrTrack(Member member, long nextIndex, long nowMillis) {
-        return replications.computeIfAbsent(member, key -> new FollowerProgress(nextIndex, nowMillis));
+        return followers.computeIfAbsent(member, key -> new FollowerProgress(nextIndex, nowMillis));
     }
 
     void track(Member member, long nextIndex, long nowMillis) {
-        replications.put(member, new FollowerProgress(nextIndex, nowMillis));
+        followers.put(member, new FollowerProgress(nextIndex, nowMillis));
     }
 
     void remove(Member member) {
-        replications.remove(member);
+        followers.remove(member);
     }
 
-    /** Returns when a member was last heard, in milliseconds; long ago if it is not known. */
+    /** Returns the time of the last contact with a member, or {@link #NEVER} if it is not tracked. */
     long lastContactMillis(Member member) {
-        return find(member).map(FollowerProgress::lastContactMillis).orElse(NEVER_MILLIS);
+        return find(member).map(FollowerProgress::lastContactMillis).orElse(NEVER);
     }
 
-    /** Returns the index up to which a member surely holds the log, 0 if it is not known. */
+    /** Returns the highest index known to be replicated to a member, 0 if it is not tracked. */
     long matchIndex(Member member) {
         return find(member).map(FollowerProgress::matchIndex).orElse(0L);
     }
 
-    /** Returns the members heard after a moment, not null. */
+    /** Returns the members contacted after the given time, not null. */
     Set<Member> contactedAfter(long millis) {
-        Set<Member> heard = new HashSet<>();
-        replications.forEach((member, replication) -> {
-            if (replication.lastContactMillis() > millis) {
-                heard.add(member);
+        Set<Member> contacted = new HashSet<>();
+        followers.forEach((member, progress) -> {
+            if (progress.lastContactMillis() > millis) {
+                contacted.add(member);
             }
         });
-        return heard;
+        return contacted;
     }
 
-    /** Returns the members that surely hold an entry, not null. */
+    /** Returns the members known to have replicated an entry, not null. */
     Set<Member> membersHolding(long index) {
-        Set<Member> holders = new HashSet<>();
-        replications.forEach((member, replication) -> {
-            if (replication.matchIndex() >= index) {
-                holders.add(member);
+        Set<Member> members = new HashSet<>();
+        followers.forEach((member, progress) -> {
+            if (progress.matchIndex() >= index) {
+                members.add(member);
             }
         });
-        return holders;
+        return members;
     }
 }
--- a/core/src/main/java/org/bankturn/agreement/RaftLog.java
+++ b/core/src/main/java/org/bankturn/agreement/RaftLog.java
@@ -4,7 +4,7 @@
 import java.util.List;
 
 /**
- * The log of one member in memory: a snapshot and the entries after it.
+ * The in-memory log of one member: a snapshot and the entries after it.
  *
  * <p>RaftLog is mutable and not thread-safe.
  */
@@ -37,12 +37,12 @@
         return entries.get((int) (index - snapshot.index() - 1));
     }
 
-    /** Returns true if this log knows the entry at an index, and it is of that term. */
+    /** Returns true if the log or its snapshot has an entry with this index and term. */
     boolean matches(long index, long term) {
         return (index == snapshot.index() || contains(index)) && termAt(index) == term;
     }
 
-    /** Returns the term at an index, or -1 if the index is beyond the log or under the snapshot. */
+    /** Returns the term at an index, or -1 if the index is after the log or before the snapshot. */
     long termAt(long index) {
         if (index == snapshot.index()) {
             return snapshot.term();
@@ -50,18 +50,20 @@
         return contains(index) ? entryAt(index).term() : -1;
     }
 
+    /** Returns the entries in a range, both ends inclusive, up to the end of the log. */
     List<LogEntry> entriesBetween(long firstIndex, long lastIndex) {
-        List<LogEntry> found = new ArrayList<>();
+        List<LogEntry> result = new ArrayList<>();
         for (long index = firstIndex; index <= Math.min(lastIndex, lastIndex()); index++) {
-            found.add(entryAt(index));
+            result.add(entryAt(index));
         }
-        return found;
+        return result;
     }
 
+    /** Returns the membership in effect at an index. */
     List<Member> membersAt(long index) {
-        for (long at = Math.min(index, lastIndex()); at > snapshot.index(); at--) {
-            if (entryAt(at).changesMembers()) {
-                return entryAt(at).members();
+        for (long position = Math.min(index, lastIndex()); position > snapshot.index(); position--) {
+            if (entryAt(position).changesMembers()) {
+                return entryAt(position).members();
             }
         }
         return snapshot.members();
@@ -69,7 +71,8 @@
 
     void append(LogEntry entry) {
         if (entry.index() != lastIndex() + 1) {
-            throw new IllegalArgumentException("entry " + entry.index() + " does not follow " + lastIndex());
+            throw new IllegalArgumentException(
+                    "entry index " + entry.index() + " does not follow last index " + lastIndex());
         }
         entries.add(entry);
     }
@@ -78,14 +81,14 @@
         entries.subList((int) (index - snapshot.index() - 1), entries.size()).clear();
     }
 
-    void compactTo(Snapshot newer) {
-        long dropped = Math.min(newer.index() - snapshot.index(), entries.size());
+    void compactTo(Snapshot replacement) {
+        long dropped = Math.min(replacement.index() - snapshot.index(), entries.size());
         entries.subList(0, (int) dropped).clear();
-        snapshot = newer;
+        snapshot = replacement;
     }
 
-    void resetTo(Snapshot newer) {
+    void resetTo(Snapshot replacement) {
         entries.clear();
-        snapshot = newer;
+        snapshot = replacement;
     }
 }
--- a/core/src/main/java/org/bankturn/agreement/RaftMessage.java
+++ b/core/src/main/java/org/bankturn/agreement/RaftMessage.java
@@ -5,9 +5,7 @@
 import com.fasterxml.jackson.annotation.JsonTypeInfo;
 import java.util.List;
 
-/**
- * A message between members of an agreement group; any may be lost, doubled, late or out of order.
- */
+/** A message between members of a Raft group. Messages may be lost, duplicated, delayed or reordered. */
 @JsonTypeInfo(use = JsonTypeInfo.Id.NAME, property = "kind")
 @JsonSubTypes({
     @JsonSubTypes.Type(value = RaftMessage.VoteRequest.class, name = "voteRequest"),
@@ -22,32 +20,35 @@
     /** Returns the sender, not null. */
     Member from();
 
-    /** Returns the sender's term, or the term asked for. */
+    /** Returns the sender's term, or the prospective term in a pre-vote. */
     long term();
 
-    /** Asks for a vote, or with {@code trial} whether a vote would be given (pre-vote). */
+    /** Requests a vote, or asks whether the vote would be granted if {@code preVote} is set. */
     record VoteRequest(
             Member from, long term, @JsonProperty("trial") boolean preVote, long lastIndex, long lastTerm)
             implements RaftMessage {}
 
-    /** Answers a request for a vote. */
+    /** Replies to a {@link VoteRequest}. */
     record VoteReply(
             Member from, long term, @JsonProperty("trial") boolean preVote, boolean granted) implements RaftMessage {}
 
-    /** Carries entries after {@code previousIndex}, or none as a heartbeat. */
+    /** Replicates the entries after {@code previousIndex}; without entries, serves as a heartbeat. */
     record AppendRequest(
             Member from, long term, long previousIndex, long previousTerm, List<LogEntry> entries, long commitIndex)
             implements RaftMessage {}
 
-    /** Says up to where the sender's synced log agrees, or with {@code accepted} false from where to try again. */
+    /**
+     * Replies to an {@link AppendRequest} or a {@link SnapshotRequest}. {@code matchIndex} is the last index that
+     * matches the leader's log or, if {@code accepted} is false, the index after which the leader should retry.
+     */
     record AppendReply(Member from, long term, boolean accepted, long matchIndex) implements RaftMessage {}
 
-    /** Carries a snapshot to a member whose next entry is no longer in the log. */
+    /** Sends a snapshot to a member whose next entry has been compacted. */
     record SnapshotRequest(Member from, long term, Snapshot snapshot) implements RaftMessage {}
 
-    /** Tells a member to stand for election at once, since the leader is stopping as planned. */
+    /** Tells a member to start an election immediately, to transfer leadership. */
     record TimeoutNow(Member from, long term) implements RaftMessage {}
 
-    /** Asks to be admitted with an empty disk; the term is always 0. */
+    /** Requests admission to the group; the term is always 0. */
     record JoinRequest(Member from, long term) implements RaftMessage {}
 }
--- a/core/src/main/java/org/bankturn/agreement/RaftNode.java
+++ b/core/src/main/java/org/bankturn/agreement/RaftNode.java
@@ -18,22 +18,22 @@
 import org.bankturn.time.Clock;
 
 /**
- * One member of an agreement group: an ordered log of commands that a majority has synced.
+ * One member of a Raft group, replicating an ordered log of commands.
  *
- * <p>Use it to keep state on a few boxes with disks. Call {@link #tick}, {@link #receive} or {@link #propose}, then take
- * {@link #ready} and do what it says in its order; there is no I/O in here. Members change one at a time: a box that
- * lost its disk asks to join as a new member, copies the log without a vote, then takes the place of the member it was.
+ * <p>RaftNode performs no I/O. After each call to {@link #tick}, {@link #receive} or {@link #propose}, the caller takes
+ * the result of {@link #ready} and carries it out in the documented order. Membership changes one member at a time: a
+ * box that lost its disk joins as a new non-voting member, replicates the log, and then replaces its former member.
  *
- * <p>RaftNode is mutable and not thread-safe; one thread owns it.
+ * <p>RaftNode is mutable and not thread-safe; a single thread must own it.
  */
 public final class RaftNode {
-    private static final int FIRST_ELECTION_DIVISOR = 4;
+    private static final int INITIAL_ELECTION_TIMEOUT_DIVISOR = 4;
 
     private final Member self;
     private final Clock clock;
     private final UniformRandomProvider random;
     private final RaftSettings settings;
-    private final Predicate<Member> admissible;
+    private final Predicate<Member> admissionPolicy;
     private final RaftLog log;
 
     private Role role = Role.FOLLOWER;
@@ -42,26 +42,26 @@
     private Member leader;
     private long commitIndex;
     private long electionDeadlineMillis;
-    private long leaderHeardMillis = Long.MIN_VALUE / 2;
-    private long caughtUpMillis = Long.MIN_VALUE / 2;
-    private long heartbeatDueMillis;
-    private boolean everHeardLeader;
+    private long lastLeaderContactMillis = Long.MIN_VALUE / 2;
+    private long lastCaughtUpMillis = Long.MIN_VALUE / 2;
+    private long nextHeartbeatMillis;
+    private boolean hasSeenLeader;
     private final Set<Member> votes = new HashSet<>();
-    private final ProgressTracker replications = new ProgressTracker();
-    private final MembershipChanges changes;
+    private final ProgressTracker progress = new ProgressTracker();
+    private final MembershipChanges membershipChanges;
     private final Outbox outbox = new Outbox();
-    private long handedOutIndex;
+    private long deliveredIndex;
 
     /**
-     * Creates a member from what its storage holds; the first {@link #ready} hands out what was known to be committed.
+     * Creates a member from its persisted state; the first {@link #ready} returns the entries known to be committed.
      *
      * @param self this member, not null
-     * @param stored what storage recovered, not null
-     * @param settings timing and sizes, not null
-     * @param clock the time, not null
-     * @param random spreads election timeouts, not null
-     * @param admissible which boxes a leader may admit when they ask to join, not null
-     * @return a follower, not null
+     * @param stored the state recovered from storage, not null
+     * @param settings the timing and size limits, not null
+     * @param clock the clock, not null
+     * @param random the source of randomness for election timeouts, not null
+     * @param admissionPolicy decides whether a leader may admit a joining member, not null
+     * @return the member in the follower role, not null
      */
     public static RaftNode recover(
             Member self,
@@ -69,8 +69,8 @@
             RaftSettings settings,
             Clock clock,
             UniformRandomProvider random,
-            Predicate<Member> admissible) {
-        return new RaftNode(self, stored, settings, clock, random, admissible);
+            Predicate<Member> admissionPolicy) {
+        return new RaftNode(self, stored, settings, clock, random, admissionPolicy);
     }
 
     private RaftNode(
@@ -79,22 +79,22 @@
             RaftSettings settings,
             Clock clock,
             UniformRandomProvider random,
-            Predicate<Member> admissible) {
+            Predicate<Member> admissionPolicy) {
         this.self = self;
         this.settings = settings;
         this.clock = clock;
         this.random = random;
-        this.admissible = admissible;
-        this.changes = new MembershipChanges(settings, replications);
+        this.admissionPolicy = admissionPolicy;
+        this.membershipChanges = new MembershipChanges(settings, progress);
         this.log = new RaftLog(stored.snapshot(), stored.entries());
         this.term = stored.vote().term();
         this.votedFor = stored.vote().votedFor();
         this.commitIndex = Math.max(log.snapshot().index(), Math.min(stored.commitIndex(), log.lastIndex()));
-        this.handedOutIndex = log.snapshot().index();
+        this.deliveredIndex = log.snapshot().index();
         restartElectionTimer();
     }
 
-    // ---- queries
+    // ---- Queries
 
     /** Returns this member, not null. */
     public Member self() {
@@ -106,22 +106,22 @@
         return role;
     }
 
-    /** Returns the newest term this member has seen. */
+    /** Returns the highest term this member has seen. */
     public long term() {
         return term;
     }
 
-    /** Returns the leader of this term as far as known, not null. */
+    /** Returns the leader of the current term, empty if unknown. */
     public Optional<Member> leader() {
         return Optional.ofNullable(leader);
     }
 
-    /** Returns the members as of the last entry of the log, not null. */
+    /** Returns the latest membership in the log, whether committed or not, not null. */
     public List<Member> members() {
         return log.membersAt(log.lastIndex());
     }
 
-    /** Returns the index up to which entries are committed, as far as known here. */
+    /** Returns the highest index that this member knows to be committed. */
     public long commitIndex() {
         return commitIndex;
     }
@@ -131,35 +131,36 @@
         return log.lastIndex();
     }
 
-    /** Returns the snapshot that the log starts from, not null. */
+    /** Returns the snapshot at the start of the log, not null. */
     public Snapshot snapshot() {
         return log.snapshot();
     }
 
-    /** Returns true if this member leads and has committed an entry of its own term, so that its state is current. */
+    /** Returns true if this member is the leader and has committed an entry of its own term. */
     public boolean isEstablishedLeader() {
         return role == Role.LEADER && log.termAt(commitIndex) == term;
     }
 
     /**
-     * Returns when this member last held all that its leader had committed, or as leader last heard from a majority.
+     * Returns the time at which this member was last known to be up to date.
      *
-     * <p>A member that hears its leader but lacks entries, as after it was down, is not current.
+     * <p>For a follower, this is when it last held every entry that its leader had committed; contact with the leader
+     * alone does not count. For a leader, it is when it last had contact with a majority.
      */
     public long lastUpToDateMillis() {
         if (role != Role.LEADER) {
-            return caughtUpMillis;
+            return lastCaughtUpMillis;
         }
-        List<Long> heard = new ArrayList<>();
-        peers().forEach(peer -> heard.add(replications.lastContactMillis(peer)));
-        heard.add(clock.millis());
-        heard.sort((one, other) -> Long.compare(other, one));
-        return heard.get(members().size() / 2);
+        List<Long> contacts = new ArrayList<>();
+        peers().forEach(peer -> contacts.add(progress.lastContactMillis(peer)));
+        contacts.add(clock.millis());
+        contacts.sort((one, other) -> Long.compare(other, one));
+        return contacts.get(members().size() / 2);
     }
 
-    // ---- steps
+    // ---- Steps
 
-    /** Lets time pass: starts elections, sends heartbeats, steps down without a majority. */
+    /** Processes expired timers: starts elections, sends heartbeats, and steps down without contact with a majority. */
     public void tick() {
         long now = clock.millis();
         if (role == Role.LEADER) {
@@ -174,22 +175,22 @@
     }
 
     /**
-     * Asks the given members to admit this one, which has an empty disk.
+     * Sends a request to join the group to the given members.
      *
-     * @param contacts where to ask; incarnations are ignored, not null
+     * @param peers the members to ask; their incarnations are ignored, not null
      */
-    public void requestJoin(List<Member> contacts) {
-        for (Member contact : contacts) {
-            send(contact, new JoinRequest(self, 0));
+    public void requestJoin(List<Member> peers) {
+        for (Member peer : peers) {
+            send(peer, new JoinRequest(self, 0));
         }
     }
 
     /**
-     * Puts a command into the log.
+     * Appends a command to the log if this member is the leader.
      *
      * @param command the encoded command, not null
-     * @return the index it was given, empty if this member does not lead; it is accepted only when {@link Ready}
-     *     hands it out as committed with the same term
+     * @return the index of the entry, empty if this member is not the leader; the command is committed once
+     *     {@link Ready#committed} contains an entry with this index and the current term
      */
     public OptionalLong propose(byte[] command) {
         if (role != Role.LEADER) {
@@ -199,41 +200,43 @@
         return OptionalLong.of(log.lastIndex());
     }
 
-    /** Hands leadership to the member that is furthest, ahead of a planned stop; does nothing if not leading. */
+    /** Transfers leadership to the most up-to-date peer; does nothing if this member is not the leader. */
     public void transferLeadership() {
         if (role != Role.LEADER) {
             return;
         }
-        Member furthest = null;
+        Member mostAdvanced = null;
         for (Member member : peers()) {
-            if (furthest == null || replications.matchIndex(member) > replications.matchIndex(furthest)) {
-                furthest = member;
+            if (mostAdvanced == null || progress.matchIndex(member) > progress.matchIndex(mostAdvanced)) {
+                mostAdvanced = member;
             }
         }
-        if (furthest != null) {
-            sendAppend(furthest);
-            send(furthest, new TimeoutNow(self, term));
+        if (mostAdvanced != null) {
+            sendAppend(mostAdvanced);
+            send(mostAdvanced, new TimeoutNow(self, term));
         }
     }
 
     /**
-     * Replaces the entries up to an applied index by a snapshot.
+     * Replaces the entries up to an applied index with a snapshot.
      *
-     * @param index the index, committed and handed out
+     * @param index the last index to include, which must have been returned by {@link #ready} as committed
      * @param state the encoded state at that index, not null
-     * @return the snapshot to store, not null
+     * @return the snapshot to persist, not null
+     * @throws IllegalArgumentException if the index was not delivered, or is already covered by a snapshot
      */
     public Snapshot compact(long index, byte[] state) {
-        if (index > handedOutIndex || index <= log.snapshot().index()) {
-            throw new IllegalArgumentException("cannot compact to " + index + ", handed out " + handedOutIndex);
+        if (index > deliveredIndex || index <= log.snapshot().index()) {
+            throw new IllegalArgumentException("cannot compact to index " + index + ": snapshot at "
+                    + log.snapshot().index() + ", delivered through " + deliveredIndex);
         }
-        Snapshot newer = new Snapshot(index, log.termAt(index), List.copyOf(log.membersAt(index)), state);
-        log.compactTo(newer);
-        return newer;
+        Snapshot compacted = new Snapshot(index, log.termAt(index), List.copyOf(log.membersAt(index)), state);
+        log.compactTo(compacted);
+        return compacted;
     }
 
     /**
-     * Takes in a message.
+     * Processes a message from another member.
      *
      * @param message the message, not null
      */
@@ -242,9 +245,9 @@
             onJoinRequest(request);
             return;
         }
-        boolean trial = (message instanceof VoteRequest request && request.preVote())
+        boolean preVote = (message instanceof VoteRequest request && request.preVote())
                 || (message instanceof VoteReply reply && reply.preVote());
-        if (message.term() > term && !trial) {
+        if (message.term() > term && !preVote) {
             becomeFollower(message.term(), null);
         }
         if (message instanceof VoteRequest request) {
@@ -263,25 +266,25 @@
     }
 
     /**
-     * Takes what must be done after the steps since the last call.
+     * Returns and clears the pending work since the last call.
      *
-     * @return what to store, send and apply, not null
+     * @return the state to persist, the messages to send and the entries to apply, not null
      */
     public Ready ready() {
-        List<LogEntry> committed = log.entriesBetween(handedOutIndex + 1, commitIndex);
+        List<LogEntry> committed = log.entriesBetween(deliveredIndex + 1, commitIndex);
         Ready ready = outbox.drain(new Vote(term, votedFor), commitIndex, committed);
-        handedOutIndex = commitIndex;
+        deliveredIndex = commitIndex;
         return ready;
     }
 
-    // ---- elections
+    // ---- Elections
 
-    private void startElection(boolean trial) {
+    private void startElection(boolean preVote) {
         restartElectionTimer();
         leader = null;
         votes.clear();
         votes.add(self);
-        if (trial) {
+        if (preVote) {
             role = Role.PRE_CANDIDATE;
         } else {
             role = Role.CANDIDATE;
@@ -289,9 +292,9 @@
             votedFor = self;
             outbox.voteChanged();
         }
-        long asked = trial ? term + 1 : term;
+        long requestedTerm = preVote ? term + 1 : term;
         for (Member peer : peers()) {
-            send(peer, new VoteRequest(self, asked, trial, log.lastIndex(), log.lastTerm()));
+            send(peer, new VoteRequest(self, requestedTerm, preVote, log.lastIndex(), log.lastTerm()));
         }
         countVotes();
     }
@@ -300,13 +303,13 @@
         boolean upToDate = request.lastTerm() > log.lastTerm()
                 || (request.lastTerm() == log.lastTerm() && request.lastIndex() >= log.lastIndex());
         if (request.preVote()) {
-            boolean leaderSilent = clock.millis() - leaderHeardMillis >= settings.electionTimeoutMillis();
+            boolean leaderSilent = clock.millis() - lastLeaderContactMillis >= settings.electionTimeoutMillis();
             boolean granted = upToDate && request.term() > term && leaderSilent && role != Role.LEADER;
             send(request.from(), new VoteReply(self, granted ? request.term() : term, true, granted));
             return;
         }
-        boolean free = votedFor == null || votedFor.equals(request.from());
-        boolean granted = request.term() == term && free && upToDate;
+        boolean canVote = votedFor == null || votedFor.equals(request.from());
+        boolean granted = request.term() == term && canVote && upToDate;
         if (granted && votedFor == null) {
             votedFor = request.from();
             outbox.voteChanged();
@@ -322,10 +325,10 @@
             becomeFollower(reply.term(), null);
             return;
         }
-        boolean awaited = reply.preVote()
+        boolean expected = reply.preVote()
                 ? role == Role.PRE_CANDIDATE && reply.term() == term + 1
                 : role == Role.CANDIDATE && reply.term() == term;
-        if (awaited && reply.granted()) {
+        if (expected && reply.granted()) {
             votes.add(reply.from());
             countVotes();
         }
@@ -345,11 +348,11 @@
     private void becomeLeader() {
         role = Role.LEADER;
         leader = self;
-        everHeardLeader = true;
-        changes.reset();
+        hasSeenLeader = true;
+        membershipChanges.reset();
         long now = clock.millis();
-        replications.reset(peers(), log.lastIndex() + 1, now);
-        heartbeatDueMillis = now + settings.heartbeatMillis();
+        progress.reset(peers(), log.lastIndex() + 1, now);
+        nextHeartbeatMillis = now + settings.heartbeatMillis();
         appendAsLeader(new byte[0], null);
     }
 
@@ -364,34 +367,37 @@
         }
         role = Role.FOLLOWER;
         leader = newLeader;
-        changes.reset();
+        membershipChanges.reset();
     }
 
-    /** A member that has heard of no leader since it started asks soon: who knows of one will deny it a trial vote. */
+    /**
+     * Restarts the timer with a random timeout. The timeout is shorter until the first contact with a leader; pre-votes
+     * keep a restarted member from disrupting an existing leader.
+     */
     private void restartElectionTimer() {
         long timeout = settings.electionTimeoutMillis();
-        long shortest = everHeardLeader ? timeout : Math.max(1, timeout / FIRST_ELECTION_DIVISOR);
-        electionDeadlineMillis = clock.millis() + shortest + random.nextLong(shortest);
+        long minTimeout = hasSeenLeader ? timeout : Math.max(1, timeout / INITIAL_ELECTION_TIMEOUT_DIVISOR);
+        electionDeadlineMillis = clock.millis() + minTimeout + random.nextLong(minTimeout);
     }
 
-    // ---- replication, on the leader
+    // ---- Replication, leader
 
     private void tickLeader(long now) {
-        if (!heardFromMajority(now)) {
+        if (!hasQuorumContact(now)) {
             becomeFollower(term, null);
             return;
         }
-        if (now >= heartbeatDueMillis) {
-            heartbeatDueMillis = now + settings.heartbeatMillis();
+        if (now >= nextHeartbeatMillis) {
+            nextHeartbeatMillis = now + settings.heartbeatMillis();
             replicateToAll();
             changeMembers(now);
         }
     }
 
-    private boolean heardFromMajority(long now) {
-        Set<Member> heard = replications.contactedAfter(now - settings.electionTimeoutMillis());
-        heard.add(self);
-        return isMajority(heard);
+    private boolean hasQuorumContact(long now) {
+        Set<Member> contacts = progress.contactedAfter(now - settings.electionTimeoutMillis());
+        contacts.add(self);
+        return isMajority(contacts);
     }
 
     private void appendAsLeader(byte[] command, List<Member> members) {
@@ -406,54 +412,54 @@
         for (Member peer : peers()) {
             sendAppend(peer);
         }
-        changes.learner().ifPresent(this::sendAppend);
+        membershipChanges.learner().ifPresent(this::sendAppend);
     }
 
     private void sendAppend(Member to) {
-        FollowerProgress replication = replications.findOrTrack(to, log.lastIndex() + 1, clock.millis());
-        if (replication.nextIndex() <= log.snapshot().index()) {
-            sendSnapshot(to, replication);
+        FollowerProgress follower = progress.findOrTrack(to, log.lastIndex() + 1, clock.millis());
+        if (follower.nextIndex() <= log.snapshot().index()) {
+            sendSnapshot(to, follower);
             return;
         }
-        long previous = replication.nextIndex() - 1;
+        long previous = follower.nextIndex() - 1;
         long last = previous + settings.maxBatchEntries();
-        List<LogEntry> entries = log.entriesBetween(replication.nextIndex(), last);
+        List<LogEntry> entries = log.entriesBetween(follower.nextIndex(), last);
         send(to, new AppendRequest(self, term, previous, log.termAt(previous), entries, commitIndex));
-        replication.recordSent(previous + entries.size());
+        follower.recordSent(previous + entries.size());
     }
 
-    private void sendSnapshot(Member to, FollowerProgress replication) {
+    private void sendSnapshot(Member to, FollowerProgress follower) {
         long now = clock.millis();
-        if (now - replication.snapshotSentMillis() >= settings.electionTimeoutMillis()
-                || replication.snapshotSentMillis() == Long.MIN_VALUE) {
-            replication.recordSnapshotSent(now);
+        if (now - follower.snapshotSentMillis() >= settings.electionTimeoutMillis()
+                || follower.snapshotSentMillis() == Long.MIN_VALUE) {
+            follower.recordSnapshotSent(now);
             send(to, new SnapshotRequest(self, term, log.snapshot()));
         }
     }
 
     private void onAppendReply(AppendReply reply) {
-        FollowerProgress replication = replications.find(reply.from()).orElse(null);
-        if (role != Role.LEADER || reply.term() != term || replication == null) {
+        FollowerProgress follower = progress.find(reply.from()).orElse(null);
+        if (role != Role.LEADER || reply.term() != term || follower == null) {
             return;
         }
-        replication.recordContact(clock.millis());
+        follower.recordContact(clock.millis());
         if (!reply.accepted()) {
-            replication.rewindTo(reply.matchIndex() + 1);
+            follower.rewindTo(reply.matchIndex() + 1);
             sendAppend(reply.from());
             return;
         }
-        replication.recordMatch(reply.matchIndex());
+        follower.recordMatch(reply.matchIndex());
         advanceCommit();
-        if (replication.nextIndex() <= log.lastIndex()) {
+        if (follower.nextIndex() <= log.lastIndex()) {
             sendAppend(reply.from());
         }
     }
 
     private void advanceCommit() {
         for (long index = log.lastIndex(); index > commitIndex && log.termAt(index) == term; index--) {
-            Set<Member> holders = replications.membersHolding(index);
-            holders.add(self);
-            if (isMajority(holders)) {
+            Set<Member> replicas = progress.membersHolding(index);
+            replicas.add(self);
+            if (isMajority(replicas)) {
                 commitIndex = index;
                 stepDownIfRemoved();
                 return;
@@ -468,30 +474,30 @@
         }
     }
 
-    // ---- replication, on a follower
+    // ---- Replication, follower
 
     private void onAppendRequest(AppendRequest request) {
-        if (isOutdated(request)) {
+        if (rejectIfStale(request)) {
             return;
         }
-        followLeader(request.from());
+        acceptLeader(request.from());
         long previous = request.previousIndex();
-        boolean agrees = previous <= commitIndex || log.matches(previous, request.previousTerm());
-        if (!agrees) {
-            long hint = Math.min(log.lastIndex(), previous - 1);
-            send(request.from(), new AppendReply(self, term, false, Math.max(hint, commitIndex)));
+        boolean matches = previous <= commitIndex || log.matches(previous, request.previousTerm());
+        if (!matches) {
+            long lastPossibleMatch = Math.min(log.lastIndex(), previous - 1);
+            send(request.from(), new AppendReply(self, term, false, Math.max(lastPossibleMatch, commitIndex)));
             return;
         }
-        request.entries().forEach(this::storeAsFollower);
-        long matched = Math.max(previous + request.entries().size(), commitIndex);
-        commitIndex = Math.max(commitIndex, Math.min(request.commitIndex(), matched));
+        request.entries().forEach(this::appendAsFollower);
+        long matchIndex = Math.max(previous + request.entries().size(), commitIndex);
+        commitIndex = Math.max(commitIndex, Math.min(request.commitIndex(), matchIndex));
         if (commitIndex >= request.commitIndex()) {
-            caughtUpMillis = clock.millis();
+            lastCaughtUpMillis = clock.millis();
         }
-        send(request.from(), new AppendReply(self, term, true, matched));
+        send(request.from(), new AppendReply(self, term, true, matchIndex));
     }
 
-    private void storeAsFollower(LogEntry entry) {
+    private void appendAsFollower(LogEntry entry) {
         if (entry.index() <= commitIndex || log.termAt(entry.index()) == entry.term()) {
             return;
         }
@@ -504,25 +510,25 @@
     }
 
     private void onSnapshotRequest(SnapshotRequest request) {
-        if (isOutdated(request)) {
+        if (rejectIfStale(request)) {
             return;
         }
-        followLeader(request.from());
+        acceptLeader(request.from());
         Snapshot snapshot = request.snapshot();
         if (log.matches(snapshot.index(), snapshot.term())) {
-            // this log leads there and may lead further: what follows may have been acknowledged
+            // The log already contains the snapshot's last entry; entries after it may have been acknowledged.
             commitIndex = Math.max(commitIndex, snapshot.index());
         } else if (snapshot.index() > commitIndex) {
             log.resetTo(snapshot);
             outbox.installSnapshot(snapshot);
             commitIndex = snapshot.index();
-            handedOutIndex = snapshot.index();
+            deliveredIndex = snapshot.index();
         }
         send(request.from(), new AppendReply(self, term, true, commitIndex));
     }
 
-    /** Tells the sender of a message of an earlier term so; returns true if that is all there is to do. */
-    private boolean isOutdated(RaftMessage message) {
+    /** Rejects a message from an earlier term; returns true if the message was rejected. */
+    private boolean rejectIfStale(RaftMessage message) {
         if (message.term() >= term) {
             return false;
         }
@@ -530,33 +536,34 @@
         return true;
     }
 
-    private void followLeader(Member from) {
+    private void acceptLeader(Member from) {
         becomeFollower(term, from);
-        leaderHeardMillis = clock.millis();
-        everHeardLeader = true;
+        lastLeaderContactMillis = clock.millis();
+        hasSeenLeader = true;
         restartElectionTimer();
     }
 
-    // ---- members
+    // ---- Membership
 
     private void onJoinRequest(JoinRequest request) {
-        boolean free = changes.learner().isEmpty() && !isVoter(request.from());
-        if (role == Role.LEADER && free && admissible.test(request.from())) {
-            changes.addLearner(request.from(), log.lastIndex() + 1, clock.millis());
+        boolean canJoin = membershipChanges.learner().isEmpty() && !isVoter(request.from());
+        if (role == Role.LEADER && canJoin && admissionPolicy.test(request.from())) {
+            membershipChanges.addLearner(request.from(), log.lastIndex() + 1, clock.millis());
             sendAppend(request.from());
         }
     }
 
-    /** Admits a joiner or removes a silent member, one step at a time, each committed before the next. */
+    /** Proposes the next membership change, unless the previous one is not yet committed. */
     private void changeMembers(long now) {
-        changes.updateLearner(members(), now);
-        boolean changing = !log.membersAt(commitIndex).equals(members());
-        if (changing || !isEstablishedLeader()) {
+        membershipChanges.updateLearner(members(), now);
+        boolean changePending = !log.membersAt(commitIndex).equals(members());
+        if (changePending || !isEstablishedLeader()) {
             return;
         }
-        changes.nextAdmission(members(), commitIndex)
-                .or(() -> changes.nextRemoval(members(), peers(), now))
-                .ifPresent(changed -> appendAsLeader(new byte[0], changed));
+        membershipChanges
+                .nextAdmission(members(), commitIndex)
+                .or(() -> membershipChanges.nextRemoval(members(), peers(), now))
+                .ifPresent(members -> appendAsLeader(new byte[0], members));
     }
 
     private boolean isVoter(Member member) {
@@ -579,6 +586,6 @@
 
     @Override
     public String toString() {
-        return "Agreement[" + self.box() + " " + role + " term " + term + " committed " + commitIndex + "]";
+        return "RaftNode[" + self.box() + " " + role + " term " + term + " committed " + commitIndex + "]";
     }
 }
--- a/core/src/main/java/org/bankturn/agreement/RaftSettings.java
+++ b/core/src/main/java/org/bankturn/agreement/RaftSettings.java
@@ -1,36 +1,38 @@
 package org.bankturn.agreement;
 
 /**
- * Timing and sizes of an agreement group.
+ * Timing and size limits of a Raft group.
  *
- * @param electionTimeoutMillis silence after which a member stands for election; drawn between one and two of these
- * @param heartbeatMillis the time between a leader's messages, well below the election timeout
- * @param maxBatchEntries entries in one message at most
- * @param minMembers silent members are taken out of larger groups than this
+ * @param electionTimeoutMillis the minimum election timeout; each timeout is drawn between this value and twice as much
+ * @param heartbeatMillis the interval between heartbeats, at most a third of the election timeout
+ * @param maxBatchEntries the maximum number of entries in one message
+ * @param minMembers the group size at or below which unresponsive members are not removed
  */
 public record RaftSettings(long electionTimeoutMillis, long heartbeatMillis, int maxBatchEntries, int minMembers) {
-    /** A group that never takes out members because they are silent. */
+    /** The value of {@code minMembers} that disables the removal of unresponsive members. */
     public static final int NEVER_REMOVE_MEMBERS = Integer.MAX_VALUE;
 
-    /** Settings for halls a few milliseconds apart. */
+    /** Settings for data halls with round trips of a few milliseconds. */
     public static final RaftSettings DEFAULT = new RaftSettings(1_000, 150, 64, NEVER_REMOVE_MEMBERS);
 
     /**
-     * Returns settings of a group that keeps silent members.
+     * Creates settings that never remove unresponsive members.
      *
-     * @param electionTimeoutMillis see the class
-     * @param heartbeatMillis see the class
-     * @param maxBatchEntries see the class
+     * @param electionTimeoutMillis the minimum election timeout
+     * @param heartbeatMillis the interval between heartbeats
+     * @param maxBatchEntries the maximum number of entries in one message
      */
     public RaftSettings(long electionTimeoutMillis, long heartbeatMillis, int maxBatchEntries) {
         this(electionTimeoutMillis, heartbeatMillis, maxBatchEntries, NEVER_REMOVE_MEMBERS);
     }
 
-    /** Checks that heartbeats are well below the timeout. */
+    /** Validates the timing. */
     public RaftSettings {
         if (heartbeatMillis <= 0 || electionTimeoutMillis < 3 * heartbeatMillis) {
-            throw new IllegalArgumentException("electionTimeoutMillis must be three heartbeats or more: "
-                    + electionTimeoutMillis + " against " + heartbeatMillis);
+            throw new IllegalArgumentException(
+                    "heartbeatMillis must be positive and electionTimeoutMillis at least three"
+                            + " times as long: heartbeatMillis=" + heartbeatMillis + ", electionTimeoutMillis="
+                            + electionTimeoutMillis);
         }
     }
 }
--- a/core/src/main/java/org/bankturn/agreement/Ready.java
+++ b/core/src/main/java/org/bankturn/agreement/Ready.java
@@ -3,17 +3,16 @@
 import java.util.List;
 
 /**
- * What a caller must do after a step, in this order: store, then send, then apply.
+ * The pending work after a step, to be carried out in this order: persist, send, apply.
  *
  * <p>The vote, the snapshot and the entries must be synced before any message is sent.
  *
- * @param vote the vote to store, null if unchanged
- * @param installed a snapshot that replaces the whole log, null if none
- * @param entries entries to store; the first one's index cuts off whatever is stored from there on
- * @param commitIndex the index up to which entries are known to be committed, to be stored with them; it may be stored
- *     late, since a member that starts again learns of more from its leader
- * @param messages messages to send once all of the above is synced
- * @param committed entries to apply, in order
+ * @param vote the vote to persist, null if unchanged
+ * @param installed the snapshot that replaces the whole log, null if none
+ * @param entries the entries to persist; the first one truncates the persisted log from its index on, not null
+ * @param commitIndex the commit index to persist with the entries; an outdated value is safe
+ * @param messages the messages to send after the sync, not null
+ * @param committed the committed entries to apply, in order, not null
  */
 public record Ready(
         Vote vote,
@@ -22,10 +21,10 @@
         long commitIndex,
         List<Outbound> messages,
         List<LogEntry> committed) {
-    /** A message and the member it goes to. */
+    /** A message and its recipient. */
     public record Outbound(Member to, RaftMessage message) {}
 
-    /** Returns true if something must be synced before messages are sent. */
+    /** Returns true if state must be synced before the messages are sent. */
     public boolean mustSync() {
         return vote != null || installed != null || !entries.isEmpty();
     }
--- a/core/src/main/java/org/bankturn/agreement/Role.java
+++ b/core/src/main/java/org/bankturn/agreement/Role.java
@@ -1,13 +1,13 @@
 package org.bankturn.agreement;
 
-/** What a member of an agreement group is doing. */
+/** The role of a member in a Raft group. */
 public enum Role {
-    /** Stores what a leader sends, or waits for one. */
+    /** Replicates the leader's log, or waits for a leader. */
     FOLLOWER,
-    /** Asks whether it would be elected, without disturbing anyone. */
+    /** Requests pre-votes, without incrementing the term. */
     PRE_CANDIDATE,
-    /** Asks for votes in a new term. */
+    /** Requests votes in a new term. */
     CANDIDATE,
-    /** Orders the log. */
+    /** Appends entries to the log and replicates them. */
     LEADER
 }
--- a/core/src/main/java/org/bankturn/agreement/Vote.java
+++ b/core/src/main/java/org/bankturn/agreement/Vote.java
@@ -1,12 +1,12 @@
 package org.bankturn.agreement;
 
 /**
- * What a member must never forget: the newest term it has seen and whom it voted for in it.
+ * The current term and the vote cast in it. A member must persist both before it answers.
  *
- * @param term the term, from 0
+ * @param term the current term, starting at 0
  * @param votedFor the member voted for in this term, null if none
  */
 public record Vote(long term, Member votedFor) {
-    /** The vote of a member that has seen no term. */
+    /** The vote of a member that has not taken part in any term. */
     public static final Vote NONE = new Vote(0, null);
 }
--- a/core/src/main/java/org/bankturn/agreement/package-info.java
+++ b/core/src/main/java/org/bankturn/agreement/package-info.java
@@ -1,4 +1,6 @@
 /**
- * Agreement among the control boxes as a pure state machine, after Raft (Ongaro, 2014): messages and ticks in; entries to sync, messages to send and entries to apply out. specs/Agreement.tla uses the same action names.
+ * The Raft consensus algorithm (Ongaro, 2014) as a deterministic state machine without I/O. Its inputs are messages and
+ * clock ticks; its outputs are entries to persist, messages to send and committed entries to apply. Modelled in
+ * {@code specs/Agreement.tla}.
  */
 package org.bankturn.agreement;
