--- a/core/src/test/java/org/bankturn/agreement/FaultSimulation.java
+++ b/core/src/test/java/org/bankturn/agreement/FaultSimulation.java
@@ -22,88 +22,88 @@
 import org.bankturn.time.ManualClock;
 
 /**
- * One seeded schedule of faults against a group with its storage and its published state.
+ * A deterministic simulation of a Raft group, its storage and its published state under random faults.
  *
- * <p>Boxes are killed, lose power in the middle of a store, lose their disks, are replaced by boxes at other addresses, are
- * cut off one way or both; messages are late, doubled, lost and out of order; clocks jump and stand still. Checked all the
- * while: one leader a term, one entry an index, no read older than what was acknowledged before it began. Checked at the
- * end, when all is whole again: the group works, and the newest acknowledged change is in force everywhere.
+ * <p>Faults include crashes, torn writes, lost disks, replaced boxes, network partitions, message loss, duplication and
+ * reordering, and clock jumps. Checks throughout that each term has one leader, that each index has one entry, and that
+ * reads are linearizable; checks after all faults are repaired that the group is available and every box has the latest
+ * change.
  */
 final class FaultSimulation {
     private static final RaftSettings SETTINGS = new RaftSettings(100, 20, 4, 3);
-    private static final List<String> SEEDS = List.of("a", "b", "c");
+    private static final List<String> INITIAL_BOXES = List.of("a", "b", "c");
     private static final long TICK_MILLIS = 10;
     private static final int STEPS = 900;
-    private static final int MOST_MESSAGES = 300;
-    private static final int MOST_LOST_DISKS = 3;
+    private static final int MAX_IN_FLIGHT = 300;
+    private static final int MAX_LOST_DISKS = 3;
     private static final int SETTLE_ROUNDS = 500;
     private static final long JOIN_RETRY_MILLIS = 80;
-    private static final long ALONE_MILLIS = 320;
+    private static final long LEADERLESS_JOIN_MILLIS = 320;
 
     private final UniformRandomProvider random;
     private final SeededFault fault;
     private final Map<String, Box> boxes = new TreeMap<>();
     private final Set<String> removed = new HashSet<>();
     private final Set<String> cuts = new HashSet<>();
-    private final List<Flight> flights = new ArrayList<>();
-    private final Map<Long, LogEntry> accepted = new HashMap<>();
+    private final List<InFlightMessage> inFlight = new ArrayList<>();
+    private final Map<Long, LogEntry> committed = new HashMap<>();
     private final Map<Long, Member> leaders = new HashMap<>();
-    private long lives = 1;
+    private long lastIncarnation = 1;
     private long newestSent;
     private long newestAcknowledged;
     private int lostDisks;
 
-    /** A message on its way. */
-    private record Flight(String from, Ready.Outbound outbound) {}
+    /** A message that has been sent but not delivered. */
+    private record InFlightMessage(String from, Ready.Outbound outbound) {}
 
-    /** What waits for an entry: a version to be acknowledged, or the least version that a read must show. */
-    private record Waiting(long term, long version, boolean read) {}
+    /** A request waiting for its entry: a write of a version, or a read that must return at least this version. */
+    private record PendingRequest(long term, long version, boolean read) {}
 
-    /** A box, up or down. */
+    /** A simulated box. */
     private static final class Box {
         private final String name;
         private final ManualClock clock = ManualClock.startingAt(0);
-        private CrashingDirectory device;
-        private RaftNode agreement;
+        private CrashingDirectory disk;
+        private RaftNode node;
         private RaftStorage storage;
         private PublicationState state;
-        private boolean clockStands;
-        private long joinAskedMillis;
-        private long heardLeaderMillis;
-        private final Map<Long, Waiting> waiting = new HashMap<>();
+        private boolean clockStopped;
+        private long lastJoinRequestMillis;
+        private long lastLeaderContactMillis;
+        private final Map<Long, PendingRequest> pending = new HashMap<>();
 
         Box(String name) {
             this.name = name;
         }
 
         boolean isUp() {
-            return agreement != null;
+            return node != null;
         }
 
-        void down() {
-            agreement = null;
-            waiting.clear();
+        void crash() {
+            node = null;
+            pending.clear();
         }
     }
 
     FaultSimulation(long seed, SeededFault fault) {
         this.random = RandomSource.XO_RO_SHI_RO_128_PP.create(seed);
         this.fault = fault;
-        SEEDS.forEach(name -> boxes.put(name, new Box(name)));
+        INITIAL_BOXES.forEach(name -> boxes.put(name, new Box(name)));
         boxes.values().forEach(box -> startEmpty(box, 1));
     }
 
-    /** Plays the schedule; throws an AssertionError that says what went wrong. */
+    /** Runs the simulation; throws an AssertionError if a check fails. */
     void run() {
         for (int step = 0; step < STEPS; step++) {
-            act(random.nextInt(100));
+            step(random.nextInt(100));
         }
-        mendEverything();
-        settle();
-        checkEnd();
+        repairAll();
+        runRounds();
+        checkFinalState();
     }
 
-    private void act(int choice) {
+    private void step(int choice) {
         if (choice < 24) {
             tickAll();
         } else if (choice < 30) {
@@ -111,63 +111,64 @@
         } else if (choice < 33) {
             anyUp().ifPresent(this::read);
         } else if (choice < 45) {
-            fault(choice - 33);
+            injectFault(choice - 33);
         } else {
-            deliverAny();
+            deliverRandom();
         }
     }
 
-    private void fault(int kind) {
+    private void injectFault(int kind) {
         switch (kind) {
-            case 0 -> anyUp().filter(box -> random.nextInt(4) == 0).ifPresent(Box::down);
-            case 1, 2, 3 -> anyDown().ifPresent(this::startAgain);
+            case 0 -> anyUp().filter(box -> random.nextInt(4) == 0).ifPresent(Box::crash);
+            case 1, 2, 3 -> anyDown().ifPresent(this::restart);
             case 4 -> anyUp().filter(box -> random.nextInt(4) == 0).ifPresent(this::losePowerInStore);
             case 5 -> loseAllPower();
             case 6 -> loseDisk();
             case 7 -> replaceBox();
-            case 8 -> cutOneWay();
+            case 8 -> cutLink();
             case 9 -> cuts.clear();
             case 10 -> any(List.copyOf(boxes.values())).ifPresent(box -> box.clock.advance(random.nextInt(300)));
-            default -> any(List.copyOf(boxes.values())).ifPresent(this::stopOrMoveClock);
+            default -> any(List.copyOf(boxes.values())).ifPresent(this::toggleClock);
         }
     }
 
-    private void stopOrMoveClock(Box box) {
-        box.clockStands = !box.clockStands && random.nextBoolean();
+    private void toggleClock(Box box) {
+        box.clockStopped = !box.clockStopped && random.nextBoolean();
     }
 
-    // ---- starting and stopping
+    // ---- Starting and stopping
 
-    private void startEmpty(Box box, long life) {
-        boolean forms = life == 1 && SEEDS.contains(box.name);
-        List<Member> first =
-                forms ? SEEDS.stream().map(FaultSimulation::firstMember).toList() : List.of();
-        box.device = new CrashingDirectory(Integer.MAX_VALUE, 0);
+    private void startEmpty(Box box, long incarnation) {
+        boolean bootstraps = incarnation == 1 && INITIAL_BOXES.contains(box.name);
+        List<Member> first = bootstraps
+                ? INITIAL_BOXES.stream().map(FaultSimulation::firstMember).toList()
+                : List.of();
+        box.disk = new CrashingDirectory(Integer.MAX_VALUE, 0);
         try {
-            RaftStorage.create(box.device, life, Snapshot.initial(first));
+            RaftStorage.create(box.disk, incarnation, Snapshot.initial(first));
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
-        startAgain(box);
+        restart(box);
     }
 
     private static Member firstMember(String name) {
         return new Member(name, 1, name);
     }
 
-    private void startAgain(Box box) {
-        box.down();
-        box.device = box.device.afterCrash();
+    private void restart(Box box) {
+        box.crash();
+        box.disk = box.disk.afterCrash();
         try {
-            box.storage = RaftStorage.recover(box.device);
-            long life = RaftStorage.readIncarnation(box.device).orElseThrow();
-            Member self = new Member(box.name, life, box.name);
-            box.agreement = RaftNode.recover(self, stored(box), SETTINGS, box.clock, random, asking -> true);
+            box.storage = RaftStorage.recover(box.disk);
+            long incarnation = RaftStorage.readIncarnation(box.disk).orElseThrow();
+            Member self = new Member(box.name, incarnation, box.name);
+            box.node = RaftNode.recover(self, stored(box), SETTINGS, box.clock, random, joiner -> true);
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
-        box.state = PublicationState.restore(box.agreement.snapshot().state());
-        box.heardLeaderMillis = box.clock.millis();
+        box.state = PublicationState.restore(box.node.snapshot().state());
+        box.lastLeaderContactMillis = box.clock.millis();
     }
 
     private PersistentState stored(Box box) {
@@ -178,7 +179,7 @@
     }
 
     private void losePowerInStore(Box box) {
-        box.device.stopAfter(random.nextInt(3), random.nextInt(40));
+        box.disk.stopAfter(random.nextInt(3), random.nextInt(40));
     }
 
     private void loseAllPower() {
@@ -187,80 +188,80 @@
         }
         boxes.values().stream().filter(Box::isUp).forEach(box -> {
             losePowerInStore(box);
-            box.down();
+            box.crash();
         });
     }
 
     private void loseDisk() {
-        if (random.nextInt(3) > 0 || lostDisks >= MOST_LOST_DISKS || !isWhole()) {
+        if (random.nextInt(3) > 0 || lostDisks >= MAX_LOST_DISKS || !canLoseDisk()) {
             return;
         }
         lostDisks++;
         anyUp().ifPresent(box -> {
             if (fault == SeededFault.REUSES_INCARNATION_AFTER_DISK_LOSS) {
-                startAsFormerMember(box);
+                restartWithOldIdentity(box);
             } else {
-                startEmpty(box, comesBackAsItWas(box) ? 1 : ++lives);
+                startEmpty(box, reusesIncarnation(box) ? 1 : ++lastIncarnation);
             }
         });
     }
 
-    private boolean comesBackAsItWas(Box box) {
-        return fault == SeededFault.BOOTSTRAPS_AGAIN_AFTER_DISK_LOSS && SEEDS.contains(box.name);
+    private boolean reusesIncarnation(Box box) {
+        return fault == SeededFault.BOOTSTRAPS_AGAIN_AFTER_DISK_LOSS && INITIAL_BOXES.contains(box.name);
     }
 
-    /** The seeded fault: the identity outlived the disk, the vote and the log did not. */
-    private void startAsFormerMember(Box box) {
+    /** Restarts a box with its old incarnation but without its vote and log. */
+    private void restartWithOldIdentity(Box box) {
         RaftNode leader = leader().orElseThrow();
         Member former = leader.members().stream()
                 .filter(member -> member.box().equals(box.name))
                 .findFirst()
                 .orElse(firstMember(box.name));
-        box.device = new CrashingDirectory(Integer.MAX_VALUE, 0);
+        box.disk = new CrashingDirectory(Integer.MAX_VALUE, 0);
         try {
-            RaftStorage.create(box.device, former.incarnation(), Snapshot.initial(leader.members()));
+            RaftStorage.create(box.disk, former.incarnation(), Snapshot.initial(leader.members()));
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
-        startAgain(box);
+        restart(box);
     }
 
     private void replaceBox() {
-        if (random.nextInt(6) > 0 || lostDisks >= MOST_LOST_DISKS || !isWhole()) {
+        if (random.nextInt(6) > 0 || lostDisks >= MAX_LOST_DISKS || !canLoseDisk()) {
             return;
         }
         lostDisks++;
         anyUp().ifPresent(box -> {
-            box.down();
+            box.crash();
             removed.add(box.name);
             boxes.remove(box.name);
-            Box other = new Box("new-" + ++lives);
+            Box other = new Box("new-" + ++lastIncarnation);
             other.clock.advance(box.clock.millis());
             boxes.put(other.name, other);
-            startEmpty(other, lives);
+            startEmpty(other, lastIncarnation);
         });
     }
 
-    private void cutOneWay() {
+    private void cutLink() {
         List<String> names = List.copyOf(boxes.keySet());
         cuts.add(names.get(random.nextInt(names.size())) + ">" + names.get(random.nextInt(names.size())));
     }
 
-    /** Returns true if a disk may be lost: every member still has its own, and no change of members is under way. */
-    private boolean isWhole() {
+    /** Returns true if every member has its original disk and no membership change is pending. */
+    private boolean canLoseDisk() {
         Optional<RaftNode> leader = leader();
         return leader.isPresent()
-                && leader.get().members().size() >= SEEDS.size()
+                && leader.get().members().size() >= INITIAL_BOXES.size()
                 && leader.get().commitIndex() == leader.get().lastIndex()
-                && leader.get().members().stream().allMatch(this::hasItsDisk);
+                && leader.get().members().stream().allMatch(this::hasOriginalDisk);
     }
 
-    private boolean hasItsDisk(Member member) {
+    private boolean hasOriginalDisk(Member member) {
         Box box = boxes.get(member.box());
         try {
             return box != null
-                    && RaftStorage.readIncarnation(box.device)
-                            .filter(life -> life == member.incarnation())
+                    && RaftStorage.readIncarnation(box.disk)
+                            .filter(incarnation -> incarnation == member.incarnation())
                             .isPresent();
         } catch (IOException e) {
             throw new UncheckedIOException(e);
@@ -270,68 +271,69 @@
     private Optional<RaftNode> leader() {
         return boxes.values().stream()
                 .filter(Box::isUp)
-                .map(box -> box.agreement)
+                .map(box -> box.node)
                 .filter(RaftNode::isEstablishedLeader)
                 .max((one, other) -> Long.compare(one.term(), other.term()));
     }
 
-    // ---- time and messages
+    // ---- Time and messages
 
     private void tickAll() {
         for (Box box : List.copyOf(boxes.values())) {
-            if (!box.clockStands) {
+            if (!box.clockStopped) {
                 box.clock.advance(TICK_MILLIS);
             }
             if (box.isUp()) {
-                box.agreement.tick();
-                askToJoinIfNeeded(box);
-                carryOut(box);
+                box.node.tick();
+                requestJoinIfNeeded(box);
+                process(box);
             }
         }
     }
 
-    private void askToJoinIfNeeded(Box box) {
+    private void requestJoinIfNeeded(Box box) {
         long now = box.clock.millis();
-        if (box.agreement.leader().isPresent()) {
-            box.heardLeaderMillis = now;
-        }
-        boolean outside = !box.agreement.members().contains(box.agreement.self());
-        boolean alone = now - box.heardLeaderMillis > ALONE_MILLIS;
-        if ((outside || alone) && now - box.joinAskedMillis >= JOIN_RETRY_MILLIS) {
-            box.joinAskedMillis = now;
-            box.agreement.requestJoin(boxes.keySet().stream()
+        if (box.node.leader().isPresent()) {
+            box.lastLeaderContactMillis = now;
+        }
+        boolean outside = !box.node.members().contains(box.node.self());
+        boolean leaderless = now - box.lastLeaderContactMillis > LEADERLESS_JOIN_MILLIS;
+        if ((outside || leaderless) && now - box.lastJoinRequestMillis >= JOIN_RETRY_MILLIS) {
+            box.lastJoinRequestMillis = now;
+            box.node.requestJoin(boxes.keySet().stream()
                     .filter(name -> !name.equals(box.name))
                     .map(name -> new Member(name, 0, name))
                     .toList());
         }
     }
 
-    /** Delivers a message taken at random; it is doubled or lost one time in ten each. */
-    private void deliverAny() {
-        if (flights.isEmpty()) {
+    /** Delivers a random message; duplicates or drops it with a probability of 10% each. */
+    private void deliverRandom() {
+        if (inFlight.isEmpty()) {
             return;
         }
-        int chosen = random.nextInt(flights.size());
-        int fate = random.nextInt(10);
-        Flight flight = fate == 0 ? flights.get(chosen) : flights.remove(chosen);
-        if (fate != 1) {
-            deliver(flight);
+        int chosen = random.nextInt(inFlight.size());
+        int outcome = random.nextInt(10);
+        InFlightMessage message = outcome == 0 ? inFlight.get(chosen) : inFlight.remove(chosen);
+        if (outcome != 1) {
+            deliver(message);
         }
     }
 
-    private void deliver(Flight flight) {
-        Box to = boxes.get(flight.outbound().to().box());
-        boolean cut = cuts.contains(flight.from() + ">" + flight.outbound().to().box());
+    private void deliver(InFlightMessage message) {
+        Box to = boxes.get(message.outbound().to().box());
+        boolean cut =
+                cuts.contains(message.from() + ">" + message.outbound().to().box());
         if (to != null && to.isUp() && !cut) {
-            to.agreement.receive(flight.outbound().message());
-            carryOut(to);
+            to.node.receive(message.outbound().message());
+            process(to);
         }
     }
 
-    // ---- what a member's thread does
+    // ---- Processing of Ready
 
-    private void carryOut(Box box) {
-        Ready ready = box.agreement.ready();
+    private void process(Box box) {
+        Ready ready = box.node.ready();
         if (fault == SeededFault.SENDS_BEFORE_SYNC) {
             send(box, ready);
         }
@@ -340,7 +342,7 @@
                 box.storage.store(ready);
             }
         } catch (IOException e) {
-            box.down();
+            box.crash();
             return;
         }
         if (fault != SeededFault.SENDS_BEFORE_SYNC) {
@@ -350,61 +352,63 @@
             box.state = PublicationState.restore(ready.installed().state());
         }
         ready.committed().forEach(entry -> apply(box, entry));
-        checkLeader(box.agreement);
+        checkLeader(box.node);
         compactSometimes(box);
     }
 
     private void send(Box box, Ready ready) {
-        ready.messages().forEach(message -> flights.add(new Flight(box.name, message)));
-        while (flights.size() > MOST_MESSAGES) {
-            flights.remove(random.nextInt(flights.size()));
+        ready.messages().forEach(message -> inFlight.add(new InFlightMessage(box.name, message)));
+        while (inFlight.size() > MAX_IN_FLIGHT) {
+            inFlight.remove(random.nextInt(inFlight.size()));
         }
     }
 
     private void apply(Box box, LogEntry entry) {
-        LogEntry before = accepted.putIfAbsent(entry.index(), entry);
-        boolean same =
-                before == null || (before.term() == entry.term() && Arrays.equals(before.command(), entry.command()));
-        check(same, "entry " + entry.index() + " reverted at " + box.name);
+        LogEntry previous = committed.putIfAbsent(entry.index(), entry);
+        boolean same = previous == null
+                || (previous.term() == entry.term() && Arrays.equals(previous.command(), entry.command()));
+        check(same, "committed entry " + entry.index() + " differs on " + box.name);
         if (entry.command().length > 0) {
             box.state.apply(
                     entry.index(), MessagePackCodec.instance().decode(entry.command(), PublicationCommand.class));
         }
-        Waiting waiting = box.waiting.remove(entry.index());
-        if (waiting != null && waiting.term() == entry.term()) {
-            answer(box, waiting);
+        PendingRequest request = box.pending.remove(entry.index());
+        if (request != null && request.term() == entry.term()) {
+            complete(box, request);
         }
     }
 
-    private void answer(Box box, Waiting waiting) {
-        long shown = box.state.documentVersion();
-        if (waiting.read()) {
-            check(shown >= waiting.version(), "read " + shown + ", acknowledged before " + waiting.version());
+    private void complete(Box box, PendingRequest request) {
+        long visible = box.state.documentVersion();
+        if (request.read()) {
+            check(
+                    visible >= request.version(),
+                    "read returned version " + visible + " after version " + request.version() + " was acknowledged");
         } else {
-            newestAcknowledged = Math.max(newestAcknowledged, waiting.version());
+            newestAcknowledged = Math.max(newestAcknowledged, request.version());
         }
     }
 
     private void compactSometimes(Box box) {
-        long applied = box.agreement.commitIndex();
-        if (random.nextInt(60) > 0 || applied <= box.agreement.snapshot().index()) {
+        long applied = box.node.commitIndex();
+        if (random.nextInt(60) > 0 || applied <= box.node.snapshot().index()) {
             return;
         }
         try {
-            box.storage.compact(box.agreement.compact(applied, box.state.snapshot()));
+            box.storage.compact(box.node.compact(applied, box.state.snapshot()));
         } catch (IOException e) {
-            box.down();
+            box.crash();
         }
     }
 
     private void checkLeader(RaftNode member) {
         if (member.role() == Role.LEADER) {
-            Member before = leaders.putIfAbsent(member.term(), member.self());
-            check(before == null || before.equals(member.self()), "two leaders in term " + member.term());
+            Member previous = leaders.putIfAbsent(member.term(), member.self());
+            check(previous == null || previous.equals(member.self()), "two leaders in term " + member.term());
         }
     }
 
-    // ---- callers
+    // ---- Clients
 
     private void put(Box box) {
         long version = ++newestSent;
@@ -412,69 +416,69 @@
     }
 
     private void read(Box box) {
-        if (fault == SeededFault.READS_WITHOUT_CONFIRMATION && box.agreement.isEstablishedLeader()) {
-            answer(box, new Waiting(0, newestAcknowledged, true));
+        if (fault == SeededFault.READS_WITHOUT_CONFIRMATION && box.node.isEstablishedLeader()) {
+            complete(box, new PendingRequest(0, newestAcknowledged, true));
             return;
         }
         submit(box, new PublicationCommand.Confirm(), newestAcknowledged, true);
     }
 
     private void submit(Box box, PublicationCommand command, long version, boolean read) {
-        if (!box.agreement.isEstablishedLeader()) {
+        if (!box.node.isEstablishedLeader()) {
             return;
         }
-        OptionalLong index = box.agreement.propose(MessagePackCodec.instance().encode(command));
-        index.ifPresent(at -> box.waiting.put(at, new Waiting(box.agreement.term(), version, read)));
-        carryOut(box);
+        OptionalLong index = box.node.propose(MessagePackCodec.instance().encode(command));
+        index.ifPresent(at -> box.pending.put(at, new PendingRequest(box.node.term(), version, read)));
+        process(box);
     }
 
-    // ---- the end
+    // ---- Final state
 
-    private void mendEverything() {
+    private void repairAll() {
         cuts.clear();
-        boxes.values().forEach(box -> box.clockStands = false);
-        boxes.values().stream().filter(box -> !box.isUp()).forEach(this::startAgain);
-        boxes.values().forEach(box -> box.device.stopAfter(Integer.MAX_VALUE, 0));
+        boxes.values().forEach(box -> box.clockStopped = false);
+        boxes.values().stream().filter(box -> !box.isUp()).forEach(this::restart);
+        boxes.values().forEach(box -> box.disk.stopAfter(Integer.MAX_VALUE, 0));
     }
 
-    private void settle() {
+    private void runRounds() {
         for (int round = 0; round < SETTLE_ROUNDS; round++) {
             tickAll();
-            for (int step = 0; step < 100 && !flights.isEmpty(); step++) {
-                deliver(flights.remove(0));
+            for (int step = 0; step < 100 && !inFlight.isEmpty(); step++) {
+                deliver(inFlight.remove(0));
             }
         }
     }
 
-    private void checkEnd() {
-        RaftNode leader = leader().orElseThrow(() -> new AssertionError("no leader at the end: " + describe()));
+    private void checkFinalState() {
+        RaftNode leader = leader().orElseThrow(() -> new AssertionError("no leader after repair: " + describe()));
         put(boxes.get(leader.self().box()));
-        settle();
-        check(newestAcknowledged == newestSent, "a change is not acknowledged at the end: " + describe());
+        runRounds();
+        check(newestAcknowledged == newestSent, "change not acknowledged after repair: " + describe());
         for (Box box : boxes.values()) {
-            check(leader.members().contains(box.agreement.self()), box.name + " is outside at the end");
-            long shown = box.state.documentVersion();
+            check(leader.members().contains(box.node.self()), box.name + " is not a member after repair");
+            long visible = box.state.documentVersion();
             check(
-                    shown == newestAcknowledged,
-                    box.name + " shows " + shown + ", not " + newestAcknowledged + ": " + describe());
+                    visible == newestAcknowledged,
+                    box.name + " has version " + visible + ", expected " + newestAcknowledged + ": " + describe());
         }
     }
 
     private String describe() {
         return boxes.values().stream()
-                .map(box -> box.agreement + " of "
-                        + box.agreement.members().stream().map(Member::box).toList())
+                .map(box -> box.node + " of "
+                        + box.node.members().stream().map(Member::box).toList())
                 .toList()
                 .toString();
     }
 
-    private static void check(boolean holds, String otherwise) {
+    private static void check(boolean holds, String message) {
         if (!holds) {
-            throw new AssertionError(otherwise);
+            throw new AssertionError(message);
         }
     }
 
-    // ---- choosing
+    // ---- Random selection
 
     private Optional<Box> anyUp() {
         return any(boxes.values().stream().filter(Box::isUp).toList());
@@ -484,7 +488,7 @@
         return any(boxes.values().stream().filter(box -> !box.isUp()).toList());
     }
 
-    private Optional<Box> any(List<Box> some) {
-        return some.isEmpty() ? Optional.empty() : Optional.of(some.get(random.nextInt(some.size())));
+    private Optional<Box> any(List<Box> candidates) {
+        return candidates.isEmpty() ? Optional.empty() : Optional.of(candidates.get(random.nextInt(candidates.size())));
     }
 }
--- a/core/src/test/java/org/bankturn/agreement/InMemoryCluster.java
+++ b/core/src/test/java/org/bankturn/agreement/InMemoryCluster.java
@@ -12,7 +12,7 @@
 import org.bankturn.agreement.Ready.Outbound;
 import org.bankturn.time.ManualClock;
 
-/** Members of one group with a bag of messages between them, stepped by a test; checks the invariants of the spec. */
+/** A Raft group connected by an in-memory network that the test steps; checks leader uniqueness and log consistency. */
 final class InMemoryCluster {
     static final RaftSettings SETTINGS = new RaftSettings(100, 20, 4);
 
@@ -23,9 +23,9 @@
     final Map<Long, LogEntry> committed = new TreeMap<>();
     final Map<Long, Member> leaders = new HashMap<>();
     final List<Outbound> inFlight = new ArrayList<>();
-    private final List<Member> first;
+    private final List<Member> initialMembers;
     private final RaftSettings settings;
-    private long lives = 1;
+    private long lastIncarnation = 1;
 
     InMemoryCluster(long seed, String... boxes) {
         this(SETTINGS, seed, boxes);
@@ -34,9 +34,10 @@
     InMemoryCluster(RaftSettings settings, long seed, String... boxes) {
         this.settings = settings;
         random = RandomSource.XO_RO_SHI_RO_128_PP.create(seed);
-        first = List.of(boxes).stream().map(box -> new Member(box, 1, box)).toList();
-        for (Member member : first) {
-            disks.put(member.box(), new PersistentState(Vote.NONE, Snapshot.initial(first), List.of(), 0));
+        initialMembers =
+                List.of(boxes).stream().map(box -> new Member(box, 1, box)).toList();
+        for (Member member : initialMembers) {
+            disks.put(member.box(), new PersistentState(Vote.NONE, Snapshot.initial(initialMembers), List.of(), 0));
             start(member);
         }
     }
@@ -44,7 +45,7 @@
     private void start(Member member) {
         running.put(
                 member.box(),
-                RaftNode.recover(member, disks.get(member.box()), settings, clock, random, asking -> true));
+                RaftNode.recover(member, disks.get(member.box()), settings, clock, random, joiner -> true));
     }
 
     void restart(String box) {
@@ -55,16 +56,16 @@
         running.remove(box);
     }
 
-    /** Starts a stopped box with the disk that it had. */
+    /** Starts a stopped box with its existing disk. */
     void startStopped(Member member) {
         start(member);
     }
 
-    /** Starts a box with an empty disk, under a name that may be new. */
+    /** Starts a new or existing box with an empty disk. */
     void startWithEmptyDisk(String box) {
-        lives++;
+        lastIncarnation++;
         disks.put(box, new PersistentState(Vote.NONE, Snapshot.initial(List.of()), List.of(), 0));
-        start(new Member(box, lives, box));
+        start(new Member(box, lastIncarnation, box));
     }
 
     void tickAll() {
@@ -73,29 +74,30 @@
             member.tick();
             boolean outside = member.members().stream().noneMatch(member.self()::equals);
             if (outside || member.leader().isEmpty()) {
-                member.requestJoin(first);
+                member.requestJoin(initialMembers);
             }
-            carryOut(member);
+            process(member);
         }
     }
 
-    /** Delivers a message taken at random; it is doubled or lost one time in ten each. */
+    /** Delivers a random message; if {@code faulty}, duplicates or drops it with a probability of 10% each. */
     void deliverRandom(boolean faulty) {
         if (inFlight.isEmpty()) {
             return;
         }
         int chosen = random.nextInt(inFlight.size());
-        int fate = faulty ? random.nextInt(10) : 9;
-        Outbound outbound = fate == 0 ? inFlight.get(chosen) : inFlight.remove(chosen);
+        int fault = faulty ? random.nextInt(10) : 9;
+        Outbound outbound = fault == 0 ? inFlight.get(chosen) : inFlight.remove(chosen);
         RaftNode member = running.get(outbound.to().box());
         if (member == null) {
             inFlight.remove(outbound);
             return;
         }
-        boolean sameLife = member.self().equals(outbound.to()) || outbound.message() instanceof RaftMessage.JoinRequest;
-        if (fate != 1 && sameLife) {
+        boolean sameIncarnation =
+                member.self().equals(outbound.to()) || outbound.message() instanceof RaftMessage.JoinRequest;
+        if (fault != 1 && sameIncarnation) {
             member.receive(outbound.message());
-            carryOut(member);
+            process(member);
         }
     }
 
@@ -104,7 +106,7 @@
         Outbound outbound = inFlight.remove(0);
         RaftNode member = running.get(outbound.to().box());
         member.receive(outbound.message());
-        carryOut(member);
+        process(member);
     }
 
     void runRounds(int rounds) {
@@ -125,7 +127,7 @@
 
     void propose(RaftNode member, String command) {
         member.propose(command.getBytes(StandardCharsets.UTF_8));
-        carryOut(member);
+        process(member);
     }
 
     void compact(String box) {
@@ -142,19 +144,19 @@
         }
     }
 
-    private void carryOut(RaftNode member) {
+    private void process(RaftNode member) {
         Ready ready = member.ready();
         store(member.self().box(), ready);
         inFlight.addAll(ready.messages());
         for (LogEntry entry : ready.committed()) {
-            LogEntry before = committed.putIfAbsent(entry.index(), entry);
-            if (before != null && (before.term() != entry.term() || !sameCommand(before, entry))) {
-                throw new AssertionError("accepted entry reverted at " + entry.index());
+            LogEntry previous = committed.putIfAbsent(entry.index(), entry);
+            if (previous != null && (previous.term() != entry.term() || !sameCommand(previous, entry))) {
+                throw new AssertionError("committed entry " + entry.index() + " was replaced");
             }
         }
         if (member.role() == Role.LEADER) {
-            Member before = leaders.putIfAbsent(member.term(), member.self());
-            if (before != null && !before.equals(member.self())) {
+            Member previous = leaders.putIfAbsent(member.term(), member.self());
+            if (previous != null && !previous.equals(member.self())) {
                 throw new AssertionError("two leaders in term " + member.term());
             }
         }
--- a/core/src/test/java/org/bankturn/agreement/MembershipChangesTest.java
+++ b/core/src/test/java/org/bankturn/agreement/MembershipChangesTest.java
@@ -8,49 +8,51 @@
 class MembershipChangesTest {
     private static final RaftSettings SETTINGS = new RaftSettings(100, 20, 4, 3);
     private static final long NOW = 10_000;
-    private static final long LONG_AGO = NOW - 1_000;
+    private static final long STALE = NOW - 1_000;
 
     private final Member self = member("a");
-    private final Member alive = member("b");
+    private final Member responsive = member("b");
     private final Member silent = member("c");
-    private final Member joiner = member("d");
-    private final ProgressTracker replications = new ProgressTracker();
-    private final MembershipChanges changes = new MembershipChanges(SETTINGS, replications);
+    private final Member learner = member("d");
+    private final ProgressTracker progress = new ProgressTracker();
+    private final MembershipChanges changes = new MembershipChanges(SETTINGS, progress);
 
-    /** Dropping the silent one first left two members that both had to live. */
+    /** Removing the unresponsive member first would leave a group of two that tolerates no failure. */
     @Test
-    void a_new_box_is_admitted_beside_a_silent_member() {
-        replications.track(alive, 1, NOW);
-        replications.track(silent, 1, LONG_AGO);
-        changes.addLearner(joiner, 1, NOW);
-        assertThat(changes.nextAdmission(List.of(self, alive, silent), 0))
-                .contains(List.of(self, alive, silent, joiner));
+    void new_box_is_added_before_unresponsive_member_is_removed() {
+        progress.track(responsive, 1, NOW);
+        progress.track(silent, 1, STALE);
+        changes.addLearner(learner, 1, NOW);
+        assertThat(changes.nextAdmission(List.of(self, responsive, silent), 0))
+                .contains(List.of(self, responsive, silent, learner));
     }
 
     @Test
-    void the_silent_member_goes_once_the_group_is_larger() {
-        replications.track(alive, 1, NOW);
-        replications.track(silent, 1, LONG_AGO);
-        replications.track(joiner, 1, NOW);
-        assertThat(changes.nextRemoval(List.of(self, alive, silent, joiner), List.of(alive, silent, joiner), NOW))
-                .contains(List.of(self, alive, joiner));
+    void unresponsive_member_is_removed_after_a_new_member_is_added() {
+        progress.track(responsive, 1, NOW);
+        progress.track(silent, 1, STALE);
+        progress.track(learner, 1, NOW);
+        assertThat(changes.nextRemoval(
+                        List.of(self, responsive, silent, learner), List.of(responsive, silent, learner), NOW))
+                .contains(List.of(self, responsive, learner));
     }
 
     @Test
-    void no_member_goes_while_two_are_silent() {
-        replications.track(alive, 1, NOW - 150);
-        replications.track(silent, 1, LONG_AGO);
-        replications.track(joiner, 1, NOW);
-        assertThat(changes.nextRemoval(List.of(self, alive, silent, joiner), List.of(alive, silent, joiner), NOW))
+    void no_member_is_removed_while_two_are_unresponsive() {
+        progress.track(responsive, 1, NOW - 150);
+        progress.track(silent, 1, STALE);
+        progress.track(learner, 1, NOW);
+        assertThat(changes.nextRemoval(
+                        List.of(self, responsive, silent, learner), List.of(responsive, silent, learner), NOW))
                 .isEmpty();
     }
 
     @Test
-    void a_box_that_lost_its_disk_takes_the_place_of_the_member_it_was() {
-        Member newLife = new Member("c", 2, "c");
-        changes.addLearner(newLife, 1, NOW);
-        assertThat(changes.nextAdmission(List.of(self, alive, silent), 0)).contains(List.of(self, alive));
-        assertThat(changes.nextAdmission(List.of(self, alive), 0)).contains(List.of(self, alive, newLife));
+    void box_with_new_incarnation_replaces_its_former_member() {
+        Member rejoined = new Member("c", 2, "c");
+        changes.addLearner(rejoined, 1, NOW);
+        assertThat(changes.nextAdmission(List.of(self, responsive, silent), 0)).contains(List.of(self, responsive));
+        assertThat(changes.nextAdmission(List.of(self, responsive), 0)).contains(List.of(self, responsive, rejoined));
     }
 
     private static Member member(String box) {
--- a/core/src/test/java/org/bankturn/agreement/RaftNodeTest.java
+++ b/core/src/test/java/org/bankturn/agreement/RaftNodeTest.java
@@ -17,98 +17,98 @@
     private static final List<Member> MEMBERS = List.of(new Member("a", 1, "a"), LEADER, new Member("c", 1, "c"));
 
     @Property(tries = 150, seed = "20261202")
-    void no_schedule_of_faults_reverts_an_accepted_entry(@ForAll @LongRange(min = 1, max = 1_000_000) long seed) {
-        InMemoryCluster group = new InMemoryCluster(seed, "a", "b", "c");
+    void committed_entries_survive_random_faults(@ForAll @LongRange(min = 1, max = 1_000_000) long seed) {
+        InMemoryCluster cluster = new InMemoryCluster(seed, "a", "b", "c");
         List<String> boxes = List.of("a", "b", "c");
         boolean diskLost = false;
         for (int step = 0; step < 1_500; step++) {
-            int choice = group.random.nextInt(100);
-            String box = boxes.get(group.random.nextInt(boxes.size()));
+            int choice = cluster.random.nextInt(100);
+            String box = boxes.get(cluster.random.nextInt(boxes.size()));
             if (choice < 15) {
-                group.tickAll();
+                cluster.tickAll();
             } else if (choice < 22) {
-                group.propose(group.running.get(box), "command-" + step);
+                cluster.propose(cluster.running.get(box), "command-" + step);
             } else if (choice < 24) {
-                group.restart(box);
+                cluster.restart(box);
             } else if (choice < 25) {
-                group.compact(box);
+                cluster.compact(box);
             } else if (choice < 26 && !diskLost && step > 300) {
                 diskLost = true;
-                group.startWithEmptyDisk(box);
+                cluster.startWithEmptyDisk(box);
             } else {
-                group.deliverRandom(true);
+                cluster.deliverRandom(true);
             }
         }
-        group.runRounds(150);
-        assertThat(group.leader().members()).hasSize(3);
-        long before = group.leader().commitIndex();
-        group.propose(group.leader(), "last");
-        group.runRounds(5);
-        assertThat(group.leader().commitIndex()).isGreaterThan(before);
+        cluster.runRounds(150);
+        assertThat(cluster.leader().members()).hasSize(3);
+        long before = cluster.leader().commitIndex();
+        cluster.propose(cluster.leader(), "last");
+        cluster.runRounds(5);
+        assertThat(cluster.leader().commitIndex()).isGreaterThan(before);
     }
 
     @Test
-    void a_second_box_may_be_lost_right_after_the_first_was_repaired() {
-        InMemoryCluster group = new InMemoryCluster(7, "a", "b", "c");
-        group.runRounds(60);
-        group.propose(group.leader(), "kept");
-        group.runRounds(5);
-        long index = group.leader().commitIndex();
-        group.startWithEmptyDisk("a");
-        group.runRounds(100);
-        assertThat(group.leader().members()).extracting(Member::incarnation).contains(2L);
-        group.startWithEmptyDisk("b");
-        group.runRounds(100);
-        assertThat(group.leader().members()).extracting(Member::incarnation).contains(2L, 3L);
-        assertThat(group.leader().commitIndex()).isGreaterThan(index);
-        assertThat(group.committed.get(index).command()).asString().isEqualTo("kept");
+    void group_survives_second_disk_loss_after_replacing_the_first() {
+        InMemoryCluster cluster = new InMemoryCluster(7, "a", "b", "c");
+        cluster.runRounds(60);
+        cluster.propose(cluster.leader(), "kept");
+        cluster.runRounds(5);
+        long index = cluster.leader().commitIndex();
+        cluster.startWithEmptyDisk("a");
+        cluster.runRounds(100);
+        assertThat(cluster.leader().members()).extracting(Member::incarnation).contains(2L);
+        cluster.startWithEmptyDisk("b");
+        cluster.runRounds(100);
+        assertThat(cluster.leader().members()).extracting(Member::incarnation).contains(2L, 3L);
+        assertThat(cluster.leader().commitIndex()).isGreaterThan(index);
+        assertThat(cluster.committed.get(index).command()).asString().isEqualTo("kept");
     }
 
     @Test
-    void a_leader_that_was_frozen_accepts_nothing_when_it_wakes() {
-        InMemoryCluster group = new InMemoryCluster(3, "a", "b", "c");
-        group.runRounds(60);
-        RaftNode old = group.leader();
-        RaftNode other = group.running.values().stream()
-                .filter(member -> member != old)
+    void paused_leader_steps_down_without_committing() {
+        InMemoryCluster cluster = new InMemoryCluster(3, "a", "b", "c");
+        cluster.runRounds(60);
+        RaftNode oldLeader = cluster.leader();
+        RaftNode other = cluster.running.values().stream()
+                .filter(member -> member != oldLeader)
                 .findFirst()
                 .orElseThrow();
-        long before = group.committed.size();
-        group.clock.advance(10 * InMemoryCluster.SETTINGS.electionTimeoutMillis());
-        old.propose("woken".getBytes(StandardCharsets.UTF_8));
-        old.tick();
-        assertThat(old.role()).isEqualTo(Role.FOLLOWER);
-        assertThat(group.committed).hasSize((int) before);
+        long before = cluster.committed.size();
+        cluster.clock.advance(10 * InMemoryCluster.SETTINGS.electionTimeoutMillis());
+        oldLeader.propose("woken".getBytes(StandardCharsets.UTF_8));
+        oldLeader.tick();
+        assertThat(oldLeader.role()).isEqualTo(Role.FOLLOWER);
+        assertThat(cluster.committed).hasSize((int) before);
         assertThat(other.role()).isEqualTo(Role.FOLLOWER);
     }
 
     @Test
-    void a_box_with_an_empty_disk_gives_no_vote_before_it_is_admitted() {
-        InMemoryCluster group = new InMemoryCluster(5, "a", "b", "c");
-        group.runRounds(60);
-        group.startWithEmptyDisk("c");
-        RaftNode empty = group.running.get("c");
-        group.clock.advance(10 * InMemoryCluster.SETTINGS.electionTimeoutMillis());
+    void box_with_empty_disk_does_not_start_election_before_admission() {
+        InMemoryCluster cluster = new InMemoryCluster(5, "a", "b", "c");
+        cluster.runRounds(60);
+        cluster.startWithEmptyDisk("c");
+        RaftNode empty = cluster.running.get("c");
+        cluster.clock.advance(10 * InMemoryCluster.SETTINGS.electionTimeoutMillis());
         empty.tick();
         assertThat(empty.role()).isEqualTo(Role.FOLLOWER);
         assertThat(empty.members()).isEmpty();
     }
 
     @Test
-    void a_planned_stop_hands_leadership_over_at_once() {
-        InMemoryCluster group = new InMemoryCluster(9, "a", "b", "c");
-        group.runRounds(60);
-        RaftNode old = group.leader();
-        long term = old.term();
-        old.transferLeadership();
-        group.runRounds(3);
-        assertThat(group.leader().self()).isNotEqualTo(old.self());
-        assertThat(group.leader().term()).isEqualTo(term + 1);
+    void leadership_transfer_elects_new_leader_immediately() {
+        InMemoryCluster cluster = new InMemoryCluster(9, "a", "b", "c");
+        cluster.runRounds(60);
+        RaftNode oldLeader = cluster.leader();
+        long term = oldLeader.term();
+        oldLeader.transferLeadership();
+        cluster.runRounds(3);
+        assertThat(cluster.leader().self()).isNotEqualTo(oldLeader.self());
+        assertThat(cluster.leader().term()).isEqualTo(term + 1);
     }
 
-    /** Seed 4964 of the schedules: an entry that was acknowledged was lost to a snapshot that came late. */
+    /** A delayed snapshot truncated acknowledged entries (simulation seed 4964). */
     @Test
-    void a_late_snapshot_does_not_cut_off_entries_that_follow_it() {
+    void delayed_snapshot_does_not_truncate_later_entries() {
         RaftNode follower = followerWithEntries(5);
         follower.receive(new RaftMessage.SnapshotRequest(LEADER, 1, new Snapshot(3, 1, MEMBERS, new byte[0])));
         assertThat(follower.lastIndex()).isEqualTo(5);
@@ -116,9 +116,9 @@
         assertThat(follower.ready().installed()).isNull();
     }
 
-    /** Seed 56808: both sides knew no term there, which looked as if they agreed on it. */
+    /** Terms unknown to both members compared as equal (simulation seed 56808). */
     @Test
-    void an_append_that_follows_what_neither_side_holds_is_not_accepted() {
+    void append_after_entry_missing_on_both_members_is_rejected() {
         RaftNode follower = followerWithEntries(5);
         follower.receive(new RaftMessage.AppendRequest(LEADER, 1, 22, -1, List.of(), 0));
         assertThat(follower.ready().messages())
@@ -130,14 +130,14 @@
     }
 
     @Test
-    void a_member_that_starts_again_hands_out_what_it_knew_to_be_committed_before_it_hears_a_leader() {
+    void restarted_member_delivers_known_committed_entries_without_leader() {
         RaftNode member = followerWithEntries(5, 3);
         assertThat(member.ready().committed()).extracting(LogEntry::index).containsExactly(1L, 2L, 3L);
         assertThat(member.commitIndex()).isEqualTo(3);
     }
 
     @Test
-    void a_member_that_hears_its_leader_but_lacks_entries_is_not_current() {
+    void member_lacking_committed_entries_is_not_up_to_date() {
         RaftNode member = followerWithEntries(2, 2);
         long before = member.lastUpToDateMillis();
         member.receive(new RaftMessage.AppendRequest(LEADER, 1, 10, 1, List.of(), 10));
@@ -150,17 +150,17 @@
     }
 
     @Test
-    void a_commit_index_beyond_the_log_that_was_recovered_counts_only_as_far_as_the_log() {
+    void recovered_commit_index_is_limited_to_the_log() {
         assertThat(followerWithEntries(5, 9).commitIndex()).isEqualTo(5);
     }
 
     @Test
-    void a_rejection_that_comes_late_does_not_move_a_leader_forward() {
-        FollowerProgress replication = new FollowerProgress(5, 0);
-        replication.rewindTo(23);
-        assertThat(replication.nextIndex()).isEqualTo(5);
-        replication.rewindTo(2);
-        assertThat(replication.nextIndex()).isEqualTo(2);
+    void delayed_rejection_does_not_advance_next_index() {
+        FollowerProgress progress = new FollowerProgress(5, 0);
+        progress.rewindTo(23);
+        assertThat(progress.nextIndex()).isEqualTo(5);
+        progress.rewindTo(2);
+        assertThat(progress.nextIndex()).isEqualTo(2);
     }
 
     private static RaftNode followerWithEntries(int count) {
@@ -177,6 +177,6 @@
                 InMemoryCluster.SETTINGS,
                 ManualClock.startingAt(0),
                 RandomSource.XO_RO_SHI_RO_128_PP.create(1),
-                asking -> true);
+                joiner -> true);
     }
 }
--- a/core/src/test/java/org/bankturn/agreement/SeededFault.java
+++ b/core/src/test/java/org/bankturn/agreement/SeededFault.java
@@ -1,17 +1,17 @@
 package org.bankturn.agreement;
 
-/** A guard of the design that a schedule leaves out, to show that its checks would find it missing. */
+/** A defect injected into {@link FaultSimulation} to verify that its checks detect it. */
 enum SeededFault {
-    /** The design as it is. */
+    /** No defect. */
     NONE,
-    /** A box whose disk was lost comes back as the member that it was. */
+    /** A box that lost its disk returns with its old incarnation. */
     REUSES_INCARNATION_AFTER_DISK_LOSS,
-    /** A box whose disk was lost forms the group again from the seeds. */
+    /** A box that lost its disk bootstraps the group again. */
     BOOTSTRAPS_AGAIN_AFTER_DISK_LOSS,
-    /** Messages leave before what they tell is synced. */
+    /** Messages are sent before the state they refer to is synced. */
     SENDS_BEFORE_SYNC,
-    /** A member that starts again takes all that its log holds for committed. */
+    /** A restarted member treats its whole log as committed. */
     TREATS_WHOLE_LOG_AS_COMMITTED,
-    /** A leader answers a read from what it has applied, without an entry that confirms it. */
+    /** A leader serves reads from applied state without confirming its leadership. */
     READS_WITHOUT_CONFIRMATION
 }
--- a/core/src/test/java/org/bankturn/agreement/StaleConnectionSimulation.java
+++ b/core/src/test/java/org/bankturn/agreement/StaleConnectionSimulation.java
@@ -7,84 +7,84 @@
 import org.bankturn.agreement.Ready.Outbound;
 import org.bankturn.routing.ConnectionTrust;
 
-/** A group in virtual time whose members send over kept connections, which can all go silent at one moment. */
+/** Simulates a group in virtual time whose persistent connections can all stop delivering at once. */
 final class StaleConnectionSimulation {
     static final RaftSettings SETTINGS = new RaftSettings(500, 100, 64, 3);
 
-    /** As between processes: a connection that rested longer is replaced, and a message is given up on after a second. */
-    private static final long MOST_REST_MILLIS = 5_000;
+    /** The idle time after which a connection is replaced. */
+    private static final long MAX_IDLE_MILLIS = 5_000;
 
-    private static final long ANSWER_MILLIS = 1_000;
+    private static final long REPLY_TIMEOUT_MILLIS = 1_000;
 
-    final InMemoryCluster members;
+    final InMemoryCluster cluster;
     private final Map<String, ConnectionTrust> trusts = new HashMap<>();
-    private final Map<Way, Connection> connections = new HashMap<>();
-    private final List<Lost> lost = new ArrayList<>();
+    private final Map<Link, Connection> connections = new HashMap<>();
+    private final List<LostMessage> lost = new ArrayList<>();
 
-    private record Way(String from, String to) {}
+    private record Link(String from, String to) {}
 
-    private record Lost(String from, Connection connection, long sentMillis) {}
+    private record LostMessage(String from, Connection connection, long sentMillis) {}
 
     private static final class Connection {
-        private long heardMillis;
+        private long lastReceivedMillis;
         private boolean silent;
     }
 
     StaleConnectionSimulation(long seed) {
-        members = new InMemoryCluster(SETTINGS, seed, "a", "b", "c");
-        members.running.keySet().forEach(box -> trusts.put(box, ConnectionTrust.of(members.clock, MOST_REST_MILLIS)));
+        cluster = new InMemoryCluster(SETTINGS, seed, "a", "b", "c");
+        cluster.running.keySet().forEach(box -> trusts.put(box, ConnectionTrust.of(cluster.clock, MAX_IDLE_MILLIS)));
     }
 
-    /** Lets time pass, in steps of ten milliseconds. */
+    /** Advances time in steps of ten milliseconds. */
     void advance(long millis) {
         for (long step = 0; step < millis; step += 10) {
-            members.tickAll();
-            giveUpLost();
-            members.running.forEach((box, member) -> StaleConnectionPolicy.staleConnectionCutoffMillis(
-                            member, SETTINGS, members.clock.millis())
+            cluster.tickAll();
+            expireLostMessages();
+            cluster.running.forEach((box, member) -> StaleConnectionPolicy.staleConnectionCutoffMillis(
+                            member, SETTINGS, cluster.clock.millis())
                     .ifPresent(trusts.get(box)::wentSilent));
             deliverAll();
         }
     }
 
-    /** From now on the connections that are open carry nothing. */
+    /** Makes all open connections drop every further message. */
     void silenceOpenConnections() {
         connections.values().forEach(connection -> connection.silent = true);
     }
 
     private void deliverAll() {
-        while (!members.inFlight.isEmpty()) {
-            Outbound outbound = members.inFlight.get(0);
+        while (!cluster.inFlight.isEmpty()) {
+            Outbound outbound = cluster.inFlight.get(0);
             String from = outbound.message().from().box();
-            Connection connection = connection(new Way(from, outbound.to().box()));
+            Connection connection = connection(new Link(from, outbound.to().box()));
             if (connection.silent) {
-                members.inFlight.remove(0);
-                lost.add(new Lost(from, connection, members.clock.millis()));
+                cluster.inFlight.remove(0);
+                lost.add(new LostMessage(from, connection, cluster.clock.millis()));
             } else {
-                connection.heardMillis = members.clock.millis();
-                members.deliverOldest();
+                connection.lastReceivedMillis = cluster.clock.millis();
+                cluster.deliverOldest();
             }
         }
     }
 
-    private Connection connection(Way way) {
-        Connection kept = connections.get(way);
-        if (kept != null && trusts.get(way.from()).mayCarry(kept.heardMillis)) {
-            return kept;
+    private Connection connection(Link link) {
+        Connection existing = connections.get(link);
+        if (existing != null && trusts.get(link.from()).mayCarry(existing.lastReceivedMillis)) {
+            return existing;
         }
         Connection opened = new Connection();
-        opened.heardMillis = members.clock.millis();
-        connections.put(way, opened);
+        opened.lastReceivedMillis = cluster.clock.millis();
+        connections.put(link, opened);
         return opened;
     }
 
-    private void giveUpLost() {
-        long now = members.clock.millis();
-        for (Lost message : List.copyOf(lost)) {
-            if (now - message.sentMillis() >= ANSWER_MILLIS) {
+    private void expireLostMessages() {
+        long now = cluster.clock.millis();
+        for (LostMessage message : List.copyOf(lost)) {
+            if (now - message.sentMillis() >= REPLY_TIMEOUT_MILLIS) {
                 lost.remove(message);
                 connections.values().remove(message.connection());
-                trusts.get(message.from()).wentSilent(now - ANSWER_MILLIS / 2);
+                trusts.get(message.from()).wentSilent(now - REPLY_TIMEOUT_MILLIS / 2);
             }
         }
     }
