--- a/core/src/main/java/org/bankturn/storage/CorruptLogException.java
+++ b/core/src/main/java/org/bankturn/storage/CorruptLogException.java
@@ -3,7 +3,7 @@
 import java.io.IOException;
 import org.bankturn.result.ResultCode;
 
-/** Thrown when a record that once was synced no longer matches its checksum; see {@link ResultCode#LOG_CORRUPT}. */
+/** Thrown when a synced record does not match its checksum; see {@link ResultCode#LOG_CORRUPT}. */
 public final class CorruptLogException extends IOException {
     private static final long serialVersionUID = 1L;
 
--- a/core/src/main/java/org/bankturn/storage/FileSystemDirectory.java
+++ b/core/src/main/java/org/bankturn/storage/FileSystemDirectory.java
@@ -12,59 +12,59 @@
 import java.util.Optional;
 
 /**
- * A storage device over a folder of the file system.
+ * A storage directory in the file system.
  *
- * <p>New names are synced with the folder; a replacement is written beside the file, synced, renamed, and the folder
- * synced. See "All file systems are not created equal" (OSDI 2014) for why in this order.
+ * <p>The directory is synced after a file is created. A file is replaced by writing and syncing a temporary file,
+ * renaming it, and syncing the directory; see "All file systems are not created equal" (OSDI 2014).
  *
  * <p>FileSystemDirectory is mutable and not thread-safe.
  */
 public final class FileSystemDirectory implements StorageDirectory, AutoCloseable {
     private static final String TEMPORARY_SUFFIX = ".new";
 
-    private final Path folder;
-    private final Map<String, FileChannel> open = new HashMap<>();
+    private final Path directory;
+    private final Map<String, FileChannel> channels = new HashMap<>();
 
     /**
-     * Opens a folder, making it if need be.
+     * Opens a directory, creating it if it does not exist.
      *
-     * @param folder the folder, not null
-     * @return a device, not null
-     * @throws IOException if the folder cannot be made
+     * @param directory the path, not null
+     * @return the storage directory, not null
+     * @throws IOException if the directory cannot be created
      */
-    public static FileSystemDirectory open(Path folder) throws IOException {
-        Files.createDirectories(folder);
-        return new FileSystemDirectory(folder);
+    public static FileSystemDirectory open(Path directory) throws IOException {
+        Files.createDirectories(directory);
+        return new FileSystemDirectory(directory);
     }
 
-    private FileSystemDirectory(Path folder) {
-        this.folder = folder;
+    private FileSystemDirectory(Path directory) {
+        this.directory = directory;
     }
 
     @Override
     public Optional<byte[]> read(String name) throws IOException {
-        Path file = folder.resolve(name);
+        Path file = directory.resolve(name);
         return Files.exists(file) ? Optional.of(Files.readAllBytes(file)) : Optional.empty();
     }
 
     @Override
     public void append(String name, byte[] bytes) throws IOException {
-        FileChannel channel = open.get(name);
+        FileChannel channel = channels.get(name);
         if (channel == null) {
             channel = FileChannel.open(
-                    folder.resolve(name),
+                    directory.resolve(name),
                     StandardOpenOption.CREATE,
                     StandardOpenOption.WRITE,
                     StandardOpenOption.APPEND);
-            open.put(name, channel);
-            syncFolder();
+            channels.put(name, channel);
+            syncDirectory();
         }
         writeFully(channel, bytes);
     }
 
     @Override
     public void sync(String name) throws IOException {
-        FileChannel channel = open.get(name);
+        FileChannel channel = channels.get(name);
         if (channel != null) {
             channel.force(true);
         }
@@ -72,33 +72,33 @@
 
     @Override
     public void replace(String name, byte[] bytes) throws IOException {
-        Path temporary = folder.resolve(name + TEMPORARY_SUFFIX);
+        Path temporary = directory.resolve(name + TEMPORARY_SUFFIX);
         try (FileChannel channel = FileChannel.open(
                 temporary, StandardOpenOption.CREATE, StandardOpenOption.WRITE, StandardOpenOption.TRUNCATE_EXISTING)) {
             writeFully(channel, bytes);
             channel.force(true);
         }
         closeChannel(name);
-        Files.move(temporary, folder.resolve(name), StandardCopyOption.ATOMIC_MOVE);
-        syncFolder();
+        Files.move(temporary, directory.resolve(name), StandardCopyOption.ATOMIC_MOVE);
+        syncDirectory();
     }
 
     @Override
     public void close() throws IOException {
-        for (String name : open.keySet().toArray(String[]::new)) {
+        for (String name : channels.keySet().toArray(String[]::new)) {
             closeChannel(name);
         }
     }
 
     private void closeChannel(String name) throws IOException {
-        FileChannel channel = open.remove(name);
+        FileChannel channel = channels.remove(name);
         if (channel != null) {
             channel.close();
         }
     }
 
-    private void syncFolder() throws IOException {
-        try (FileChannel channel = FileChannel.open(folder, StandardOpenOption.READ)) {
+    private void syncDirectory() throws IOException {
+        try (FileChannel channel = FileChannel.open(directory, StandardOpenOption.READ)) {
             channel.force(true);
         }
     }
@@ -112,6 +112,6 @@
 
     @Override
     public String toString() {
-        return "FolderDevice[" + folder + "]";
+        return "FileSystemDirectory[" + directory + "]";
     }
 }
--- a/core/src/main/java/org/bankturn/storage/RaftStorage.java
+++ b/core/src/main/java/org/bankturn/storage/RaftStorage.java
@@ -13,12 +13,12 @@
 import org.bankturn.codec.MessagePackCodec;
 
 /**
- * Keeps one member's vote, snapshot and log on a storage device.
+ * Persists the vote, snapshot and log of one Raft member.
  *
- * <p>Three files: {@code identity} says which life of the disk this is, {@code snapshot} holds the newest snapshot, and
- * {@code log} holds votes and entries in the order they came, rewritten whenever a snapshot is stored. An entry cuts off
- * whatever the log held from its index on. The commit index is stored along with them and never synced for itself, so it
- * lags by the entries that were on their way then. After any failed write or sync this object must not be used again.
+ * <p>The {@code identity} file holds the incarnation, {@code snapshot} the latest snapshot, and {@code log} the votes
+ * and entries in the order they were stored. The log is rewritten when a snapshot is stored. An entry truncates the log
+ * from its index on. The commit index is only written along with votes and entries, so it may be outdated. The storage
+ * must not be used after a failed write or sync.
  *
  * <p>RaftStorage is mutable and not thread-safe.
  */
@@ -27,67 +27,68 @@
     private static final String SNAPSHOT = "snapshot";
     private static final String LOG = "log";
 
-    private final StorageDirectory device;
+    private final StorageDirectory directory;
     private Vote vote = Vote.NONE;
     private Snapshot snapshot;
     private final List<LogEntry> entries = new ArrayList<>();
     private long commitIndex;
 
     /**
-     * One record of the log file: all that one step stored, so that a crash leaves it whole or torn, never in part.
+     * A record of the log file. It contains everything stored in one step, so that the step is atomic.
      *
-     * @param vote the vote, null if the step left it as it was
+     * @param vote the vote, null if unchanged
      * @param entries the entries, not null
-     * @param commitIndex the index up to which entries were known to be committed; 0 in files of earlier releases
+     * @param commitIndex the commit index, 0 in files written by releases that did not store it
      */
     private record LogRecord(Vote vote, List<LogEntry> entries, long commitIndex) {}
 
     /**
-     * Reads the life of the disk that a device carries.
+     * Reads the incarnation of a storage directory.
      *
-     * @param device the device, not null
-     * @return the incarnation, empty if the disk was never used or was lost
-     * @throws IOException if it cannot be read
+     * @param directory the directory, not null
+     * @return the incarnation, empty if the directory is not initialized
+     * @throws IOException if the file cannot be read
      */
-    public static Optional<Long> readIncarnation(StorageDirectory device) throws IOException {
-        return device.read(IDENTITY).map(bytes -> ByteBuffer.wrap(bytes).getLong());
+    public static Optional<Long> readIncarnation(StorageDirectory directory) throws IOException {
+        return directory.read(IDENTITY).map(bytes -> ByteBuffer.wrap(bytes).getLong());
     }
 
     /**
-     * Prepares an empty device.
+     * Initializes an empty storage directory.
      *
-     * @param device the device, not null
-     * @param incarnation the life of the disk that begins
-     * @param snapshot what the log starts from, not null
+     * @param directory the directory, not null
+     * @param incarnation the incarnation to write
+     * @param snapshot the snapshot at the start of the log, not null
      * @return the storage, not null
-     * @throws IOException if it cannot be written
+     * @throws IOException if a write or sync fails
      */
-    public static RaftStorage create(StorageDirectory device, long incarnation, Snapshot snapshot) throws IOException {
-        RaftStorage storage = new RaftStorage(device, snapshot);
+    public static RaftStorage create(StorageDirectory directory, long incarnation, Snapshot snapshot)
+            throws IOException {
+        RaftStorage storage = new RaftStorage(directory, snapshot);
         storage.writeSnapshot();
         storage.rewriteLog();
-        device.replace(
+        directory.replace(
                 IDENTITY, ByteBuffer.allocate(Long.BYTES).putLong(incarnation).array());
         return storage;
     }
 
     /**
-     * Recovers what a device holds; a torn tail is cut off.
+     * Recovers the state in a storage directory; an incomplete record at the end of the log is removed.
      *
-     * @param device the device, not null
+     * @param directory the directory, not null
      * @return the storage, not null
-     * @throws CorruptLogException if a synced record was damaged
-     * @throws IOException if the device cannot be read or written
+     * @throws CorruptLogException if a synced record is corrupt
+     * @throws IOException if the directory cannot be read or written
      */
-    public static RaftStorage recover(StorageDirectory device) throws IOException {
-        byte[] snapshotFile = device.read(SNAPSHOT).orElseThrow(() -> new CorruptLogException(SNAPSHOT, 0));
+    public static RaftStorage recover(StorageDirectory directory) throws IOException {
+        byte[] snapshotFile = directory.read(SNAPSHOT).orElseThrow(() -> new CorruptLogException(SNAPSHOT, 0));
         List<byte[]> records = RecordFile.decode(SNAPSHOT, snapshotFile).payloads();
         if (records.size() != 1) {
             throw new CorruptLogException(SNAPSHOT, 0);
         }
         Snapshot snapshot = MessagePackCodec.instance().decode(records.get(0), Snapshot.class);
-        RaftStorage storage = new RaftStorage(device, snapshot);
-        byte[] logFile = device.read(LOG).orElse(new byte[0]);
+        RaftStorage storage = new RaftStorage(directory, snapshot);
+        byte[] logFile = directory.read(LOG).orElse(new byte[0]);
         RecordFile.Content content = RecordFile.decode(LOG, logFile);
         for (byte[] payload : content.payloads()) {
             storage.replay(MessagePackCodec.instance().decode(payload, LogRecord.class));
@@ -98,49 +99,49 @@
         return storage;
     }
 
-    private RaftStorage(StorageDirectory device, Snapshot snapshot) {
-        this.device = device;
+    private RaftStorage(StorageDirectory directory, Snapshot snapshot) {
+        this.directory = directory;
         this.snapshot = snapshot;
         this.commitIndex = snapshot.index();
     }
 
-    /** Returns what a member starts from, not null. */
+    /** Returns the stored state, not null. */
     public PersistentState stored() {
         return new PersistentState(vote, snapshot, List.copyOf(entries), commitIndex);
     }
 
     /**
-     * Stores what a step asks for and syncs it; on return it lasts.
+     * Writes and syncs the state of a step; it is durable when this method returns.
      *
-     * @param ready the step's result, not null
-     * @throws IOException if a write or sync failed; the process must then stop
+     * @param ready the result of the step, not null
+     * @throws IOException if a write or sync fails; the process must then stop
      */
     public void store(Ready ready) throws IOException {
         if (ready.installed() != null) {
             storeSnapshot(ready.installed(), true);
         }
         if (ready.vote() != null || !ready.entries().isEmpty()) {
-            LogRecord step = new LogRecord(ready.vote(), ready.entries(), ready.commitIndex());
-            replay(step);
-            device.append(LOG, encode(step));
-            device.sync(LOG);
+            LogRecord record = new LogRecord(ready.vote(), ready.entries(), ready.commitIndex());
+            replay(record);
+            directory.append(LOG, encode(record));
+            directory.sync(LOG);
         }
     }
 
     /**
-     * Stores a snapshot of applied state and drops the entries that it includes.
+     * Stores a snapshot of applied state and removes the entries that it includes.
      *
-     * @param newer the snapshot, not null
-     * @throws IOException if a write or sync failed; the process must then stop
+     * @param replacement the snapshot, not null
+     * @throws IOException if a write or sync fails; the process must then stop
      */
-    public void compact(Snapshot newer) throws IOException {
-        storeSnapshot(newer, false);
+    public void compact(Snapshot replacement) throws IOException {
+        storeSnapshot(replacement, false);
     }
 
-    private void storeSnapshot(Snapshot newer, boolean replacesLog) throws IOException {
-        snapshot = newer;
-        commitIndex = Math.max(commitIndex, newer.index());
-        entries.removeIf(entry -> replacesLog || entry.index() <= newer.index());
+    private void storeSnapshot(Snapshot replacement, boolean replacesLog) throws IOException {
+        snapshot = replacement;
+        commitIndex = Math.max(commitIndex, replacement.index());
+        entries.removeIf(entry -> replacesLog || entry.index() <= replacement.index());
         writeSnapshot();
         rewriteLog();
     }
@@ -162,11 +163,11 @@
 
     private void writeSnapshot() throws IOException {
         byte[] payload = MessagePackCodec.instance().encode(snapshot);
-        device.replace(SNAPSHOT, RecordFile.encode(payload));
+        directory.replace(SNAPSHOT, RecordFile.encode(payload));
     }
 
     private void rewriteLog() throws IOException {
-        device.replace(LOG, encode(new LogRecord(vote, List.copyOf(entries), commitIndex)));
+        directory.replace(LOG, encode(new LogRecord(vote, List.copyOf(entries), commitIndex)));
     }
 
     private static byte[] encode(LogRecord record) {
--- a/core/src/main/java/org/bankturn/storage/RecordFile.java
+++ b/core/src/main/java/org/bankturn/storage/RecordFile.java
@@ -6,20 +6,21 @@
 import java.util.zip.CRC32C;
 
 /**
- * The layout of a file of records: length, CRC-32C of the payload, payload; numbers are big-endian.
+ * The record file format. Each record consists of the payload length, the CRC-32C of the payload and the payload;
+ * integers are big-endian.
  *
- * <p>A record that the end of the file cuts short is a torn tail and is dropped. A record that is all there but does
- * not match its checksum is corruption if another whole record follows it, and a torn tail if it is the last.
+ * <p>An incomplete record at the end of the file, or a last record with a wrong checksum, is a torn write and is
+ * ignored. A wrong checksum in any other record is corruption.
  */
 final class RecordFile {
     private static final int HEADER_BYTES = 2 * Integer.BYTES;
-    private static final int MAXIMUM_RECORD_BYTES = 256 << 20;
+    private static final int MAX_RECORD_BYTES = 256 << 20;
 
     /**
-     * What a file held.
+     * The decoded content of a file.
      *
-     * @param payloads the whole records, in order
-     * @param wholeBytes the bytes they take; whatever follows is a torn tail
+     * @param payloads the payloads of the valid records, in order, not null
+     * @param wholeBytes the size of the valid records; any bytes after them are a torn write
      */
     record Content(List<byte[]> payloads, int wholeBytes) {}
 
@@ -36,10 +37,10 @@
     static Content decode(String name, byte[] bytes) throws CorruptLogException {
         List<byte[]> payloads = new ArrayList<>();
         int position = 0;
-        while (isRecordWhole(bytes, position)) {
+        while (isRecordComplete(bytes, position)) {
             byte[] payload = payloadAt(bytes, position);
             int end = position + HEADER_BYTES + payload.length;
-            if (!matches(bytes, position, payload)) {
+            if (!checksumMatches(bytes, position, payload)) {
                 if (end < bytes.length) {
                     throw new CorruptLogException(name, position);
                 }
@@ -48,18 +49,18 @@
             payloads.add(payload);
             position = end;
         }
-        if (wholeRecordFollows(bytes, position)) {
+        if (hasLaterRecord(bytes, position)) {
             throw new CorruptLogException(name, position);
         }
         return new Content(payloads, position);
     }
 
-    /** A damaged length would hide all that follows as if it were a torn tail, so later records are looked for. */
-    private static boolean wholeRecordFollows(byte[] bytes, int tail) {
+    /** Searches for a valid record after a supposedly torn one, since a corrupt length looks like a torn write. */
+    private static boolean hasLaterRecord(byte[] bytes, int tail) {
         for (int position = tail + 1; position < bytes.length - HEADER_BYTES; position++) {
-            if (isRecordWhole(bytes, position)) {
+            if (isRecordComplete(bytes, position)) {
                 byte[] payload = payloadAt(bytes, position);
-                if (payload.length > 0 && matches(bytes, position, payload)) {
+                if (payload.length > 0 && checksumMatches(bytes, position, payload)) {
                     return true;
                 }
             }
@@ -67,12 +68,12 @@
         return false;
     }
 
-    private static boolean isRecordWhole(byte[] bytes, int position) {
+    private static boolean isRecordComplete(byte[] bytes, int position) {
         if (bytes.length - position < HEADER_BYTES) {
             return false;
         }
         int length = ByteBuffer.wrap(bytes).getInt(position);
-        return length >= 0 && length <= MAXIMUM_RECORD_BYTES && length <= bytes.length - position - HEADER_BYTES;
+        return length >= 0 && length <= MAX_RECORD_BYTES && length <= bytes.length - position - HEADER_BYTES;
     }
 
     private static byte[] payloadAt(byte[] bytes, int position) {
@@ -81,7 +82,7 @@
         return payload;
     }
 
-    private static boolean matches(byte[] bytes, int position, byte[] payload) {
+    private static boolean checksumMatches(byte[] bytes, int position, byte[] payload) {
         return ByteBuffer.wrap(bytes).getInt(position + Integer.BYTES) == checksum(payload);
     }
 
--- a/core/src/main/java/org/bankturn/storage/StorageDirectory.java
+++ b/core/src/main/java/org/bankturn/storage/StorageDirectory.java
@@ -4,43 +4,43 @@
 import java.util.Optional;
 
 /**
- * One flat folder of files, which last only once synced.
+ * A flat directory of files with explicit syncs.
  *
- * <p>A program that embeds the agreement may bring its own; tests bring one that stops at any chosen operation.
+ * <p>Applications that embed the Raft implementation may provide their own.
  */
 public interface StorageDirectory {
     /**
-     * Reads a file whole.
+     * Reads a whole file.
      *
-     * @param name the file's name, not null
-     * @return its bytes, empty if there is no such file
-     * @throws IOException if it cannot be read
+     * @param name the file name, not null
+     * @return the content, empty if the file does not exist
+     * @throws IOException if the file cannot be read
      */
     Optional<byte[]> read(String name) throws IOException;
 
     /**
-     * Adds bytes at the end of a file, making it if need be; they last only after {@link #sync}.
+     * Appends to a file, creating it if it does not exist. The bytes are durable only after {@link #sync}.
      *
-     * @param name the file's name, not null
-     * @param bytes what to add, not null
-     * @throws IOException if they cannot be written
+     * @param name the file name, not null
+     * @param bytes the bytes to append, not null
+     * @throws IOException if the write fails
      */
     void append(String name, byte[] bytes) throws IOException;
 
     /**
-     * Makes a file's content last, and its name in the folder.
+     * Makes the content of a file and its directory entry durable.
      *
-     * @param name the file's name, not null
-     * @throws IOException if it failed; the content is then unknown and the process must stop
+     * @param name the file name, not null
+     * @throws IOException if the sync fails; the content is then undefined and the process must stop
      */
     void sync(String name) throws IOException;
 
     /**
-     * Replaces a file's content as a whole: after a crash it is all old or all new. Lasts on return.
+     * Atomically replaces the content of a file; the new content is durable when this method returns.
      *
-     * @param name the file's name, not null
+     * @param name the file name, not null
      * @param bytes the new content, not null
-     * @throws IOException if it failed
+     * @throws IOException if the write or sync fails
      */
     void replace(String name, byte[] bytes) throws IOException;
 }
--- a/core/src/main/java/org/bankturn/storage/package-info.java
+++ b/core/src/main/java/org/bankturn/storage/package-info.java
@@ -1,4 +1,2 @@
-/**
- * Durable storage of the agreement log: checksummed records, a snapshot, and the fsync order that makes them last. Sizes are in bytes.
- */
+/** Durable storage of the Raft state: a log of checksummed records and a snapshot. Sizes are in bytes. */
 package org.bankturn.storage;
