--- a/core/src/test/java/org/bankturn/storage/CrashingDirectory.java
+++ b/core/src/test/java/org/bankturn/storage/CrashingDirectory.java
@@ -6,37 +6,37 @@
 import java.util.Map;
 import java.util.Optional;
 
-/** Files in memory that forget what was not synced, and that stop at a chosen operation. */
+/** An in-memory directory that fails at a chosen operation and loses unsynced bytes in a crash. */
 public final class CrashingDirectory implements StorageDirectory {
     private final Map<String, byte[]> synced = new HashMap<>();
     private final Map<String, byte[]> written = new HashMap<>();
     private int tornBytes;
     private int operationsLeft;
 
-    /** Stops at the operation after {@code operations} more; of unsynced bytes {@code tornBytes} survive. */
+    /** Creates a directory that fails after {@code operations} operations, keeping {@code tornBytes} unsynced bytes. */
     public CrashingDirectory(int operations, int tornBytes) {
         this.operationsLeft = operations;
         this.tornBytes = tornBytes;
     }
 
-    /** Stops at the operation after {@code operations} more; of unsynced bytes {@code torn} survive. */
+    /** Fails after {@code operations} more operations and keeps {@code torn} unsynced bytes. */
     public void stopAfter(int operations, int torn) {
         operationsLeft = operations;
         tornBytes = torn;
     }
 
-    /** Returns what a restart finds. */
+    /** Returns the directory as found after a crash. */
     public CrashingDirectory afterCrash() {
-        CrashingDirectory found = new CrashingDirectory(Integer.MAX_VALUE, 0);
+        CrashingDirectory restarted = new CrashingDirectory(Integer.MAX_VALUE, 0);
         written.forEach((name, bytes) -> {
-            byte[] lasting = synced.getOrDefault(name, new byte[0]);
-            int length = Math.min(bytes.length, lasting.length + tornBytes);
+            byte[] syncedBytes = synced.getOrDefault(name, new byte[0]);
+            int length = Math.min(bytes.length, syncedBytes.length + tornBytes);
             byte[] kept = new byte[length];
             System.arraycopy(bytes, 0, kept, 0, length);
-            found.synced.put(name, kept);
-            found.written.put(name, kept);
+            restarted.synced.put(name, kept);
+            restarted.written.put(name, kept);
         });
-        return found;
+        return restarted;
     }
 
     void corrupt(String name, int position) {
@@ -76,7 +76,7 @@
 
     private void countOperation() throws IOException {
         if (operationsLeft-- <= 0) {
-            throw new IOException("stopped here");
+            throw new IOException("simulated crash");
         }
     }
 }
--- a/core/src/test/java/org/bankturn/storage/RaftStorageTest.java
+++ b/core/src/test/java/org/bankturn/storage/RaftStorageTest.java
@@ -22,13 +22,13 @@
     private static final int CHANGES = 12;
 
     @TempDir
-    Path folder;
+    Path tempDir;
 
-    /** Stores entries, with a snapshot half way; returns how many stores had returned. */
-    private static int fill(StorageDirectory device) {
+    /** Stores entries and a snapshot; returns the number of entries stored before a failure. */
+    private static int fill(StorageDirectory directory) {
         int stored = 0;
         try {
-            RaftStorage storage = RaftStorage.create(device, 5, Snapshot.initial(List.of(SELF)));
+            RaftStorage storage = RaftStorage.create(directory, 5, Snapshot.initial(List.of(SELF)));
             for (int index = 1; index <= CHANGES; index++) {
                 storage.store(ready(index));
                 stored = index;
@@ -48,19 +48,19 @@
     }
 
     @Test
-    void nothing_stored_is_missing_after_a_stop_at_any_operation() throws IOException {
+    void stored_entries_survive_a_crash_at_any_operation() throws IOException {
         for (int operations = 0; operations < 3 * CHANGES; operations++) {
             for (int torn : new int[] {0, 1, 9, 1_000}) {
-                CrashingDirectory device = new CrashingDirectory(operations, torn);
-                int stored = fill(device);
-                CrashingDirectory found = device.afterCrash();
-                if (RaftStorage.readIncarnation(found).isEmpty()) {
+                CrashingDirectory directory = new CrashingDirectory(operations, torn);
+                int stored = fill(directory);
+                CrashingDirectory restarted = directory.afterCrash();
+                if (RaftStorage.readIncarnation(restarted).isEmpty()) {
                     assertThat(stored).isZero();
                     continue;
                 }
-                PersistentState recovered = RaftStorage.recover(found).stored();
+                PersistentState recovered = RaftStorage.recover(restarted).stored();
                 long last = recovered.snapshot().index() + recovered.entries().size();
-                assertThat(last).as("stopped after %d", operations).isBetween((long) stored, stored + 1L);
+                assertThat(last).as("crash after %d operations", operations).isBetween((long) stored, stored + 1L);
                 assertThat(recovered.commitIndex()).isBetween((long) Math.max(0, stored - 1), Math.max(0, last));
                 assertThat(recovered.entries()).allMatch(entry -> entry.command()[0] == entry.index());
             }
@@ -68,15 +68,15 @@
     }
 
     @Test
-    void damage_in_the_middle_is_refused_and_never_read_as_a_torn_tail() {
-        CrashingDirectory whole = new CrashingDirectory(Integer.MAX_VALUE, 0);
-        fill(whole);
+    void corruption_before_the_last_record_is_detected() {
+        CrashingDirectory intact = new CrashingDirectory(Integer.MAX_VALUE, 0);
+        fill(intact);
         int lastRecord = 60;
-        for (int position = 0; position < whole.sizeOf("log") - 2 * lastRecord; position++) {
-            CrashingDirectory damaged = new CrashingDirectory(Integer.MAX_VALUE, 0);
-            fill(damaged);
-            damaged.corrupt("log", position);
-            assertThatThrownBy(() -> RaftStorage.recover(damaged))
+        for (int position = 0; position < intact.sizeOf("log") - 2 * lastRecord; position++) {
+            CrashingDirectory corrupted = new CrashingDirectory(Integer.MAX_VALUE, 0);
+            fill(corrupted);
+            corrupted.corrupt("log", position);
+            assertThatThrownBy(() -> RaftStorage.recover(corrupted))
                     .as("byte %d", position)
                     .isInstanceOf(CorruptLogException.class)
                     .hasMessageContaining("4003");
@@ -84,17 +84,17 @@
     }
 
     @Test
-    void ten_thousand_changes_are_recovered_from_a_real_folder_without_loss() throws IOException {
-        FileSystemDirectory device = FileSystemDirectory.open(folder);
-        RaftStorage storage = RaftStorage.create(device, 5, Snapshot.initial(List.of(SELF)));
+    void ten_thousand_entries_are_recovered_from_the_file_system() throws IOException {
+        FileSystemDirectory directory = FileSystemDirectory.open(tempDir);
+        RaftStorage storage = RaftStorage.create(directory, 5, Snapshot.initial(List.of(SELF)));
         List<LogEntry> many = LongStream.rangeClosed(1, 10_000)
                 .mapToObj(index -> new LogEntry(index, 1, new byte[64], null))
                 .toList();
         storage.store(new Ready(null, null, many, 9_995, List.of(), List.of()));
         storage.compact(new Snapshot(9_990, 1, List.of(SELF), new byte[1_000]));
         storage.store(ready(10_001));
-        device.close();
-        FileSystemDirectory reopened = FileSystemDirectory.open(folder);
+        directory.close();
+        FileSystemDirectory reopened = FileSystemDirectory.open(tempDir);
         PersistentState recovered = RaftStorage.recover(reopened).stored();
         assertThat(recovered.snapshot().index()).isEqualTo(9_990);
         assertThat(recovered.entries()).hasSize(11);
@@ -103,29 +103,29 @@
         reopened.close();
     }
 
-    /** What one step stored in releases that did not keep the commit index. */
-    private record FormerLogRecord(Vote vote, List<LogEntry> entries) {}
+    /** The log record format before the commit index was added. */
+    private record LogRecordWithoutCommitIndex(Vote vote, List<LogEntry> entries) {}
 
     @Test
-    void a_log_of_a_release_that_kept_no_commit_index_is_recovered_whole() throws IOException {
-        CrashingDirectory device = new CrashingDirectory(Integer.MAX_VALUE, 0);
-        fill(device);
-        FormerLogRecord former =
-                new FormerLogRecord(new Vote(1, SELF), List.of(new LogEntry(CHANGES / 2 + 1, 1, new byte[] {1}, null)));
-        device.replace("log", RecordFile.encode(MessagePackCodec.instance().encode(former)));
-        PersistentState recovered = RaftStorage.recover(device.afterCrash()).stored();
+    void log_without_commit_index_is_recovered() throws IOException {
+        CrashingDirectory directory = new CrashingDirectory(Integer.MAX_VALUE, 0);
+        fill(directory);
+        LogRecordWithoutCommitIndex former = new LogRecordWithoutCommitIndex(
+                new Vote(1, SELF), List.of(new LogEntry(CHANGES / 2 + 1, 1, new byte[] {1}, null)));
+        directory.replace("log", RecordFile.encode(MessagePackCodec.instance().encode(former)));
+        PersistentState recovered = RaftStorage.recover(directory.afterCrash()).stored();
         assertThat(recovered.entries()).hasSize(1);
         assertThat(recovered.commitIndex()).isEqualTo(CHANGES / 2);
     }
 
     @Test
-    void a_newer_entry_cuts_off_what_stood_from_its_index_on() throws IOException {
-        CrashingDirectory device = new CrashingDirectory(Integer.MAX_VALUE, 0);
-        fill(device);
-        RaftStorage storage = RaftStorage.recover(device);
+    void new_entry_truncates_the_log_from_its_index() throws IOException {
+        CrashingDirectory directory = new CrashingDirectory(Integer.MAX_VALUE, 0);
+        fill(directory);
+        RaftStorage storage = RaftStorage.recover(directory);
         storage.store(ready(CHANGES - 1));
         List<LogEntry> entries =
-                RaftStorage.recover(device.afterCrash()).stored().entries();
+                RaftStorage.recover(directory.afterCrash()).stored().entries();
         assertThat(entries.get(entries.size() - 1).index()).isEqualTo(CHANGES - 1);
     }
 }
