--- a/core/src/main/java/org/bankturn/state/ReplicatedState.java
+++ b/core/src/main/java/org/bankturn/state/ReplicatedState.java
@@ -22,15 +22,15 @@
 import org.bankturn.state.command.CommandResult;
 
 /**
- * All that the control boxes agree on: configuration, leases, the request ledger and the origin budgets.
+ * The replicated state machine of the control group: configuration, leases, request ledger and origin budgets.
  *
- * <p>Apply the committed commands in order; the result depends on nothing else. {@link #configuration()} gives an
- * immutable copy that other threads may read.
+ * <p>The state depends only on the sequence of applied commands. {@link #configuration()} returns an immutable object
+ * that may be shared with other threads.
  *
  * <p>ReplicatedState is mutable and not thread-safe.
  */
 public final class ReplicatedState {
-    /** Entries of the history that are kept; older ones are dropped, oldest first. */
+    /** The maximum number of history entries; the oldest ones are removed first. */
     public static final int HISTORY_LENGTH = 10_000;
 
     private Configuration configuration;
@@ -48,16 +48,16 @@
             List<Claim> claims,
             Map<String, OriginBudget.Saved> originBudgets) {}
 
-    /** Returns the state before any command, not null. */
+    /** Returns the initial state, not null. */
     public static ReplicatedState empty() {
         return new ReplicatedState(
                 Configuration.empty(), new ArrayList<>(), new LeaseTable(), new RequestLedger(), new HashMap<>());
     }
 
     /**
-     * Restores a state.
+     * Restores the state from a snapshot.
      *
-     * @param snapshot what {@link #snapshot()} gave, or no bytes for the empty state, not null
+     * @param snapshot the result of {@link #snapshot()}, or an empty array for the initial state, not null
      * @return the state, not null
      */
     public static ReplicatedState restore(byte[] snapshot) {
@@ -88,14 +88,14 @@
         this.originBudgets = originBudgets;
     }
 
-    // ---- queries
+    // ---- Queries
 
-    /** Returns what is in force, not null. */
+    /** Returns the current configuration, not null. */
     public Configuration configuration() {
         return configuration;
     }
 
-    /** Returns every accepted file, oldest first, without texts, not null. */
+    /** Returns the accepted files, oldest first and without their text, not null. */
     public List<FileRecord> history() {
         return List.copyOf(history);
     }
@@ -105,12 +105,12 @@
         return leases;
     }
 
-    /** Returns the number of keyed requests that are remembered. */
+    /** Returns the number of claims in the request ledger. */
     public int claimCount() {
         return ledger.claims().size();
     }
 
-    /** Returns the grants given for each manifest, in copies, not null. */
+    /** Returns the number of copies granted from the origin for each manifest, not null. */
     public Map<String, Double> originCopies() {
         Map<String, Double> copies = new HashMap<>();
         originBudgets.forEach((manifest, budget) -> copies.put(manifest, budget.grantedCopies()));
@@ -118,17 +118,17 @@
     }
 
     /**
-     * Tells whether a request for origin grants would change anything; if not, it need not be put into the log.
+     * Returns whether a request for origin grants would change the state; otherwise it need not be replicated.
      *
-     * @param grant the request, stamped with the leader's time, not null
-     * @return false if nothing would be granted and no draw has ended
+     * @param grant the request, with the time set by the leader, not null
+     * @return false if no chunk would be granted and the request reports no completed fetches
      */
     public boolean wouldChange(Command.GrantOrigin grant) {
         OriginBudget budget = originBudgets.get(grant.manifest());
         return budget == null || grant.reportsCompletedFetches() || budget.hasGrantFor(grant.request());
     }
 
-    /** Returns the whole state, encoded, not null. */
+    /** Returns the encoded state, not null. */
     public byte[] snapshot() {
         Map<String, OriginBudget.Saved> budgets = new HashMap<>();
         originBudgets.forEach((manifest, budget) -> budgets.put(manifest, budget.save()));
@@ -143,14 +143,14 @@
                         budgets));
     }
 
-    // ---- commands
+    // ---- Commands
 
     /**
      * Applies a committed command.
      *
-     * @param index its place in the log, greater than any before
+     * @param index the index of the log entry, greater than any previous one
      * @param command the command, not null
-     * @return the result, the same on every member, not null
+     * @return the result, not null
      */
     public CommandResult apply(long index, Command command) {
         if (command instanceof Command.ApplyFile apply) {
@@ -181,7 +181,7 @@
         String digest = Digest.of(apply.text());
         for (FileRecord accepted : history) {
             if (accepted.name().equals(content.name()) && accepted.number() == content.number()) {
-                return accepted.digest().equals(digest) ? accepted(accepted) : held(accepted);
+                return accepted.digest().equals(digest) ? accepted(accepted) : numberTaken(accepted);
             }
         }
         List<DocumentError> errors = configuration.check(content.name(), apply.text());
@@ -218,20 +218,20 @@
                 record.name(), record.number(), record.index(), record.digest(), record.submittedBy());
     }
 
-    private static CommandResult held(FileRecord record) {
+    private static CommandResult numberTaken(FileRecord record) {
         String message = ResultCode.VERSION_HELD.number() + " " + record.name() + " number: " + record.number()
                 + " is held by " + record.submittedBy() + " with digest " + record.digest();
         return new CommandResult.FileRefused(ResultCode.VERSION_HELD, List.of(message));
     }
 
     private CommandResult enterService(long index, Command.EnterService enter) {
-        boolean stillWanted = configuration
+        boolean wanted = configuration
                 .model(enter.model())
                 .flatMap(configuration::wantedVersion)
                 .filter(version -> version.manifest().equals(enter.manifest()))
                 .isPresent();
-        boolean already = enter.manifest().equals(configuration.inService().get(enter.model()));
-        if (stillWanted && !already) {
+        boolean inService = enter.manifest().equals(configuration.inService().get(enter.model()));
+        if (wanted && !inService) {
             configuration = configuration.withInService(index, enter.model(), enter.manifest());
         }
         return new CommandResult.Done();
--- a/core/src/main/java/org/bankturn/state/command/Command.java
+++ b/core/src/main/java/org/bankturn/state/command/Command.java
@@ -9,9 +9,9 @@
 import org.bankturn.ledger.RecordedResponse;
 
 /**
- * Something to be put into the agreement log; every member applies it in the same order with the same result.
+ * A command of the replicated state machine.
  *
- * <p>Times in commands are the leader's, so that applying them needs no clock.
+ * <p>Commands are deterministic: all times are set by the leader before replication.
  */
 @JsonTypeInfo(use = JsonTypeInfo.Id.NAME, property = "command")
 @JsonSubTypes({
@@ -25,16 +25,16 @@
     @JsonSubTypes.Type(value = Command.GrantOrigin.class, name = "grantOrigin")
 })
 public sealed interface Command {
-    /** Applies an operators' file, whole or not at all. */
+    /** Atomically applies an operator file. */
     record ApplyFile(String text, String submittedBy) implements Command {}
 
     /** Puts a version into service. */
     record EnterService(String model, String manifest) implements Command {}
 
-    /** Asks for the lease on a box's engine; {@code expiredFence} names a lease that the leader has waited out. */
+    /** Requests a lease; {@code expiredFence} is the fence of a lease that the leader knows to be expired, or 0. */
     record AcquireLease(String name, String holder, long durationMillis, long expiredFence) implements Command {}
 
-    /** Gives a lease up. */
+    /** Releases a lease. */
     record ReleaseLease(String name, long fence) implements Command {}
 
     /** Claims a keyed request for one attempt. */
@@ -48,16 +48,16 @@
             long expiresMillis)
             implements Command {}
 
-    /** Records what a claimed request was answered with; a null answer says that the outcome is not known. */
+    /** Records the response to a claimed request; a null {@code answer} means that the outcome is unknown. */
     record RecordResponse(String account, String key, String attempt, RecordedResponse answer) implements Command {}
 
-    /** Takes back a claim whose request was proven not to have run. */
+    /** Releases the claim of a request that is proven not to have run. */
     record ReleaseClaim(String account, String key, String attempt) implements Command {}
 
     /**
-     * Says which draws from the origin have ended and asks for more; {@code kept}, {@code failed} and
-     * {@code unreachable} are bit sets of chunks as little-endian longs. The leader fills in the time and the boxes that
-     * it no longer hears from.
+     * Reports completed fetches from the origin and requests grants for more. {@code kept}, {@code failed} and
+     * {@code unreachable} are bit sets of chunks, encoded as little-endian longs. The leader sets {@code nowMillis} and
+     * {@code silentBoxes}.
      */
     record GrantOrigin(
             String manifest,
@@ -71,12 +71,12 @@
             Set<String> silentBoxes,
             long nowMillis)
             implements Command {
-        /** Returns what the box asks for, as the budget takes it, not null. */
+        /** Returns the request to the origin budget, not null. */
         public OriginBudget.Request request() {
             return new OriginBudget.Request(box, BitSet.valueOf(unreachable), wanted, policy, silentBoxes, nowMillis);
         }
 
-        /** Returns true if a draw has ended since the box last asked. */
+        /** Returns true if the command reports kept or failed chunks. */
         public boolean reportsCompletedFetches() {
             return kept.length + failed.length > 0;
         }
--- a/core/src/main/java/org/bankturn/state/command/CommandResult.java
+++ b/core/src/main/java/org/bankturn/state/command/CommandResult.java
@@ -7,7 +7,7 @@
 import org.bankturn.ledger.ClaimResult;
 import org.bankturn.result.ResultCode;
 
-/** What applying a command led to. */
+/** The result of applying a command. */
 @JsonTypeInfo(use = JsonTypeInfo.Id.NAME, property = "outcome")
 @JsonSubTypes({
     @JsonSubTypes.Type(value = CommandResult.FileAccepted.class, name = "fileAccepted"),
@@ -19,30 +19,30 @@
     @JsonSubTypes.Type(value = CommandResult.NotExecuted.class, name = "notDone")
 })
 public sealed interface CommandResult {
-    /** The file is in force from this index on; the same answer whenever it is sent again. */
+    /** The file takes effect at this index. Applying the same file again returns the same result. */
     record FileAccepted(String name, long number, long index, String digest, String submittedBy)
             implements CommandResult {}
 
-    /** Nothing of the file was applied; each error names code, file, line and field. */
+    /** The file was rejected as a whole; each error contains the code, file, line and field. */
     record FileRefused(ResultCode code, List<String> errors) implements CommandResult {}
 
-    /** The command took effect, or had nothing to do. */
+    /** The command was applied, or had no effect. */
     record Done() implements CommandResult {}
 
-    /** The lease now in force; {@code granted} tells whether it is the asker's. */
+    /** The current lease; {@code granted} is true if the requester holds it. */
     record LeaseState(Lease lease, boolean granted, long retryAfterMillis) implements CommandResult {}
 
-    /** What came of a claim. */
+    /** The result of a claim. */
     record ClaimDecision(ClaimResult result) implements CommandResult {}
 
-    /** The chunks that may be drawn from the origin, once each. */
+    /** The chunks that may be fetched from the origin, once each. */
     record OriginGranted(List<Integer> chunks) implements CommandResult {}
 
     /**
-     * The command was not carried out here.
+     * The command was not executed, since this member is not the leader or has no majority.
      *
-     * @param code why: not the leader, or no majority answered, not null
-     * @param leaderAddress where the leader is reached, null if not known
+     * @param code the reason, not null
+     * @param leaderAddress the address of the leader, null if unknown
      */
     record NotExecuted(ResultCode code, String leaderAddress) implements CommandResult {}
 }
--- a/core/src/main/java/org/bankturn/state/command/package-info.java
+++ b/core/src/main/java/org/bankturn/state/command/package-info.java
@@ -1,4 +1,2 @@
-/**
- * Commands: what may be put into the agreement log.
- */
+/** The commands of the replicated state machine and their results. */
 package org.bankturn.state.command;
--- a/core/src/main/java/org/bankturn/state/package-info.java
+++ b/core/src/main/java/org/bankturn/state/package-info.java
@@ -1,4 +1,2 @@
-/**
- * The state that the agreement log leads to, put together from its parts.
- */
+/** The replicated state machine of the control group. */
 package org.bankturn.state;
--- a/core/src/main/java/org/bankturn/state/query/ShowReply.java
+++ b/core/src/main/java/org/bankturn/state/query/ShowReply.java
@@ -5,11 +5,11 @@
 import org.bankturn.configuration.FileRecord;
 
 /**
- * What `bankturn show` and `bankturn history` show.
+ * The reply to the {@code show} and {@code history} operator commands.
  *
- * @param index the configuration index
- * @param digest the configuration's digest, not null
- * @param files the files, with texts for what is in force, without for the history, not null
- * @param inService the manifest in service by model, not null
+ * @param index the index of the configuration
+ * @param digest the digest of the configuration, not null
+ * @param files the files, with their text for the current configuration and without it for the history, not null
+ * @param inService the manifest in service for each model, not null
  */
 public record ShowReply(long index, String digest, List<FileRecord> files, Map<String, String> inService) {}
--- a/core/src/main/java/org/bankturn/state/query/StatusReply.java
+++ b/core/src/main/java/org/bankturn/state/query/StatusReply.java
@@ -4,18 +4,18 @@
 import java.util.Map;
 
 /**
- * What `bankturn status` shows.
+ * The reply to the {@code status} operator command.
  *
  * @param answeredBy the control box that answered, not null
- * @param leader the box that leads, null if none is known
- * @param term the agreement's term
- * @param members the members' boxes with their incarnations, not null
- * @param configurationIndex the index in force on the box that answered
- * @param configurationDigest its digest, not null
- * @param inService the manifest in service by model, not null
- * @param originCopies the copies granted from the origin by manifest, not null
- * @param claims the keyed requests remembered
- * @param processes every process that has reported, not null
+ * @param leader the box of the leader, null if unknown
+ * @param term the current Raft term
+ * @param members the boxes of the members with their incarnations, not null
+ * @param configurationIndex the index of the configuration on the box that answered
+ * @param configurationDigest the digest of that configuration, not null
+ * @param inService the manifest in service for each model, not null
+ * @param originCopies the number of copies granted from the origin for each manifest, not null
+ * @param claims the number of claims in the request ledger
+ * @param processes the processes that have reported, not null
  */
 public record StatusReply(
         String answeredBy,
@@ -29,17 +29,17 @@
         int claims,
         List<ProcessLine> processes) {
     /**
-     * One process.
+     * The status of one process.
      *
-     * @param process its name, not null
-     * @param role its role, not null
-     * @param dataHall its hall, not null
-     * @param configurationIndex the index in force in it
-     * @param behindMillis how long its last report has named an older index than the one in force, 0 if it does not
-     * @param reportAgeMillis how long ago it last reported
-     * @param loaded the manifests that it serves, not null
-     * @param note a state worth telling, empty if none, not null
-     * @param leaving true if it takes no new work
+     * @param process the name of the process, not null
+     * @param role the role of the process, not null
+     * @param dataHall the data hall of the process, not null
+     * @param configurationIndex the index of the configuration that the process uses
+     * @param behindMillis how long the process has reported an outdated configuration, 0 if it is up to date
+     * @param reportAgeMillis the age of the last report
+     * @param loaded the manifests that the process serves, not null
+     * @param note a message for operators, empty if none, not null
+     * @param leaving true if the process accepts no new work
      */
     public record ProcessLine(
             String process,
--- a/core/src/main/java/org/bankturn/state/query/package-info.java
+++ b/core/src/main/java/org/bankturn/state/query/package-info.java
@@ -1,4 +1,2 @@
-/**
- * Queries: what may be asked of the applied state.
- */
+/** The replies to queries of the applied state. */
 package org.bankturn.state.query;
