--- a/core/src/test/java/org/bankturn/state/ReplicatedStateTest.java
+++ b/core/src/test/java/org/bankturn/state/ReplicatedStateTest.java
@@ -36,7 +36,7 @@
     }
 
     @Test
-    void a_file_sent_again_after_a_lost_answer_gives_the_same_answer() {
+    void applying_the_same_file_again_returns_the_same_result() {
         CommandResult first = apply(5, file(1, "north"), "one");
         apply(6, file(2, "south"), "one");
         assertThat(apply(9, file(1, "north"), "another")).isEqualTo(first);
@@ -44,7 +44,7 @@
     }
 
     @Test
-    void of_a_race_with_equal_numbers_one_wins_and_the_others_learn_who_holds_it() {
+    void conflicting_file_with_same_number_is_refused_with_the_submitter() {
         apply(5, file(1, "north"), "winner");
         CommandResult.FileRefused refused = (CommandResult.FileRefused) apply(6, file(1, "south"), "loser");
         assertThat(refused.code()).isEqualTo(ResultCode.VERSION_HELD);
@@ -53,14 +53,14 @@
     }
 
     @Test
-    void a_number_that_is_not_the_next_is_refused() {
+    void non_consecutive_file_number_is_refused() {
         CommandResult.FileRefused refused = (CommandResult.FileRefused) apply(5, file(3, "north"), "one");
         assertThat(refused.code()).isEqualTo(ResultCode.VERSION_NOT_NEXT);
         assertThat(state.configuration()).isSameAs(Configuration.empty());
     }
 
     @Test
-    void a_snapshot_restores_everything() {
+    void snapshot_round_trip_preserves_the_state() {
         apply(5, file(1, "north"), "one");
         claim("first", "f", 10);
         state.apply(6, new Command.AcquireLease("box", "p1", 1_000, 0));
@@ -71,7 +71,7 @@
     }
 
     @Test
-    void a_holder_never_goes_back_and_steps_lead_to_the_same_digest() {
+    void configuration_holder_only_advances_and_updates_yield_the_same_digest() {
         apply(5, file(1, "north"), "one");
         Configuration before = state.configuration();
         apply(6, file(2, "south"), "one");
@@ -89,7 +89,7 @@
     }
 
     @Test
-    void a_retry_meets_the_running_claim_then_its_answer() {
+    void retry_returns_running_and_then_the_recorded_response() {
         assertThat(claim("first", "f", 0)).isInstanceOf(ClaimResult.Granted.class);
         assertThat(claim("second", "f", 10)).isInstanceOf(ClaimResult.Running.class);
         state.apply(3, new Command.RecordResponse("account", "key", "first", BOOKED));
@@ -98,7 +98,7 @@
     }
 
     @Test
-    void a_claim_whose_holder_died_is_never_granted_again() {
+    void overdue_claim_is_not_granted_again() {
         claim("first", "f", 0);
         assertThat(claim("second", "f", 5_000)).isInstanceOf(ClaimResult.Unknown.class);
         state.apply(3, new Command.ReleaseClaim("account", "key", "second"));
@@ -106,7 +106,7 @@
     }
 
     @Test
-    void a_claim_released_with_proof_may_be_granted_again_and_another_request_may_not_use_its_key() {
+    void released_claim_is_granted_again_and_key_reuse_is_refused() {
         claim("first", "f", 0);
         assertThat(claim("second", "g", 1)).isInstanceOf(ClaimResult.KeyReused.class);
         state.apply(3, new Command.ReleaseClaim("account", "key", "first"));
@@ -115,14 +115,14 @@
     }
 
     @Test
-    void a_key_is_forgotten_after_its_lifetime() {
+    void claim_expires_after_its_lifetime() {
         claim("first", "f", 0);
         state.apply(3, new Command.RecordResponse("account", "key", "first", BOOKED));
         assertThat(claim("later", "f", 10_002)).isInstanceOf(ClaimResult.Granted.class);
     }
 
     @Test
-    void a_lease_passes_on_only_when_released_or_waited_out_and_its_fence_grows() {
+    void lease_is_transferred_only_after_release_or_expiry_with_a_higher_fence() {
         Lease first = lease(10, "p1", 0);
         assertThat(lease(11, "p2", 0)).isEqualTo(first);
         assertThat(lease(12, "p2", first.fence()).fence()).isEqualTo(12);
@@ -138,7 +138,7 @@
     }
 
     @Test
-    void a_holder_stops_before_the_leader_passes_its_lease_on() {
+    void lease_holder_stops_before_the_leader_considers_the_lease_expired() {
         Lease lease = new Lease("box", "p1", 1, 1_000, false);
         LeaseExpiry expiry = new LeaseExpiry();
         assertThat(expiry.remainingMillis(lease, 50)).isEqualTo(1_020);
