--- a/core/src/main/java/org/bankturn/lease/FenceGuard.java
+++ b/core/src/main/java/org/bankturn/lease/FenceGuard.java
@@ -1,23 +1,23 @@
 package org.bankturn.lease;
 
 /**
- * Refuses orders whose fence is older than one already seen.
+ * Rejects orders with a lower fence than one already seen.
  *
- * <p>It stands before an engine, or in a target process before an engine that does not check for itself.
+ * <p>Used by engines, and by target processes for engines that do not check fences.
  *
- * <p>FenceGuard is thread-safe: its methods exclude each other.
+ * <p>FenceGuard is thread-safe.
  */
 public final class FenceGuard {
     private long highestFence;
 
-    /** Creates a guard that has seen no order. */
+    /** Creates a guard that admits any non-negative fence. */
     public FenceGuard() {}
 
     /**
-     * Decides on an order.
+     * Checks and records the fence of an order.
      *
-     * @param fence the order's fence
-     * @return false if a newer one was seen, and the order must not be carried out
+     * @param fence the fence of the order
+     * @return false if a higher fence was seen and the order must be rejected
      */
     public synchronized boolean admits(long fence) {
         if (fence < highestFence) {
--- a/core/src/main/java/org/bankturn/lease/HeldLease.java
+++ b/core/src/main/java/org/bankturn/lease/HeldLease.java
@@ -1,36 +1,37 @@
 package org.bankturn.lease;
 
 /**
- * A lease as its holder sees it.
+ * A lease from the point of view of its holder.
  *
  * <p>HeldLease is thread-safe and immutable.
  *
  * @param lease the lease, not null
- * @param requestedMillis the holder's time before it sent the request
+ * @param requestedMillis the holder's time before it sent the lease request
  */
 public record HeldLease(Lease lease, long requestedMillis) {
     private static final long TRANSIT_DIVISOR = 4;
 
     /**
-     * Returns how long an order may be on its way: an engine takes it up within this time of its being sent, or never.
+     * Returns the maximum time between sending an order and the engine executing it.
      *
-     * @param durationMillis the duration of leases
-     * @return milliseconds, a quarter of the duration
+     * @param durationMillis the lease duration
+     * @return a quarter of the duration, in milliseconds
      */
     public static long maxDeliveryMillis(long durationMillis) {
         return durationMillis / TRANSIT_DIVISOR;
     }
 
     /**
-     * Tells whether an order may still be given.
+     * Returns whether the holder may still send orders.
      *
-     * @param nowMillis the holder's time
-     * @return true while the duration, counted from before the request, less the bound on drift and less the time that
-     *     an order may be on its way, has not passed
+     * @param nowMillis the holder's current time
+     * @return true if less time than the duration, minus the maximum clock drift and the maximum delivery time, has
+     *     passed since the request
      */
     public boolean isValidAt(long nowMillis) {
-        long duration = lease.durationMillis();
-        long usable = duration - duration / LeaseExpiry.DRIFT_DIVISOR - maxDeliveryMillis(duration);
-        return nowMillis - requestedMillis < usable;
+        long durationMillis = lease.durationMillis();
+        long usableMillis =
+                durationMillis - durationMillis / LeaseExpiry.DRIFT_DIVISOR - maxDeliveryMillis(durationMillis);
+        return nowMillis - requestedMillis < usableMillis;
     }
 }
--- a/core/src/main/java/org/bankturn/lease/Lease.java
+++ b/core/src/main/java/org/bankturn/lease/Lease.java
@@ -1,16 +1,16 @@
 package org.bankturn.lease;
 
 /**
- * The right to give orders to one engine.
+ * The exclusive right to send orders to one engine.
  *
- * @param name what is leased, such as a box's name, not null
- * @param holder the process that holds it, unique to one start of it, not null
- * @param fence the number that every order under this lease carries; it only grows
- * @param durationMillis how long it lasts from when it was asked for
- * @param released true once the holder has given it up
+ * @param name the name of the leased resource, such as a box, not null
+ * @param holder the holding process, unique for each start of the process, not null
+ * @param fence the fencing token sent with every order; it increases with each lease
+ * @param durationMillis the duration, starting at the time of the request
+ * @param released true if the holder has released the lease
  */
 public record Lease(String name, String holder, long fence, long durationMillis, boolean released) {
-    /** Returns this lease, given up, not null. */
+    /** Returns a released copy of this lease, not null. */
     public Lease asReleased() {
         return new Lease(name, holder, fence, durationMillis, true);
     }
--- a/core/src/main/java/org/bankturn/lease/LeaseExpiry.java
+++ b/core/src/main/java/org/bankturn/lease/LeaseExpiry.java
@@ -4,31 +4,31 @@
 import java.util.Map;
 
 /**
- * The leader's count of how long it must wait before it may pass a lease on.
+ * Tracks on the leader when leases expire.
  *
- * <p>Time counts from when this leader first saw the lease, which is after the holder asked for it; a new leader counts
- * from anew. Clocks may run apart by {@link #DRIFT_DIVISOR}: the leader waits that much longer, the holder stops that
- * much earlier ({@link HeldLease}).
+ * <p>The duration is measured from the time at which this leader first saw the lease, which is after the holder's
+ * request. To tolerate clock drift of up to one part in {@link #DRIFT_DIVISOR}, the leader waits that much longer and
+ * the holder stops that much earlier; see {@link HeldLease}.
  *
  * <p>LeaseExpiry is mutable and not thread-safe.
  */
 public final class LeaseExpiry {
-    /** Clocks of two boxes may run apart by one part in this many. */
+    /** The reciprocal of the maximum relative clock drift. */
     public static final long DRIFT_DIVISOR = 50;
 
     private final Map<Long, Long> firstSeenMillis = new HashMap<>();
 
-    /** Forgets all counts, as on becoming leader. */
+    /** Discards all times; called when the process becomes leader. */
     public void reset() {
         firstSeenMillis.clear();
     }
 
     /**
-     * Returns how long a lease must still be waited out.
+     * Returns the remaining time until a lease expires.
      *
      * @param lease the lease, not null
-     * @param nowMillis the leader's time
-     * @return milliseconds, 0 if it may be passed on
+     * @param nowMillis the leader's current time
+     * @return the remaining time in milliseconds, 0 if the lease is expired or released
      */
     public long remainingMillis(Lease lease, long nowMillis) {
         if (lease.released()) {
--- a/core/src/main/java/org/bankturn/lease/LeaseTable.java
+++ b/core/src/main/java/org/bankturn/lease/LeaseTable.java
@@ -7,10 +7,10 @@
 import java.util.TreeMap;
 
 /**
- * Every lease, as part of the state that the agreement log leads to.
+ * The leases in the replicated state.
  *
- * <p>It knows no time: a leader that has waited out a lease names its fence when it asks for the next one (see
- * {@link LeaseExpiry}).
+ * <p>The table is independent of time: the leader passes the fence of an expired lease when it requests the next one;
+ * see {@link LeaseExpiry}.
  *
  * <p>LeaseTable is mutable and not thread-safe.
  */
@@ -18,9 +18,9 @@
     private final Map<String, Lease> leases = new TreeMap<>();
 
     /**
-     * Restores a table.
+     * Restores a table from a snapshot.
      *
-     * @param leases what {@link #leases()} gave, not null
+     * @param leases the result of {@link #leases()}, not null
      * @return the table, not null
      */
     public static LeaseTable of(Collection<Lease> leases) {
@@ -29,33 +29,33 @@
         return table;
     }
 
-    /** Creates a table without leases. */
+    /** Creates an empty table. */
     public LeaseTable() {}
 
-    /** Returns every lease, by name, not null. */
+    /** Returns all leases ordered by name, not null. */
     public List<Lease> leases() {
         return List.copyOf(leases.values());
     }
 
     /**
-     * Finds a lease.
+     * Returns the latest lease of a resource.
      *
-     * @param name what is leased, not null
-     * @return the newest lease of it, released or not, empty if there was none
+     * @param name the name of the resource, not null
+     * @return the lease, released or not, empty if there is none
      */
     public Optional<Lease> find(String name) {
         return Optional.ofNullable(leases.get(name));
     }
 
     /**
-     * Grants a lease unless another holder's stands in the way.
+     * Grants a lease unless another holder has an unexpired one.
      *
-     * @param name what is leased, not null
-     * @param holder who asks, not null
-     * @param fence the new fence, greater than any before
-     * @param durationMillis how long it lasts
-     * @param expiredFence the fence of the lease that the leader has waited out, 0 for none
-     * @return the lease now in force: granted if its fence is {@code fence}, not null
+     * @param name the name of the resource, not null
+     * @param holder the requesting process, not null
+     * @param fence the fence of the new lease, greater than any previous one
+     * @param durationMillis the duration
+     * @param expiredFence the fence of the lease that the leader knows to be expired, 0 if none
+     * @return the current lease, which is the new one if its fence is {@code fence}, not null
      */
     public Lease acquire(String name, String holder, long fence, long durationMillis, long expiredFence) {
         Lease current = leases.get(name);
@@ -72,10 +72,10 @@
     }
 
     /**
-     * Gives up a lease; does nothing if the fence is not the newest.
+     * Releases a lease; does nothing if the fence does not match the current lease.
      *
-     * @param name what is leased, not null
-     * @param fence the fence that the lease was granted with
+     * @param name the name of the resource, not null
+     * @param fence the fence of the lease
      */
     public void release(String name, long fence) {
         leases.computeIfPresent(name, (key, lease) -> lease.fence() == fence ? lease.asReleased() : lease);
--- a/core/src/main/java/org/bankturn/lease/package-info.java
+++ b/core/src/main/java/org/bankturn/lease/package-info.java
@@ -1,4 +1,2 @@
-/**
- * Leases with growing fences. Durations are in milliseconds; both sides count with a stated bound on clock drift.
- */
+/** Leases with fencing tokens and bounded clock drift. Durations are in milliseconds. */
 package org.bankturn.lease;
