--- a/core/src/main/java/org/bankturn/ledger/ClaimResult.java
+++ b/core/src/main/java/org/bankturn/ledger/ClaimResult.java
@@ -3,7 +3,7 @@
 import com.fasterxml.jackson.annotation.JsonSubTypes;
 import com.fasterxml.jackson.annotation.JsonTypeInfo;
 
-/** What came of asking for a claim. */
+/** The result of requesting a claim. */
 @JsonTypeInfo(use = JsonTypeInfo.Id.NAME, property = "result")
 @JsonSubTypes({
     @JsonSubTypes.Type(value = ClaimResult.Granted.class, name = "granted"),
@@ -13,18 +13,18 @@
     @JsonSubTypes.Type(value = ClaimResult.KeyReused.class, name = "keyReused")
 })
 public sealed interface ClaimResult {
-    /** The asking attempt holds the claim and may run the request, once. */
+    /** The attempt holds the claim and may run the request once. */
     record Granted() implements ClaimResult {}
 
-    /** Another attempt is running it. */
+    /** Another attempt is running the request. */
     record Running(long remainingMillis) implements ClaimResult {}
 
-    /** It ran; here is its answer. */
+    /** The request has run and its response is recorded. */
     record Answered(RecordedResponse answer) implements ClaimResult {}
 
-    /** It may have run and must not be run again. */
+    /** The request may have run and must not be run again. */
     record Unknown() implements ClaimResult {}
 
-    /** The key was used for another request. */
+    /** The key was used for a different request. */
     record KeyReused() implements ClaimResult {}
 }
--- a/core/src/main/java/org/bankturn/ledger/ClaimState.java
+++ b/core/src/main/java/org/bankturn/ledger/ClaimState.java
@@ -1,11 +1,11 @@
 package org.bankturn.ledger;
 
-/** What is known of a keyed request. */
+/** The state of a claimed request. */
 public enum ClaimState {
-    /** An entry process may be running it. */
+    /** An entry process may be running the request. */
     RUNNING,
-    /** It ran and its answer is recorded. */
+    /** The request has run and its response is recorded. */
     ANSWERED,
-    /** It may have run; nobody will run it again under this key. */
+    /** The request may have run and is never run again with this key. */
     UNKNOWN
 }
--- a/core/src/main/java/org/bankturn/ledger/RecentAttempts.java
+++ b/core/src/main/java/org/bankturn/ledger/RecentAttempts.java
@@ -4,32 +4,32 @@
 import java.util.Map;
 
 /**
- * The attempts that a target process has seen of late, so that a doubled message is not run twice.
+ * The most recent attempts seen by a target process, used to discard duplicate messages.
  *
- * <p>RecentAttempts is thread-safe: its methods exclude each other.
+ * <p>RecentAttempts is thread-safe.
  */
 public final class RecentAttempts {
-    private static final int REMEMBERED = 20_000;
+    private static final int CAPACITY = 20_000;
 
-    private final Map<String, Boolean> seen = new LinkedHashMap<>() {
+    private final Map<String, Boolean> attempts = new LinkedHashMap<>() {
         private static final long serialVersionUID = 1L;
 
         @Override
         protected boolean removeEldestEntry(Map.Entry<String, Boolean> eldest) {
-            return size() > REMEMBERED;
+            return size() > CAPACITY;
         }
     };
 
-    /** Creates a memory without attempts. */
+    /** Creates an empty set. */
     public RecentAttempts() {}
 
     /**
-     * Takes in an attempt.
+     * Adds an attempt.
      *
-     * @param attempt the attempt's unique name, not null
-     * @return true if it was not seen before
+     * @param attempt the unique ID of the attempt, not null
+     * @return true if the attempt was not present
      */
     public synchronized boolean addIfAbsent(String attempt) {
-        return seen.putIfAbsent(attempt, Boolean.TRUE) == null;
+        return attempts.putIfAbsent(attempt, Boolean.TRUE) == null;
     }
 }
--- a/core/src/main/java/org/bankturn/ledger/RecordedResponse.java
+++ b/core/src/main/java/org/bankturn/ledger/RecordedResponse.java
@@ -1,13 +1,13 @@
 package org.bankturn.ledger;
 
 /**
- * The answer that a keyed request got, kept for whoever asks again.
+ * The recorded response to a request with an idempotency key, returned to retries.
  *
- * @param status the HTTP status
+ * @param status the HTTP status code
  * @param contentType the content type, null if there was none
- * @param body the whole body, not null
+ * @param body the complete body, not null
  */
 public record RecordedResponse(int status, String contentType, byte[] body) {
-    /** Bodies above this many bytes are not kept; a retry then learns that the request ran, without the body. */
+    /** The maximum size of a recorded body; the responses to retries omit larger bodies. */
     public static final int MAXIMUM_BODY_BYTES = 64 << 10;
 }
--- a/core/src/main/java/org/bankturn/ledger/RequestLedger.java
+++ b/core/src/main/java/org/bankturn/ledger/RequestLedger.java
@@ -10,11 +10,11 @@
 import java.util.TreeMap;
 
 /**
- * Every keyed request of late, as part of the state that the agreement log leads to.
+ * The recent requests with idempotency keys in the replicated state.
  *
- * <p>A claim is granted to one attempt; every other attempt learns what came of that one. Since grants are ordered in
- * the agreement log, a retry through any entry process meets them, and an entry process that cannot reach a majority
- * cannot run keyed requests. specs/Ledger.tla uses the same action names. Times come from the leader, in the commands.
+ * <p>A claim is granted to one attempt; other attempts with the same key receive the outcome of that attempt. Claims
+ * are replicated, so they hold across all entry processes, and none is granted without a majority. Modelled in
+ * {@code specs/Ledger.tla}.
  *
  * <p>RequestLedger is mutable and not thread-safe.
  */
@@ -23,9 +23,9 @@
     private final TreeMap<Long, Set<String>> byExpiry = new TreeMap<>();
 
     /**
-     * Restores a ledger.
+     * Restores a ledger from a snapshot.
      *
-     * @param claims what {@link #claims()} gave, not null
+     * @param claims the result of {@link #claims()}, not null
      * @return the ledger, not null
      */
     public static RequestLedger of(Collection<Claim> claims) {
@@ -34,10 +34,10 @@
         return ledger;
     }
 
-    /** Creates a ledger without claims. */
+    /** Creates an empty ledger. */
     public RequestLedger() {}
 
-    /** Returns every claim, ordered by expiry, not null. */
+    /** Returns all claims ordered by expiry, not null. */
     public List<Claim> claims() {
         List<Claim> all = new ArrayList<>();
         byExpiry.forEach((expiresMillis, identities) -> identities.stream()
@@ -48,10 +48,10 @@
     }
 
     /**
-     * Grants the claim on a key, or says what became of it.
+     * Grants a claim, or returns the state of the existing claim on the key.
      *
-     * @param wanted the claim to put in place, RUNNING, not null
-     * @param nowMillis the leader's time
+     * @param wanted the requested claim, in state {@link ClaimState#RUNNING}, not null
+     * @param nowMillis the leader's current time
      * @return the result, not null
      */
     public ClaimResult claim(Claim wanted, long nowMillis) {
@@ -75,12 +75,12 @@
     }
 
     /**
-     * Records the answer that the holder of a claim got; does nothing for any other attempt.
+     * Records the response to a claimed request; does nothing if the attempt does not hold the claim.
      *
      * @param account the client account, not null
      * @param key the idempotency key, not null
      * @param attempt the attempt, not null
-     * @param answer the answer, null if the outcome is not known
+     * @param answer the response, null if the outcome is unknown
      */
     public void record(String account, String key, String attempt, RecordedResponse answer) {
         claims.computeIfPresent(identity(account, key), (identity, held) -> {
@@ -92,7 +92,8 @@
     }
 
     /**
-     * Takes back a claim whose request was proven not to have run; does nothing for any other attempt.
+     * Releases the claim of a request that is proven not to have run; does nothing if the attempt does not hold the
+     * claim.
      *
      * @param account the client account, not null
      * @param key the idempotency key, not null
@@ -100,24 +101,24 @@
      */
     public void release(String account, String key, String attempt) {
         claims.computeIfPresent(identity(account, key), (identity, held) -> {
-            boolean mine = held.attempt().equals(attempt) && held.state() == ClaimState.RUNNING;
-            return mine ? null : held;
+            boolean ownedByAttempt = held.attempt().equals(attempt) && held.state() == ClaimState.RUNNING;
+            return ownedByAttempt ? null : held;
         });
     }
 
     private void put(Claim claim) {
         String identity = identity(claim.account(), claim.key());
         claims.put(identity, claim);
-        byExpiry.computeIfAbsent(claim.expiresMillis(), at -> new LinkedHashSet<>())
+        byExpiry.computeIfAbsent(claim.expiresMillis(), expiry -> new LinkedHashSet<>())
                 .add(identity);
     }
 
     private void expire(long nowMillis) {
         while (!byExpiry.isEmpty() && byExpiry.firstKey() < nowMillis) {
-            long at = byExpiry.firstKey();
-            byExpiry.remove(at)
+            long expiry = byExpiry.firstKey();
+            byExpiry.remove(expiry)
                     .forEach(identity -> claims.computeIfPresent(
-                            identity, (key, claim) -> claim.expiresMillis() <= at ? null : claim));
+                            identity, (key, claim) -> claim.expiresMillis() <= expiry ? null : claim));
         }
     }
 
--- a/core/src/main/java/org/bankturn/ledger/package-info.java
+++ b/core/src/main/java/org/bankturn/ledger/package-info.java
@@ -1,4 +1,2 @@
-/**
- * The ledger of requests that must run at most once, kept in the agreement log. Times are in milliseconds.
- */
+/** At-most-once execution of requests with idempotency keys. Times are in milliseconds. */
 package org.bankturn.ledger;
