--- a/core/src/main/java/org/bankturn/membership/ProcessReport.java
+++ b/core/src/main/java/org/bankturn/membership/ProcessReport.java
@@ -3,18 +3,18 @@
 import java.util.List;
 
 /**
- * What a process says of itself; passed up from target to entry to control.
+ * The status report of a process, forwarded from targets through entry processes to the control group.
  *
- * @param process the process's name, not null
- * @param role entry, target or control, not null
- * @param dataHall its hall, not null
- * @param start when this start of it began, in milliseconds, to tell its starts apart
- * @param sequence grows with each report of one start
- * @param configurationIndex the configuration that is in force in it
- * @param configurationDigest that configuration's digest, not null
- * @param loaded the manifests that its engine serves whole, empty for other roles, not null
- * @param note a state worth telling operators, such as a copy that stopped; empty if none, not null
- * @param leaving true if it takes no new work
+ * @param process the name of the process, not null
+ * @param role the role of the process: entry, target or control, not null
+ * @param dataHall the data hall of the process, not null
+ * @param start the start time of the process in milliseconds, which distinguishes its starts
+ * @param sequence the sequence number of the report since the start
+ * @param configurationIndex the index of the configuration that the process uses
+ * @param configurationDigest the digest of that configuration, not null
+ * @param loaded the manifests that the engine serves completely, empty for other roles, not null
+ * @param note a message for operators, such as a failed copy; empty if none, not null
+ * @param leaving true if the process accepts no new work
  */
 public record ProcessReport(
         String process,
@@ -28,10 +28,10 @@
         String note,
         boolean leaving) {
     /**
-     * Tells whether this report supersedes another of the same process.
+     * Returns whether this report supersedes another one of the same process.
      *
-     * @param other the other report, null allowed
-     * @return true if this one is of a later start, or later in the same start
+     * @param other the other report, may be null
+     * @return true if this report has a later start, or the same start and a higher sequence number
      */
     public boolean isNewerThan(ProcessReport other) {
         return other == null || start > other.start || (start == other.start && sequence > other.sequence);
--- a/core/src/main/java/org/bankturn/membership/ReportTable.java
+++ b/core/src/main/java/org/bankturn/membership/ReportTable.java
@@ -10,29 +10,29 @@
 import org.bankturn.time.Clock;
 
 /**
- * The newest report of every process, with when it came.
+ * The latest report of each process and the time it was received.
  *
  * <p>ReportTable is thread-safe.
  */
 public final class ReportTable {
-    /** A report older than this says nothing about now. */
+    /** The age at which a report becomes stale. */
     public static final long STALE_MILLIS = 10_000;
 
     private final Clock clock;
     private final Map<String, Received> newest = new ConcurrentHashMap<>();
 
     /**
-     * A report and its age.
+     * A report and the time it was received.
      *
      * @param report the report, not null
-     * @param receivedMillis when it came
+     * @param receivedMillis the time at which it was received
      */
     public record Received(ProcessReport report, long receivedMillis) {}
 
     /**
      * Creates an empty table.
      *
-     * @param clock the time, not null
+     * @param clock the clock, not null
      * @return the table, not null
      */
     public static ReportTable using(Clock clock) {
@@ -44,7 +44,7 @@
     }
 
     /**
-     * Takes in reports; older ones than those held are dropped.
+     * Adds reports; outdated reports are ignored.
      *
      * @param reports the reports, not null
      */
@@ -58,15 +58,15 @@
         }
     }
 
-    /** Returns every report held, not null. */
+    /** Returns all reports, not null. */
     public List<Received> all() {
         return new ArrayList<>(newest.values());
     }
 
     /**
-     * Lists reports that came lately, to pass them on.
+     * Returns the reports received recently.
      *
-     * @param withinMillis how lately
+     * @param withinMillis the maximum age
      * @return the reports, not null
      */
     public List<ProcessReport> receivedWithin(long withinMillis) {
@@ -77,7 +77,7 @@
                 .toList();
     }
 
-    /** Returns the processes that were heard from once but not of late, not null. */
+    /** Returns the processes whose latest report is stale, not null. */
     public Set<String> staleProcesses() {
         long since = clock.millis() - STALE_MILLIS;
         return newest.values().stream()
@@ -87,11 +87,11 @@
     }
 
     /**
-     * Counts the processes that serve a version and are not leaving.
+     * Returns the number of processes that serve a version and are not leaving, ignoring stale reports.
      *
-     * @param manifest the version's manifest, not null
-     * @param names the processes that count, not null
-     * @return the number of fresh reports that say so
+     * @param manifest the manifest of the version, not null
+     * @param names the processes to count, not null
+     * @return the number of processes
      */
     public int countLoaded(String manifest, Collection<String> names) {
         return (int) receivedWithin(STALE_MILLIS).stream()
--- a/core/src/main/java/org/bankturn/membership/TargetView.java
+++ b/core/src/main/java/org/bankturn/membership/TargetView.java
@@ -7,31 +7,30 @@
 import org.bankturn.time.Clock;
 
 /**
- * What one entry process knows of targets, from every source that may say that one is leaving.
+ * The status and availability of targets, as known to one entry process.
  *
- * <p>Whoever says first that a target is leaving is believed: the platform's list, the target process itself, a refusal.
- * Only the target's own later word brings it back. A target that fails again and again rests for a while, longer each
- * time.
+ * <p>A target is unavailable while the platform lists it as leaving, while its last status says so, or from a refusal
+ * until its next status. After a failure, a target is also unavailable for an exponentially increasing time.
  *
  * <p>TargetView is thread-safe.
  */
 public final class TargetView {
-    private static final long FIRST_REST_MILLIS = 200;
-    private static final long LONGEST_REST_MILLIS = 5_000;
-    private static final int MAXIMUM_DOUBLINGS = 5;
-    private static final Known UNKNOWN = new Known(null, 0, false, 0, 0);
+    private static final long INITIAL_BACKOFF_MILLIS = 200;
+    private static final long MAX_BACKOFF_MILLIS = 5_000;
+    private static final int MAX_DOUBLINGS = 5;
+    private static final Entry UNKNOWN = new Entry(null, 0, false, 0, 0);
 
     private final Clock clock;
-    private final Map<String, Known> targets = new ConcurrentHashMap<>();
+    private final Map<String, Entry> targets = new ConcurrentHashMap<>();
     private volatile Set<String> listedLeaving = Set.of();
 
-    private record Known(
-            TargetStatus status, long statusMillis, boolean refusedLeaving, int failures, long restsUntilMillis) {}
+    private record Entry(
+            TargetStatus status, long statusMillis, boolean leavingRefused, int failures, long backoffUntilMillis) {}
 
     /**
-     * Creates a view that knows no target.
+     * Creates a view without targets.
      *
-     * @param clock the time, not null
+     * @param clock the clock, not null
      * @return the view, not null
      */
     public static TargetView using(Clock clock) {
@@ -43,83 +42,83 @@
     }
 
     /**
-     * Takes in a target's own word.
+     * Records a status reported by a target and clears its failures.
      *
      * @param status the status, not null
      */
     public void recordStatus(TargetStatus status) {
         long now = clock.millis();
-        targets.compute(status.box(), (box, known) -> new Known(status, now, false, 0, 0));
+        targets.compute(status.box(), (box, entry) -> new Entry(status, now, false, 0, 0));
     }
 
     /**
-     * Takes in that a target refused work because it is leaving.
+     * Records that a target refused a request because it is leaving.
      *
-     * @param box the target's box, not null
+     * @param box the box of the target, not null
      */
     public void recordLeavingRefusal(String box) {
-        targets.compute(box, (name, old) -> {
-            Known known = old == null ? UNKNOWN : old;
-            return new Known(known.status(), known.statusMillis(), true, known.failures(), known.restsUntilMillis());
+        targets.compute(box, (name, existing) -> {
+            Entry entry = existing == null ? UNKNOWN : existing;
+            return new Entry(entry.status(), entry.statusMillis(), true, entry.failures(), entry.backoffUntilMillis());
         });
     }
 
     /**
-     * Takes in that a target could not be reached or broke off.
+     * Records that a target was unreachable or closed the connection.
      *
-     * @param box the target's box, not null
+     * @param box the box of the target, not null
      */
     public void recordFailure(String box) {
         long now = clock.millis();
-        targets.compute(box, (name, old) -> {
-            Known known = old == null ? UNKNOWN : old;
-            int failures = known.failures() + 1;
-            long rest = FIRST_REST_MILLIS << Math.min(failures - 1, MAXIMUM_DOUBLINGS);
-            long until = now + Math.min(rest, LONGEST_REST_MILLIS);
-            return new Known(known.status(), known.statusMillis(), known.refusedLeaving(), failures, until);
+        targets.compute(box, (name, existing) -> {
+            Entry entry = existing == null ? UNKNOWN : existing;
+            int failures = entry.failures() + 1;
+            long backoffMillis = INITIAL_BACKOFF_MILLIS << Math.min(failures - 1, MAX_DOUBLINGS);
+            long until = now + Math.min(backoffMillis, MAX_BACKOFF_MILLIS);
+            return new Entry(entry.status(), entry.statusMillis(), entry.leavingRefused(), failures, until);
         });
     }
 
     /**
-     * Takes in the platform's list of leaving boxes, which lags.
+     * Replaces the platform's list of leaving boxes.
      *
-     * @param boxes the boxes on it, not null
+     * @param boxes the names of the boxes, not null
      */
     public void listedLeaving(Set<String> boxes) {
         listedLeaving = Set.copyOf(boxes);
     }
 
     /**
-     * Tells whether a target may be sent new work.
+     * Returns whether a target accepts new requests.
      *
-     * @param box the target's box, not null
-     * @return false if anyone said it is leaving, or it rests after failures
+     * @param box the box of the target, not null
+     * @return false if the target is leaving or backing off after a failure
      */
     public boolean isAvailable(String box) {
         if (listedLeaving.contains(box)) {
             return false;
         }
-        Known known = targets.getOrDefault(box, UNKNOWN);
-        boolean ownWord = known.status() != null && known.status().leaving();
-        return !ownWord && !known.refusedLeaving() && clock.millis() >= known.restsUntilMillis();
+        Entry entry = targets.getOrDefault(box, UNKNOWN);
+        boolean reportsLeaving = entry.status() != null && entry.status().leaving();
+        return !reportsLeaving && !entry.leavingRefused() && clock.millis() >= entry.backoffUntilMillis();
     }
 
     /**
-     * Tells whether a target serves a version, as far as known.
+     * Returns whether a target serves a version, according to its last status.
      *
-     * @param box the target's box, not null
-     * @param manifest the version's manifest, not null
-     * @return true if its last status said so
+     * @param box the box of the target, not null
+     * @param manifest the manifest of the version, not null
+     * @return true if the target serves the version
      */
     public boolean serves(String box, String manifest) {
         return status(box).filter(status -> status.loaded().contains(manifest)).isPresent();
     }
 
     /**
-     * Returns a target's last status.
+     * Returns the last status of a target.
      *
-     * @param box the target's box, not null
-     * @return the status, empty if none came
+     * @param box the box of the target, not null
+     * @return the status, empty if none was received
      */
     public Optional<TargetStatus> status(String box) {
         return Optional.ofNullable(targets.getOrDefault(box, UNKNOWN).status());
--- a/core/src/main/java/org/bankturn/membership/package-info.java
+++ b/core/src/main/java/org/bankturn/membership/package-info.java
@@ -1,4 +1,2 @@
-/**
- * What is known of targets and of every process: who is leaving, who serves which version, who lags.
- */
+/** The status of targets and processes, as reported by them. */
 package org.bankturn.membership;
