--- a/core/src/test/java/org/bankturn/specs/SpecificationTest.java
+++ b/core/src/test/java/org/bankturn/specs/SpecificationTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import tlc2.TLC;
 
-/** Runs TLC on the specifications under specs/, each in a JVM of its own. */
+/** Runs the TLC model checker on the specifications in {@code specs/}, each in a separate JVM. */
 class SpecificationTest {
     private static final Path SPECS = Path.of("..", "specs");
 
@@ -36,7 +36,7 @@
                 "Ledger",
                 "Permits"
             })
-    void the_design_keeps_its_invariants(String configuration) throws Exception {
+    void specification_satisfies_its_invariants(String configuration) throws Exception {
         assertThat(check(configuration)).contains("No error has been found");
     }
 
@@ -62,7 +62,7 @@
                 "Permits.fault-start",
                 "Permits.fault-ahead"
             })
-    void a_removed_guard_is_found(String configuration) throws Exception {
+    void model_checker_detects_seeded_fault(String configuration) throws Exception {
         assertThat(check(configuration)).containsPattern("Invariant \\w+ is violated");
     }
 
