--- a/core/src/main/java/org/bankturn/state/query/StatusReply.java
+++ b/core/src/main/java/org/bankturn/state/query/StatusReply.java
@@ -27,7 +27,7 @@
         Map<String, String> inService,
         Map<String, Double> originCopies,
         int claims,
-        List<ProcessLine> processes) {
+        List<ProcessStatus> processes) {
     /**
      * The status of one process.
      *
@@ -41,7 +41,7 @@
      * @param note a message for operators, empty if none, not null
      * @param leaving true if the process accepts no new work
      */
-    public record ProcessLine(
+    public record ProcessStatus(
             String process,
             String role,
             String dataHall,
--- a/daemon/src/main/java/org/bankturn/daemon/control/StatusQuery.java
+++ b/daemon/src/main/java/org/bankturn/daemon/control/StatusQuery.java
@@ -34,7 +34,7 @@
     StatusReply status(ReplicatedState state) {
         ControlMember.View view = member.view();
         Configuration configuration = state.configuration();
-        List<StatusReply.ProcessLine> lines = reports.all().stream()
+        List<StatusReply.ProcessStatus> lines = reports.all().stream()
                 .sorted(Comparator.comparing(received -> received.report().process()))
                 .map(received -> line(received, configuration))
                 .toList();
@@ -58,7 +58,7 @@
         return new ShowReply(configuration.index(), configuration.digest(), state.history(), configuration.inService());
     }
 
-    private StatusReply.ProcessLine line(ReportTable.Received received, Configuration configuration) {
+    private StatusReply.ProcessStatus line(ReportTable.Received received, Configuration configuration) {
         ProcessReport report = received.report();
         long now = clock.millis();
         boolean behind = report.configurationIndex() < configuration.index();
@@ -66,7 +66,7 @@
         if (!behind) {
             behindSinceMillis.remove(report.process());
         }
-        return new StatusReply.ProcessLine(
+        return new StatusReply.ProcessStatus(
                 report.process(),
                 report.role(),
                 report.dataHall(),
