--- a/core/src/main/java/org/bankturn/membership/TargetView.java
+++ b/core/src/main/java/org/bankturn/membership/TargetView.java
@@ -84,7 +84,7 @@
      *
      * @param boxes the names of the boxes, not null
      */
-    public void listedLeaving(Set<String> boxes) {
+    public void setListedLeaving(Set<String> boxes) {
         listedLeaving = Set.copyOf(boxes);
     }
 
--- a/core/src/test/java/org/bankturn/routing/RoutingTest.java
+++ b/core/src/test/java/org/bankturn/routing/RoutingTest.java
@@ -94,9 +94,9 @@
     @Test
     void whoever_says_first_that_a_target_leaves_is_believed() {
         everyBoxServes();
-        view.listedLeaving(Set.of("here-chat"));
+        view.setListedLeaving(Set.of("here-chat"));
         assertThat(candidates("chat", "narrow")).isEmpty();
-        view.listedLeaving(Set.of());
+        view.setListedLeaving(Set.of());
         view.recordLeavingRefusal("here-chat");
         assertThat(candidates("chat", "narrow")).isEmpty();
         view.recordStatus(status("here-chat", false));
--- a/daemon/src/main/java/org/bankturn/daemon/entry/BoxListPoller.java
+++ b/daemon/src/main/java/org/bankturn/daemon/entry/BoxListPoller.java
@@ -49,7 +49,7 @@
                 .response()
                 .then(response -> response.loadBody(MAXIMUM_LIST_BYTES).map(body -> {
                     if (response.getCode() == OK) {
-                        targets.listedLeaving(leavingIn(body.getArray()));
+                        targets.setListedLeaving(leavingIn(body.getArray()));
                     }
                     return null;
                 }))
