--- a/core/src/main/java/org/bankturn/state/ReplicatedState.java
+++ b/core/src/main/java/org/bankturn/state/ReplicatedState.java
@@ -39,7 +39,7 @@
     private final RequestLedger ledger;
     private final Map<String, OriginBudget> originBudgets;
 
-    private record Saved(
+    private record EncodedState(
             long configurationIndex,
             List<FileRecord> files,
             Map<String, String> inService,
@@ -64,14 +64,14 @@
         if (snapshot.length == 0) {
             return empty();
         }
-        Saved saved = MessagePackCodec.instance().decode(snapshot, Saved.class);
+        EncodedState decoded = MessagePackCodec.instance().decode(snapshot, EncodedState.class);
         Map<String, OriginBudget> budgets = new HashMap<>();
-        saved.originBudgets().forEach((manifest, budget) -> budgets.put(manifest, OriginBudget.restore(budget)));
+        decoded.originBudgets().forEach((manifest, budget) -> budgets.put(manifest, OriginBudget.restore(budget)));
         return new ReplicatedState(
-                Configuration.of(saved.configurationIndex(), saved.files(), saved.inService()),
-                new ArrayList<>(saved.history()),
-                LeaseTable.of(saved.leases()),
-                RequestLedger.of(saved.claims()),
+                Configuration.of(decoded.configurationIndex(), decoded.files(), decoded.inService()),
+                new ArrayList<>(decoded.history()),
+                LeaseTable.of(decoded.leases()),
+                RequestLedger.of(decoded.claims()),
                 budgets);
     }
 
@@ -133,7 +133,7 @@
         Map<String, OriginBudget.Saved> budgets = new HashMap<>();
         originBudgets.forEach((manifest, budget) -> budgets.put(manifest, budget.save()));
         return MessagePackCodec.instance()
-                .encode(new Saved(
+                .encode(new EncodedState(
                         configuration.index(),
                         configuration.files(),
                         configuration.inService(),
