--- a/core/src/test/java/org/bankturn/agreement/FaultSimulation.java
+++ b/core/src/test/java/org/bankturn/agreement/FaultSimulation.java
@@ -44,7 +44,7 @@
     private final SeededFault fault;
     private final Map<String, Box> boxes = new TreeMap<>();
     private final Set<String> removed = new HashSet<>();
-    private final Set<String> cuts = new HashSet<>();
+    private final Set<String> cutLinks = new HashSet<>();
     private final List<InFlightMessage> inFlight = new ArrayList<>();
     private final Map<Long, LogEntry> committed = new HashMap<>();
     private final Map<Long, Member> leaders = new HashMap<>();
@@ -126,7 +126,7 @@
             case 6 -> loseDisk();
             case 7 -> replaceBox();
             case 8 -> cutLink();
-            case 9 -> cuts.clear();
+            case 9 -> cutLinks.clear();
             case 10 -> any(List.copyOf(boxes.values())).ifPresent(box -> box.clock.advance(random.nextInt(300)));
             default -> any(List.copyOf(boxes.values())).ifPresent(this::toggleClock);
         }
@@ -201,12 +201,12 @@
             if (fault == SeededFault.REUSES_INCARNATION_AFTER_DISK_LOSS) {
                 restartWithOldIdentity(box);
             } else {
-                startEmpty(box, reusesIncarnation(box) ? 1 : ++lastIncarnation);
+                startEmpty(box, bootstrapsAgain(box) ? 1 : ++lastIncarnation);
             }
         });
     }
 
-    private boolean reusesIncarnation(Box box) {
+    private boolean bootstrapsAgain(Box box) {
         return fault == SeededFault.BOOTSTRAPS_AGAIN_AFTER_DISK_LOSS && INITIAL_BOXES.contains(box.name);
     }
 
@@ -244,7 +244,7 @@
 
     private void cutLink() {
         List<String> names = List.copyOf(boxes.keySet());
-        cuts.add(names.get(random.nextInt(names.size())) + ">" + names.get(random.nextInt(names.size())));
+        cutLinks.add(names.get(random.nextInt(names.size())) + ">" + names.get(random.nextInt(names.size())));
     }
 
     /** Returns true if every member has its original disk and no membership change is pending. */
@@ -323,7 +323,7 @@
     private void deliver(InFlightMessage message) {
         Box to = boxes.get(message.outbound().to().box());
         boolean cut =
-                cuts.contains(message.from() + ">" + message.outbound().to().box());
+                cutLinks.contains(message.from() + ">" + message.outbound().to().box());
         if (to != null && to.isUp() && !cut) {
             to.node.receive(message.outbound().message());
             process(to);
@@ -428,14 +428,14 @@
             return;
         }
         OptionalLong index = box.node.propose(MessagePackCodec.instance().encode(command));
-        index.ifPresent(at -> box.pending.put(at, new PendingRequest(box.node.term(), version, read)));
+        index.ifPresent(entryIndex -> box.pending.put(entryIndex, new PendingRequest(box.node.term(), version, read)));
         process(box);
     }
 
     // ---- Final state
 
     private void repairAll() {
-        cuts.clear();
+        cutLinks.clear();
         boxes.values().forEach(box -> box.clockStopped = false);
         boxes.values().stream().filter(box -> !box.isUp()).forEach(this::restart);
         boxes.values().forEach(box -> box.disk.stopAfter(Integer.MAX_VALUE, 0));
