--- a/core/src/main/java/org/bankturn/agreement/Replication.java
+++ b/core/src/main/java/org/bankturn/agreement/FollowerProgress.java
@@ -1,19 +1,19 @@
 package org.bankturn.agreement;
 
 /**
- * What a leader knows of one follower.
+ * The replication progress of one follower, as tracked by the leader.
  *
- * <p>Replication is mutable and not thread-safe.
+ * <p>FollowerProgress is mutable and not thread-safe.
  */
-final class Replication {
+final class FollowerProgress {
     private long nextIndex;
     private long matchIndex;
-    private long heardMillis;
+    private long lastContactMillis;
     private long snapshotSentMillis = Long.MIN_VALUE;
 
-    Replication(long nextIndex, long heardMillis) {
+    FollowerProgress(long nextIndex, long lastContactMillis) {
         this.nextIndex = nextIndex;
-        this.heardMillis = heardMillis;
+        this.lastContactMillis = lastContactMillis;
     }
 
     long nextIndex() {
@@ -24,33 +24,33 @@
         return matchIndex;
     }
 
-    long heardMillis() {
-        return heardMillis;
+    long lastContactMillis() {
+        return lastContactMillis;
     }
 
     long snapshotSentMillis() {
         return snapshotSentMillis;
     }
 
-    void heard(long nowMillis) {
-        heardMillis = nowMillis;
+    void recordContact(long nowMillis) {
+        lastContactMillis = nowMillis;
     }
 
-    void sentUpTo(long index) {
+    void recordSent(long index) {
         nextIndex = Math.max(nextIndex, index + 1);
     }
 
-    void snapshotSent(long nowMillis) {
+    void recordSnapshotSent(long nowMillis) {
         snapshotSentMillis = nowMillis;
     }
 
-    void matched(long index) {
+    void recordMatch(long index) {
         matchIndex = Math.max(matchIndex, index);
         nextIndex = Math.max(nextIndex, matchIndex + 1);
     }
 
-    /** Goes back after a rejection; one that comes late never moves on. */
-    void backTo(long index) {
+    /** Moves the next index back after a rejection; a delayed rejection never moves it forward. */
+    void rewindTo(long index) {
         nextIndex = Math.max(matchIndex + 1, Math.min(nextIndex, index));
     }
 }
--- /dev/null
+++ b/core/src/main/java/org/bankturn/agreement/RaftSettings.java
@@ -0,0 +1,38 @@
+package org.bankturn.agreement;
+
+/**
+ * Timing and size limits of a Raft group.
+ *
+ * @param electionTimeoutMillis the minimum election timeout; each timeout is drawn between this value and twice as much
+ * @param heartbeatMillis the interval between heartbeats, at most a third of the election timeout
+ * @param maxBatchEntries the maximum number of entries in one message
+ * @param minMembers the group size at or below which unresponsive members are not removed
+ */
+public record RaftSettings(long electionTimeoutMillis, long heartbeatMillis, int maxBatchEntries, int minMembers) {
+    /** The value of {@code minMembers} that disables the removal of unresponsive members. */
+    public static final int NEVER_REMOVE_MEMBERS = Integer.MAX_VALUE;
+
+    /** Settings for data halls with round trips of a few milliseconds. */
+    public static final RaftSettings DEFAULT = new RaftSettings(1_000, 150, 64, NEVER_REMOVE_MEMBERS);
+
+    /**
+     * Creates settings that never remove unresponsive members.
+     *
+     * @param electionTimeoutMillis the minimum election timeout
+     * @param heartbeatMillis the interval between heartbeats
+     * @param maxBatchEntries the maximum number of entries in one message
+     */
+    public RaftSettings(long electionTimeoutMillis, long heartbeatMillis, int maxBatchEntries) {
+        this(electionTimeoutMillis, heartbeatMillis, maxBatchEntries, NEVER_REMOVE_MEMBERS);
+    }
+
+    /** Validates the timing. */
+    public RaftSettings {
+        if (heartbeatMillis <= 0 || electionTimeoutMillis < 3 * heartbeatMillis) {
+            throw new IllegalArgumentException(
+                    "heartbeatMillis must be positive and electionTimeoutMillis at least three"
+                            + " times as long: heartbeatMillis=" + heartbeatMillis + ", electionTimeoutMillis="
+                            + electionTimeoutMillis);
+        }
+    }
+}
--- a/core/src/test/java/org/bankturn/agreement/MemberGroup.java
+++ b/core/src/test/java/org/bankturn/agreement/InMemoryCluster.java
@@ -12,31 +12,32 @@
 import org.bankturn.agreement.Ready.Outbound;
 import org.bankturn.time.ManualClock;
 
-/** Members of one group with a bag of messages between them, stepped by a test; checks the invariants of the spec. */
-final class MemberGroup {
-    static final AgreementSettings SETTINGS = new AgreementSettings(100, 20, 4);
+/** A Raft group connected by an in-memory network that the test steps; checks leader uniqueness and log consistency. */
+final class InMemoryCluster {
+    static final RaftSettings SETTINGS = new RaftSettings(100, 20, 4);
 
     final ManualClock clock = ManualClock.startingAt(0);
     final UniformRandomProvider random;
-    final Map<String, Agreement> running = new TreeMap<>();
-    final Map<String, StoredAgreement> disks = new HashMap<>();
-    final Map<Long, LogEntry> accepted = new TreeMap<>();
+    final Map<String, RaftNode> running = new TreeMap<>();
+    final Map<String, PersistentState> disks = new HashMap<>();
+    final Map<Long, LogEntry> committed = new TreeMap<>();
     final Map<Long, Member> leaders = new HashMap<>();
-    final List<Outbound> bag = new ArrayList<>();
-    private final List<Member> first;
-    private final AgreementSettings settings;
-    private long lives = 1;
+    final List<Outbound> inFlight = new ArrayList<>();
+    private final List<Member> initialMembers;
+    private final RaftSettings settings;
+    private long lastIncarnation = 1;
 
-    MemberGroup(long seed, String... boxes) {
+    InMemoryCluster(long seed, String... boxes) {
         this(SETTINGS, seed, boxes);
     }
 
-    MemberGroup(AgreementSettings settings, long seed, String... boxes) {
+    InMemoryCluster(RaftSettings settings, long seed, String... boxes) {
         this.settings = settings;
         random = RandomSource.XO_RO_SHI_RO_128_PP.create(seed);
-        first = List.of(boxes).stream().map(box -> new Member(box, 1, box)).toList();
-        for (Member member : first) {
-            disks.put(member.box(), new StoredAgreement(Vote.NONE, Snapshot.initial(first), List.of(), 0));
+        initialMembers =
+                List.of(boxes).stream().map(box -> new Member(box, 1, box)).toList();
+        for (Member member : initialMembers) {
+            disks.put(member.box(), new PersistentState(Vote.NONE, Snapshot.initial(initialMembers), List.of(), 0));
             start(member);
         }
     }
@@ -44,7 +45,7 @@
     private void start(Member member) {
         running.put(
                 member.box(),
-                Agreement.recover(member, disks.get(member.box()), settings, clock, random, asking -> true));
+                RaftNode.recover(member, disks.get(member.box()), settings, clock, random, joiner -> true));
     }
 
     void restart(String box) {
@@ -55,107 +56,107 @@
         running.remove(box);
     }
 
-    /** Starts a stopped box with the disk that it had. */
-    void startAgain(Member member) {
+    /** Starts a stopped box with its existing disk. */
+    void startStopped(Member member) {
         start(member);
     }
 
-    /** Starts a box with an empty disk, under a name that may be new. */
-    void loseDisk(String box) {
-        lives++;
-        disks.put(box, new StoredAgreement(Vote.NONE, Snapshot.initial(List.of()), List.of(), 0));
-        start(new Member(box, lives, box));
+    /** Starts a new or existing box with an empty disk. */
+    void startWithEmptyDisk(String box) {
+        lastIncarnation++;
+        disks.put(box, new PersistentState(Vote.NONE, Snapshot.initial(List.of()), List.of(), 0));
+        start(new Member(box, lastIncarnation, box));
     }
 
     void tickAll() {
         clock.advance(10);
-        for (Agreement member : List.copyOf(running.values())) {
+        for (RaftNode member : List.copyOf(running.values())) {
             member.tick();
             boolean outside = member.members().stream().noneMatch(member.self()::equals);
             if (outside || member.leader().isEmpty()) {
-                member.askToJoin(first);
+                member.requestJoin(initialMembers);
             }
-            carryOut(member);
+            process(member);
         }
     }
 
-    /** Delivers a message taken at random; it is doubled or lost one time in ten each. */
-    void deliverOne(boolean faulty) {
-        if (bag.isEmpty()) {
+    /** Delivers a random message; if {@code faulty}, duplicates or drops it with a probability of 10% each. */
+    void deliverRandom(boolean faulty) {
+        if (inFlight.isEmpty()) {
             return;
         }
-        int chosen = random.nextInt(bag.size());
-        int fate = faulty ? random.nextInt(10) : 9;
-        Outbound outbound = fate == 0 ? bag.get(chosen) : bag.remove(chosen);
-        Agreement member = running.get(outbound.to().box());
+        int chosen = random.nextInt(inFlight.size());
+        int fault = faulty ? random.nextInt(10) : 9;
+        Outbound outbound = fault == 0 ? inFlight.get(chosen) : inFlight.remove(chosen);
+        RaftNode member = running.get(outbound.to().box());
         if (member == null) {
-            bag.remove(outbound);
+            inFlight.remove(outbound);
             return;
         }
-        boolean sameLife =
-                member.self().equals(outbound.to()) || outbound.message() instanceof AgreementMessage.JoinRequest;
-        if (fate != 1 && sameLife) {
+        boolean sameIncarnation =
+                member.self().equals(outbound.to()) || outbound.message() instanceof RaftMessage.JoinRequest;
+        if (fault != 1 && sameIncarnation) {
             member.receive(outbound.message());
-            carryOut(member);
+            process(member);
         }
     }
 
     /** Delivers the oldest message. */
-    void deliverFirst() {
-        Outbound outbound = bag.remove(0);
-        Agreement member = running.get(outbound.to().box());
+    void deliverOldest() {
+        Outbound outbound = inFlight.remove(0);
+        RaftNode member = running.get(outbound.to().box());
         member.receive(outbound.message());
-        carryOut(member);
+        process(member);
     }
 
-    void settle(int rounds) {
+    void runRounds(int rounds) {
         for (int round = 0; round < rounds; round++) {
             tickAll();
-            for (int step = 0; step < 400 && !bag.isEmpty(); step++) {
-                deliverOne(false);
+            for (int step = 0; step < 400 && !inFlight.isEmpty(); step++) {
+                deliverRandom(false);
             }
         }
     }
 
-    Agreement leader() {
+    RaftNode leader() {
         return running.values().stream()
-                .filter(Agreement::isEstablishedLeader)
+                .filter(RaftNode::isEstablishedLeader)
                 .max((one, other) -> Long.compare(one.term(), other.term()))
                 .orElseThrow();
     }
 
-    void propose(Agreement member, String command) {
+    void propose(RaftNode member, String command) {
         member.propose(command.getBytes(StandardCharsets.UTF_8));
-        carryOut(member);
+        process(member);
     }
 
     void compact(String box) {
-        Agreement member = running.get(box);
+        RaftNode member = running.get(box);
         if (member.commitIndex() > member.snapshot().index()) {
             Snapshot snapshot = member.compact(member.commitIndex(), new byte[0]);
-            StoredAgreement disk = disks.get(box);
+            PersistentState disk = disks.get(box);
             List<LogEntry> kept = disk.entries().stream()
                     .filter(entry -> entry.index() > snapshot.index())
                     .toList();
             disks.put(
                     box,
-                    new StoredAgreement(disk.vote(), snapshot, kept, Math.max(disk.commitIndex(), snapshot.index())));
+                    new PersistentState(disk.vote(), snapshot, kept, Math.max(disk.commitIndex(), snapshot.index())));
         }
     }
 
-    private void carryOut(Agreement member) {
+    private void process(RaftNode member) {
         Ready ready = member.ready();
         store(member.self().box(), ready);
-        bag.addAll(ready.messages());
+        inFlight.addAll(ready.messages());
         for (LogEntry entry : ready.committed()) {
-            LogEntry before = accepted.putIfAbsent(entry.index(), entry);
-            if (before != null && (before.term() != entry.term() || !sameCommand(before, entry))) {
-                throw new AssertionError("accepted entry reverted at " + entry.index());
+            LogEntry previous = committed.putIfAbsent(entry.index(), entry);
+            if (previous != null && (previous.term() != entry.term() || !sameCommand(previous, entry))) {
+                throw new AssertionError("committed entry " + entry.index() + " was replaced");
             }
         }
         if (member.role() == Role.LEADER) {
-            Member before = leaders.putIfAbsent(member.term(), member.self());
-            if (before != null && !before.equals(member.self())) {
+            Member previous = leaders.putIfAbsent(member.term(), member.self());
+            if (previous != null && !previous.equals(member.self())) {
                 throw new AssertionError("two leaders in term " + member.term());
             }
         }
@@ -166,7 +167,7 @@
     }
 
     private void store(String box, Ready ready) {
-        StoredAgreement disk = disks.get(box);
+        PersistentState disk = disks.get(box);
         Vote vote = ready.vote() != null ? ready.vote() : disk.vote();
         Snapshot snapshot = ready.installed() != null ? ready.installed() : disk.snapshot();
         List<LogEntry> entries = new ArrayList<>(ready.installed() != null ? List.of() : disk.entries());
@@ -175,6 +176,6 @@
             entries.add(entry);
         }
         long committed = ready.mustSync() ? ready.commitIndex() : disk.commitIndex();
-        disks.put(box, new StoredAgreement(vote, snapshot, entries, committed));
+        disks.put(box, new PersistentState(vote, snapshot, entries, committed));
     }
 }
--- a/core/src/test/java/org/bankturn/agreement/SeededFault.java
+++ b/core/src/test/java/org/bankturn/agreement/SeededFault.java
@@ -1,17 +1,17 @@
 package org.bankturn.agreement;
 
-/** A guard of the design that a schedule leaves out, to show that its checks would find it missing. */
+/** A defect injected into {@link FaultSimulation} to verify that its checks detect it. */
 enum SeededFault {
-    /** The design as it is. */
+    /** No defect. */
     NONE,
-    /** A box whose disk was lost comes back as the member that it was. */
-    SAME_LIFE_AFTER_LOST_DISK,
-    /** A box whose disk was lost forms the group again from the seeds. */
-    FORMS_AGAIN_AFTER_LOST_DISK,
-    /** Messages leave before what they tell is synced. */
+    /** A box that lost its disk returns with its old incarnation. */
+    REUSES_INCARNATION_AFTER_DISK_LOSS,
+    /** A box that lost its disk bootstraps the group again. */
+    BOOTSTRAPS_AGAIN_AFTER_DISK_LOSS,
+    /** Messages are sent before the state they refer to is synced. */
     SENDS_BEFORE_SYNC,
-    /** A member that starts again takes all that its log holds for committed. */
-    WHOLE_LOG_COUNTS_AS_COMMITTED,
-    /** A leader answers a read from what it has applied, without an entry that confirms it. */
+    /** A restarted member treats its whole log as committed. */
+    TREATS_WHOLE_LOG_AS_COMMITTED,
+    /** A leader serves reads from applied state without confirming its leadership. */
     READS_WITHOUT_CONFIRMATION
 }
--- a/core/src/test/java/org/bankturn/routing/RoutingTest.java
+++ b/core/src/test/java/org/bankturn/routing/RoutingTest.java
@@ -1,8 +1,5 @@
 package org.bankturn.routing;
 
-import static org.assertj.core.api.Assertions.assertThat;
-import static org.assertj.core.api.Assertions.assertThatThrownBy;
-
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
@@ -18,6 +15,8 @@
 import org.bankturn.result.ResultCode;
 import org.bankturn.time.ManualClock;
 import org.junit.jupiter.api.Test;
+import static org.assertj.core.api.Assertions.assertThat;
+import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
 class RoutingTest {
     private static final String MANIFEST = "a".repeat(64);
@@ -54,7 +53,7 @@
     }
 
     private void everyBoxServes() {
-        configuration.boxes().forEach(box -> view.statusReceived(status(box.name(), false)));
+        configuration.boxes().forEach(box -> view.recordStatus(status(box.name(), false)));
     }
 
     private static TargetStatus status(String box, boolean leaving) {
@@ -72,12 +71,12 @@
     void the_own_hall_goes_first_and_others_only_where_the_files_allow() {
         everyBoxServes();
         assertThat(candidates("chat", "wide")).containsExactly("here-chat");
-        view.failed("here-chat");
+        view.recordFailure("here-chat");
         assertThat(candidates("chat", "wide")).containsExactly("there-chat");
-        view.failed("there-chat");
+        view.recordFailure("there-chat");
         assertThat(candidates("chat", "wide")).isEmpty();
         assertThat(candidates("chat", "narrow")).isEmpty();
-        view.failed("here-plain");
+        view.recordFailure("here-plain");
         assertThat(candidates("plain", "narrow")).isEmpty();
         assertThat(candidates("plain", "wide")).containsExactlyInAnyOrder("there-plain", "abroad-plain");
     }
@@ -94,20 +93,20 @@
     @Test
     void whoever_says_first_that_a_target_leaves_is_believed() {
         everyBoxServes();
-        view.listedLeaving(Set.of("here-chat"));
+        view.setListedLeaving(Set.of("here-chat"));
         assertThat(candidates("chat", "narrow")).isEmpty();
-        view.listedLeaving(Set.of());
-        view.refusedAsLeaving("here-chat");
+        view.setListedLeaving(Set.of());
+        view.recordLeavingRefusal("here-chat");
         assertThat(candidates("chat", "narrow")).isEmpty();
-        view.statusReceived(status("here-chat", false));
+        view.recordStatus(status("here-chat", false));
         assertThat(candidates("chat", "narrow")).containsExactly("here-chat");
-        view.statusReceived(status("here-chat", true));
+        view.recordStatus(status("here-chat", true));
         assertThat(candidates("chat", "narrow")).isEmpty();
     }
 
     @Test
     void a_target_that_does_not_serve_the_version_in_service_gets_no_request() {
-        view.statusReceived(new TargetStatus("here-chat", List.of("b".repeat(64)), false, 0));
+        view.recordStatus(new TargetStatus("here-chat", List.of("b".repeat(64)), false, 0));
         assertThat(candidates("chat", "narrow")).isEmpty();
     }
 
--- a/daemon/src/main/java/org/bankturn/daemon/control/ControlMember.java
+++ b/daemon/src/main/java/org/bankturn/daemon/control/ControlMember.java
@@ -9,10 +9,10 @@
 import java.util.function.BiConsumer;
 import java.util.function.Function;
 import java.util.function.Supplier;
-import org.bankturn.agreement.Agreement;
-import org.bankturn.agreement.AgreementMessage;
 import org.bankturn.agreement.LogEntry;
 import org.bankturn.agreement.Member;
+import org.bankturn.agreement.RaftMessage;
+import org.bankturn.agreement.RaftNode;
 import org.bankturn.agreement.Ready;
 import org.bankturn.agreement.Role;
 import org.bankturn.codec.MessagePackCodec;
@@ -25,7 +25,7 @@
 import org.bankturn.state.ReplicatedState;
 import org.bankturn.state.command.Command;
 import org.bankturn.state.command.CommandResult;
-import org.bankturn.storage.AgreementStorage;
+import org.bankturn.storage.RaftStorage;
 import org.bankturn.time.Clock;
 
 /**
@@ -41,8 +41,8 @@
     private static final long PROPOSAL_TIMEOUT_MILLIS = 4_000;
     private static final long JOIN_RETRY_MILLIS = 500;
 
-    private final Agreement agreement;
-    private final AgreementStorage storage;
+    private final RaftNode agreement;
+    private final RaftStorage storage;
     private final ConfigurationHolder holder;
     private final Clock clock;
     private final ControlWiring wiring;
@@ -61,7 +61,7 @@
      * @param fatal called when the data folder failed and the process must stop, not null
      */
     public record ControlWiring(
-            BiConsumer<Member, AgreementMessage> send,
+            BiConsumer<Member, RaftMessage> send,
             List<Member> contacts,
             int snapshotEvery,
             Supplier<Set<String>> silentBoxes,
@@ -89,20 +89,12 @@
      * @return the member, not null
      */
     public static ControlMember of(
-            Agreement agreement,
-            AgreementStorage storage,
-            ConfigurationHolder holder,
-            Clock clock,
-            ControlWiring wiring) {
+            RaftNode agreement, RaftStorage storage, ConfigurationHolder holder, Clock clock, ControlWiring wiring) {
         return new ControlMember(agreement, storage, holder, clock, wiring);
     }
 
     private ControlMember(
-            Agreement agreement,
-            AgreementStorage storage,
-            ConfigurationHolder holder,
-            Clock clock,
-            ControlWiring wiring) {
+            RaftNode agreement, RaftStorage storage, ConfigurationHolder holder, Clock clock, ControlWiring wiring) {
         this.agreement = agreement;
         this.storage = storage;
         this.holder = holder;
@@ -131,7 +123,7 @@
      *
      * @param message the message, not null
      */
-    public void receive(AgreementMessage message) {
+    public void receive(RaftMessage message) {
         loop.receive(message);
     }
 
@@ -139,7 +131,7 @@
      * Submits a command; times in it are relative to now.
      *
      * @param command the command, not null
-     * @return the result once a majority has synced it; {@link CommandResult.NotDone} if that is not known
+     * @return the result once a majority has synced it; {@link CommandResult.NotExecuted} if that is not known
      */
     public CompletableFuture<CommandResult> submit(Command command) {
         CompletableFuture<CommandResult> result = new CompletableFuture<>();
@@ -197,7 +189,7 @@
                         .filter(lease -> {
                             long remaining = leaseExpiry.remainingMillis(lease, clock.millis());
                             return remaining > 0
-                                    && result.complete(new CommandResult.LeaseAnswer(lease, false, remaining));
+                                    && result.complete(new CommandResult.LeaseState(lease, false, remaining));
                         })
                         .isPresent();
     }
@@ -220,7 +212,7 @@
                 .filter(leader -> !leader.equals(agreement.self()))
                 .map(Member::address)
                 .orElse(null);
-        return new CommandResult.NotDone(code, address);
+        return new CommandResult.NotExecuted(code, address);
     }
 
     /** The replicated state, as the loop drives it. */
@@ -258,7 +250,7 @@
         }
 
         @Override
-        public CommandResult unknown(Agreement at) {
+        public CommandResult unknown(RaftNode at) {
             return notDone(ResultCode.NO_QUORUM);
         }
 
@@ -273,14 +265,14 @@
         }
 
         @Override
-        public void leadershipChanged(Agreement at) {
-            leaseExpiry.restart();
+        public void leadershipChanged(RaftNode at) {
+            leaseExpiry.reset();
             String event = at.role() == Role.LEADER ? " leads" : " follows";
             LOG.log(Level.INFO, at.self().box() + event + ", term " + at.term());
         }
 
         @Override
-        public void publishView(Agreement at) {
+        public void publishView(RaftNode at) {
             view = new View(at.role(), at.term(), at.leader().orElse(null), at.members(), at.isEstablishedLeader());
         }
 
--- a/daemon/src/main/java/org/bankturn/daemon/control/ControlRole.java
+++ b/daemon/src/main/java/org/bankturn/daemon/control/ControlRole.java
@@ -13,10 +13,10 @@
 import java.util.concurrent.TimeUnit;
 import org.apache.commons.rng.UniformRandomProvider;
 import org.apache.commons.rng.simple.RandomSource;
-import org.bankturn.agreement.Agreement;
-import org.bankturn.agreement.AgreementMessage;
-import org.bankturn.agreement.AgreementSettings;
 import org.bankturn.agreement.Member;
+import org.bankturn.agreement.RaftMessage;
+import org.bankturn.agreement.RaftNode;
+import org.bankturn.agreement.RaftSettings;
 import org.bankturn.agreement.Snapshot;
 import org.bankturn.configuration.Box;
 import org.bankturn.configuration.Configuration;
@@ -33,8 +33,8 @@
 import org.bankturn.result.ResultCode;
 import org.bankturn.state.command.Command;
 import org.bankturn.state.command.CommandResult;
-import org.bankturn.storage.AgreementStorage;
-import org.bankturn.storage.FolderDevice;
+import org.bankturn.storage.FileSystemDirectory;
+import org.bankturn.storage.RaftStorage;
 import org.bankturn.time.Clock;
 
 /**
@@ -93,19 +93,18 @@
         this.clients = clients;
         this.reports = reports;
         this.holder = holder;
-        FolderDevice device = FolderDevice.open(settings.control().dataFolder());
-        Optional<Long> storedLife = AgreementStorage.readIncarnation(device);
+        FileSystemDirectory device = FileSystemDirectory.open(settings.control().dataFolder());
+        Optional<Long> storedLife = RaftStorage.readIncarnation(device);
         UniformRandomProvider random = RandomSource.XO_RO_SHI_RO_128_PP.create();
         long life = storedLife.orElseGet(() -> formsGroup ? FIRST_LIFE : newLife(random));
-        AgreementStorage storage = storedLife.isPresent()
-                ? AgreementStorage.recover(device)
-                : AgreementStorage.create(device, life, Snapshot.initial(formsGroup ? firstMembers() : List.of()));
-        AgreementSettings timing = new AgreementSettings(
+        RaftStorage storage = storedLife.isPresent()
+                ? RaftStorage.recover(device)
+                : RaftStorage.create(device, life, Snapshot.initial(formsGroup ? firstMembers() : List.of()));
+        RaftSettings timing = new RaftSettings(
                 settings.control().electionTimeoutMillis(), settings.control().heartbeatMillis(), BATCH_ENTRIES);
         Member self =
                 new Member(settings.process(), life, settings.nodeAddress().toString());
-        Agreement agreement =
-                Agreement.recover(self, storage.stored(), timing, clock, random, this::isListedControlBox);
+        RaftNode agreement = RaftNode.recover(self, storage.stored(), timing, clock, random, this::isListedControlBox);
         this.member = ControlMember.of(
                 agreement,
                 storage,
@@ -115,7 +114,7 @@
                         this::send,
                         otherBoxes(),
                         settings.control().snapshotEvery(),
-                        reports::silentProcesses,
+                        reports::staleProcesses,
                         this::stopProcess));
         this.statusQuery = new StatusQuery(settings.process(), member, reports, clock);
     }
@@ -169,7 +168,7 @@
         if (!view.established()) {
             String leader =
                     view.leader() == null ? null : addressOf(view.leader()).toString();
-            CommandResult elsewhere = new CommandResult.NotDone(ResultCode.NOT_LEADER, leader);
+            CommandResult elsewhere = new CommandResult.NotExecuted(ResultCode.NOT_LEADER, leader);
             return Promise.of(new NodeReply.Submitted(elsewhere));
         }
         return request instanceof NodeRequest.GetStatus
@@ -211,7 +210,7 @@
         }
     }
 
-    private void send(Member to, AgreementMessage message) {
+    private void send(Member to, RaftMessage message) {
         clients.tell(addressOf(to), new NodeRequest.Agree(message));
     }
 
--- a/daemon/src/main/java/org/bankturn/daemon/entry/Dispatcher.java
+++ b/daemon/src/main/java/org/bankturn/daemon/entry/Dispatcher.java
@@ -92,7 +92,7 @@
         return Promises.timeout(remaining, exchange.response())
                 .map(response -> began(box, response, load, startNanos), failure -> {
                     load.requestEnded();
-                    state.targets().failed(box.name());
+                    state.targets().recordFailure(box.name());
                     return exchange.witness().neverConnected()
                             ? new AttemptOutcome.NotRun<Begun>(NotRunProof.neverConnected())
                             : new AttemptOutcome.Unknown<Begun>(String.valueOf(failure.getMessage()));
@@ -104,7 +104,7 @@
         if (rejected.isPresent()) {
             load.requestEnded();
             if (rejected.get() == ResultCode.NOT_RUN_LEAVING) {
-                state.targets().refusedAsLeaving(box.name());
+                state.targets().recordLeavingRefusal(box.name());
             }
             return rejected.get().saysNotRun()
                     ? new AttemptOutcome.NotRun<>(NotRunProof.rejectedByTargetProcess(rejected.get()))
--- a/daemon/src/main/java/org/bankturn/daemon/entry/KeyedRequests.java
+++ b/daemon/src/main/java/org/bankturn/daemon/entry/KeyedRequests.java
@@ -5,7 +5,7 @@
 import java.util.UUID;
 import org.bankturn.configuration.Digest;
 import org.bankturn.daemon.control.ControlClient;
-import org.bankturn.ledger.RecordedAnswer;
+import org.bankturn.ledger.RecordedResponse;
 import org.bankturn.state.command.Command;
 import org.bankturn.state.command.CommandResult;
 import org.bankturn.time.Clock;
@@ -35,7 +35,7 @@
         return UUID.randomUUID().toString();
     }
 
-    /** Asks for the claim; completes with NotDone if no majority answered within the request's time. */
+    /** Asks for the claim; completes with NotExecuted if no majority answered within the request's time. */
     Promise<CommandResult> claim(CallerRequest request, String attempt) {
         long remaining = Math.max(1, request.dueMillis() - clock.millis());
         Command command = new Command.ClaimRequest(
@@ -50,8 +50,9 @@
     }
 
     /** Records the answer; a null answer says that the outcome is not known. Completes whether or not that worked. */
-    Promise<Void> record(CallerRequest request, String attempt, RecordedAnswer answer) {
-        Command command = new Command.RecordAnswer(request.account().name(), request.idempotencyKey(), attempt, answer);
+    Promise<Void> record(CallerRequest request, String attempt, RecordedResponse answer) {
+        Command command =
+                new Command.RecordResponse(request.account().name(), request.idempotencyKey(), attempt, answer);
         return Promise.ofFuture(control.submit(command, RECORD_MILLIS)).toVoid();
     }
 
--- a/daemon/src/main/java/org/bankturn/daemon/group/QuietGroup.java
+++ b/daemon/src/main/java/org/bankturn/daemon/group/QuietGroup.java
@@ -2,9 +2,9 @@
 
 import java.util.OptionalLong;
 import java.util.function.LongConsumer;
-import org.bankturn.agreement.Agreement;
-import org.bankturn.agreement.AgreementSettings;
-import org.bankturn.agreement.GroupSilence;
+import org.bankturn.agreement.RaftNode;
+import org.bankturn.agreement.RaftSettings;
+import org.bankturn.agreement.StaleConnectionPolicy;
 import org.bankturn.daemon.observe.DecisionField;
 import org.bankturn.daemon.observe.DecisionKind;
 import org.bankturn.daemon.observe.DecisionLog;
@@ -18,7 +18,7 @@
 final class QuietGroup {
     private static final String GROUP = "group";
 
-    private final AgreementSettings settings;
+    private final RaftSettings settings;
     private final Clock clock;
     private final DecisionLog log;
     private final LongConsumer distrust;
@@ -32,11 +32,11 @@
      * @param log the decision log, not null
      * @param distrust takes until when connections must have been heard last to be replaced, not null
      */
-    static QuietGroup of(AgreementSettings settings, Clock clock, DecisionLog log, LongConsumer distrust) {
+    static QuietGroup of(RaftSettings settings, Clock clock, DecisionLog log, LongConsumer distrust) {
         return new QuietGroup(settings, clock, log, distrust);
     }
 
-    private QuietGroup(AgreementSettings settings, Clock clock, DecisionLog log, LongConsumer distrust) {
+    private QuietGroup(RaftSettings settings, Clock clock, DecisionLog log, LongConsumer distrust) {
         this.settings = settings;
         this.clock = clock;
         this.log = log;
@@ -44,9 +44,9 @@
     }
 
     /** Looks at a member after a step of it. */
-    void look(Agreement member) {
+    void look(RaftNode member) {
         long now = clock.millis();
-        OptionalLong until = GroupSilence.distrustedUntilMillis(member, settings, now);
+        OptionalLong until = StaleConnectionPolicy.staleConnectionCutoffMillis(member, settings, now);
         // found out by lost messages alone, a silence cost 1,730 and 1,937 ms without a leader (two groups of three)
         until.ifPresent(distrust);
         if (until.isPresent() != quiet) {
@@ -54,7 +54,7 @@
             log.line(quiet ? DecisionKind.LOST : DecisionKind.REGAINED)
                     .with(DecisionField.DEPENDENCY, GROUP)
                     .with(DecisionField.TERM, member.term())
-                    .with(DecisionField.SILENT_MS, now - member.currentMillis())
+                    .with(DecisionField.SILENT_MS, now - member.lastUpToDateMillis())
                     .write();
         }
     }
--- a/daemon/src/main/java/org/bankturn/daemon/member/MemberLoop.java
+++ b/daemon/src/main/java/org/bankturn/daemon/member/MemberLoop.java
@@ -11,12 +11,12 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Supplier;
-import org.bankturn.agreement.Agreement;
-import org.bankturn.agreement.AgreementMessage;
 import org.bankturn.agreement.LogEntry;
+import org.bankturn.agreement.RaftMessage;
+import org.bankturn.agreement.RaftNode;
 import org.bankturn.agreement.Ready;
 import org.bankturn.agreement.Role;
-import org.bankturn.storage.AgreementStorage;
+import org.bankturn.storage.RaftStorage;
 import org.bankturn.time.Clock;
 
 /**
@@ -37,8 +37,8 @@
     private final BlockingQueue<Runnable> queue = new LinkedBlockingQueue<>();
     private final Map<Long, Submission<R>> submissions = new HashMap<>();
     private final Thread thread;
-    private Agreement agreement;
-    private AgreementStorage storage;
+    private RaftNode agreement;
+    private RaftStorage storage;
     private long appliedIndex;
     private long joinAskedMillis;
     private long heardLeaderMillis;
@@ -65,7 +65,7 @@
     }
 
     /** Takes in a message of the group. */
-    public void receive(AgreementMessage message) {
+    public void receive(RaftMessage message) {
         queue.add(() -> {
             if (agreement != null) {
                 agreement.receive(message);
@@ -109,7 +109,7 @@
     // ---- on the member's thread only
 
     /** Returns the state machine, null while nothing is recovered; on the member's thread only. */
-    public Agreement agreement() {
+    public RaftNode agreement() {
         return agreement;
     }
 
@@ -213,7 +213,7 @@
                 && now - heardLeaderMillis > ALONE_AFTER_JOIN_RETRIES * timing.joinRetryMillis();
         if ((outside || alone) && now - joinAskedMillis >= timing.joinRetryMillis()) {
             joinAskedMillis = now;
-            agreement.askToJoin(state.contacts());
+            agreement.requestJoin(state.contacts());
         }
     }
 
--- a/daemon/src/main/java/org/bankturn/daemon/target/EngineOrders.java
+++ b/daemon/src/main/java/org/bankturn/daemon/target/EngineOrders.java
@@ -15,8 +15,8 @@
 import java.util.List;
 import java.util.Map;
 import org.bankturn.daemon.BackendClient;
+import org.bankturn.lease.FenceGuard;
 import org.bankturn.lease.HeldLease;
-import org.bankturn.lease.OrderGuard;
 import org.bankturn.result.ResultCode;
 import org.bankturn.state.command.Command;
 import org.bankturn.state.command.CommandResult;
@@ -45,7 +45,7 @@
     private final String backend;
     private final String holder;
     private final long leaseMillis;
-    private final OrderGuard guard = new OrderGuard();
+    private final FenceGuard guard = new FenceGuard();
     private long settledMillis;
 
     EngineOrders(
@@ -92,7 +92,7 @@
                     if (failure == null || failure instanceof OrderAnsweredException) {
                         release(held);
                     } else {
-                        settledMillis = context.clock().millis() + HeldLease.transitMillis(leaseMillis);
+                        settledMillis = context.clock().millis() + HeldLease.maxDeliveryMillis(leaseMillis);
                     }
                 }));
     }
@@ -108,7 +108,7 @@
         Command command = new Command.AcquireLease(context.box(), holder, leaseMillis, 0);
         return Promise.<CommandResult>ofFuture(context.control().submit(command, SUBMIT_TIMEOUT_MILLIS))
                 .then(result -> {
-                    if (!(result instanceof CommandResult.LeaseAnswer answer)) {
+                    if (!(result instanceof CommandResult.LeaseState answer)) {
                         return Promise.ofException(new IOException("no lease: " + result));
                     }
                     if (answer.granted()) {
--- a/daemon/src/test/java/org/bankturn/daemon/wire/EarlierFormatTest.java
+++ b/daemon/src/test/java/org/bankturn/daemon/wire/EarlierFormatTest.java
@@ -7,7 +7,7 @@
 import java.util.Arrays;
 import java.util.List;
 import java.util.stream.Stream;
-import org.bankturn.agreement.AgreementMessage;
+import org.bankturn.agreement.RaftMessage;
 import org.bankturn.agreement.Snapshot;
 import org.bankturn.codec.MessagePackCodec;
 import org.bankturn.publication.PublicationCommand;
@@ -18,7 +18,7 @@
 import org.bankturn.state.command.CommandResult;
 import org.bankturn.state.query.ShowReply;
 import org.bankturn.state.query.StatusReply;
-import org.bankturn.storage.AgreementStorage;
+import org.bankturn.storage.RaftStorage;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.Arguments;
 import org.junit.jupiter.params.provider.MethodSource;
@@ -29,12 +29,12 @@
 
     static Stream<Arguments> writtenTypes() {
         return Stream.of(
-                Arguments.of("agreement", AgreementMessage.class),
+                Arguments.of("agreement", RaftMessage.class),
                 Arguments.of("agreement-snapshot", Snapshot.class),
                 Arguments.of("command", Command.class),
                 Arguments.of("command-result", CommandResult.class),
                 Arguments.of("frame", Frame.class),
-                Arguments.of("log-record", recordIn(AgreementStorage.class)),
+                Arguments.of("log-record", recordIn(RaftStorage.class)),
                 Arguments.of("node-reply", NodeReply.class),
                 Arguments.of("node-request", NodeRequest.class),
                 Arguments.of("publication", PublicationCommand.class),
--- a/standins/src/main/java/org/bankturn/bench/PartCosts.java
+++ b/standins/src/main/java/org/bankturn/bench/PartCosts.java
@@ -13,7 +13,7 @@
 import org.bankturn.configuration.FileRecord;
 import org.bankturn.crash.RequestFingerprint;
 import org.bankturn.distribution.ChunkPlanner;
-import org.bankturn.ledger.RecordedAnswer;
+import org.bankturn.ledger.RecordedResponse;
 import org.bankturn.membership.ProcessReport;
 import org.bankturn.membership.ReportTable;
 import org.bankturn.membership.TargetStatus;
@@ -98,11 +98,11 @@
     }
 
     private static void fill(ReplicatedState state, int claims) {
-        RecordedAnswer answer = new RecordedAnswer(200, "application/json", new byte[200]);
+        RecordedResponse answer = new RecordedResponse(200, "application/json", new byte[200]);
         for (int number = 0; number < claims; number++) {
             String key = "key-" + number;
             state.apply(number, new Command.ClaimRequest("account", key, MANIFEST, key, 0, 1_000, Long.MAX_VALUE));
-            state.apply(number, new Command.RecordAnswer("account", key, key, answer));
+            state.apply(number, new Command.RecordResponse("account", key, key, answer));
         }
     }
 
@@ -131,7 +131,7 @@
             TargetView view = TargetView.using(Clock.system());
             configuration
                     .boxes()
-                    .forEach(box -> view.statusReceived(new TargetStatus(box.name(), List.of(MANIFEST), false, 0)));
+                    .forEach(box -> view.recordStatus(new TargetStatus(box.name(), List.of(MANIFEST), false, 0)));
             TargetSelector selector = TargetSelector.of(configuration, view, "hall-1");
             out.addObject()
                     .put("boxes", boxes)
