--- a/daemon/src/main/java/org/bankturn/daemon/gateway/Attempt.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/Attempt.java
@@ -35,7 +35,7 @@
 
     private final ForwardedRequest request;
     private final Gateway gateway;
-    private final CallerTerms terms;
+    private final RequestMetadata terms;
     private final Route route;
     private final ServerExchange exchange;
     private final TargetState target;
--- a/daemon/src/main/java/org/bankturn/daemon/gateway/ForwardedRequest.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/ForwardedRequest.java
@@ -32,7 +32,7 @@
 
     private final Gateway gateway;
     private final ServerExchange exchange;
-    private final CallerTerms terms;
+    private final RequestMetadata terms;
     private final Route route;
     private final Account account;
     private final long endMillis;
@@ -41,7 +41,7 @@
     private RequestFingerprint fingerprint;
     private boolean trial;
 
-    ForwardedRequest(Gateway gateway, ServerExchange exchange, CallerTerms terms, Route route, Account account) {
+    ForwardedRequest(Gateway gateway, ServerExchange exchange, RequestMetadata terms, Route route, Account account) {
         this.gateway = gateway;
         this.exchange = exchange;
         this.terms = terms;
@@ -261,7 +261,7 @@
         return exchange;
     }
 
-    CallerTerms terms() {
+    RequestMetadata terms() {
         return terms;
     }
 
--- a/daemon/src/main/java/org/bankturn/daemon/gateway/Gateway.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/Gateway.java
@@ -253,7 +253,7 @@
     // ---- requests
 
     private void handle(ServerExchange exchange) {
-        CallerTerms terms = dialect.terms(exchange.head());
+        RequestMetadata terms = dialect.terms(exchange.head());
         ServingConfiguration configuration = published.configuration();
         if (configuration == null || takenOut) {
             answer(exchange, terms, 503, takenOut ? "stops as planned" : "no configuration known");
@@ -280,7 +280,7 @@
     }
 
     /** Denies a request for good, unless a newer configuration that this process has not heard of may allow it. */
-    private void deny(ServerExchange exchange, CallerTerms terms, int status, String reason) {
+    private void deny(ServerExchange exchange, RequestMetadata terms, int status, String reason) {
         String inVersion = reason + " in version " + published.configuration().version();
         if (published.confirmed()) {
             answer(exchange, terms, status, inVersion);
@@ -289,7 +289,7 @@
         }
     }
 
-    private void answer(ServerExchange exchange, CallerTerms terms, int status, String reason) {
+    private void answer(ServerExchange exchange, RequestMetadata terms, int status, String reason) {
         long comeBackMillis = takenOut ? ComeBack.TO_ANOTHER_GATEWAY_MILLIS : ComeBack.WITHOUT_TARGET_MILLIS;
         log.line(DecisionKind.REFUSED)
                 .with(DecisionField.REQUEST, terms.id())
--- a/daemon/src/main/java/org/bankturn/daemon/gateway/RequestDialect.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/RequestDialect.java
@@ -5,7 +5,7 @@
 /** How callers and targets write what the gateway must know: names and formats only. */
 public interface RequestDialect {
     /** Returns what a caller says of its request, not null. */
-    CallerTerms terms(HttpHead head);
+    RequestMetadata terms(HttpHead head);
 
     /** Returns the head that goes to a target, without framing, not null. */
     HttpHead toTarget(HttpHead head, Forwarding forwarding);
@@ -20,5 +20,5 @@
      * @param terms what the caller said, not null
      * @param comeBackMillis when to come back, 0 to say nothing
      */
-    HttpHead ownAnswer(int status, CallerTerms terms, long comeBackMillis);
+    HttpHead ownAnswer(int status, RequestMetadata terms, long comeBackMillis);
 }
--- a/daemon/src/main/java/org/bankturn/daemon/gateway/CallerTerms.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/RequestMetadata.java
@@ -12,7 +12,7 @@
  * @param answerTokens the most tokens of the answer, 0 if not told
  * @param answerHint the caller's guess of the answer's tokens, 0 if it has none
  */
-public record CallerTerms(
+public record RequestMetadata(
         String id,
         String host,
         String path,
--- a/daemon/src/test/java/org/bankturn/daemon/gateway/PlainDialect.java
+++ b/daemon/src/test/java/org/bankturn/daemon/gateway/PlainDialect.java
@@ -11,8 +11,8 @@
 /** A dialect with short names, for tests. */
 public final class PlainDialect implements RequestDialect {
     @Override
-    public CallerTerms terms(HttpHead head) {
-        return new CallerTerms(
+    public RequestMetadata terms(HttpHead head) {
+        return new RequestMetadata(
                 head.field("Id").orElse(""),
                 head.field("Host").orElse(""),
                 head.second(),
@@ -54,7 +54,7 @@
     }
 
     @Override
-    public HttpHead ownAnswer(int status, CallerTerms terms, long comeBackMillis) {
+    public HttpHead ownAnswer(int status, RequestMetadata terms, long comeBackMillis) {
         return HttpHead.answer(
                 status,
                 comeBackMillis > 0 ? List.of(new HttpField("Come-Back", Long.toString(comeBackMillis))) : List.of());
