--- a/daemon/src/main/java/org/bankturn/daemon/gateway/Attempt.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/Attempt.java
@@ -103,7 +103,7 @@
         HttpHead sent = gateway.dialect()
                 .toTarget(
                         exchange.head(),
-                        new Forwarding(
+                        new ForwardingMetadata(
                                 request.remainingMillis(),
                                 target.sighting().name(),
                                 request.accountName(),
--- a/daemon/src/main/java/org/bankturn/daemon/gateway/Forwarding.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/ForwardingMetadata.java
@@ -10,5 +10,5 @@
  * @param weightsVersion the version of the weights that must run it, 0 for any
  * @param urgency 0 first to 9
  */
-public record Forwarding(
+public record ForwardingMetadata(
         long remainingMillis, String targetName, String account, String lastEvent, int weightsVersion, int urgency) {}
--- a/daemon/src/main/java/org/bankturn/daemon/gateway/RequestDialect.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/RequestDialect.java
@@ -8,7 +8,7 @@
     RequestMetadata terms(HttpHead head);
 
     /** Returns the head that goes to a target, without framing, not null. */
-    HttpHead toTarget(HttpHead head, Forwarding forwarding);
+    HttpHead toTarget(HttpHead head, ForwardingMetadata forwarding);
 
     /** Returns what a target's head says, not null. */
     TargetAnswer answer(HttpHead head);
