--- a/daemon/src/main/java/org/bankturn/daemon/gateway/Attempt.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/Attempt.java
@@ -47,7 +47,7 @@
     private TargetConnection connection;
     private SilenceWatch watch;
     private HttpHead head;
-    private TargetAnswer answer;
+    private ResponseMetadata answer;
     private boolean promptPending = true;
     private boolean over;
     private long sentMillis;
@@ -142,7 +142,7 @@
 
     @Override
     public boolean onHead(HttpHead received) {
-        TargetAnswer read = gateway.dialect().answer(received);
+        ResponseMetadata read = gateway.dialect().answer(received);
         if (read.requestId() != null && !read.requestId().equals(terms.id())) {
             return false;
         }
@@ -157,7 +157,7 @@
         return true;
     }
 
-    private void noticed(TargetAnswer read) {
+    private void noticed(ResponseMetadata read) {
         for (String field : read.unreadable()) {
             gateway.metrics().targetNoticed(ServingMetrics.NOTICE_UNREADABLE);
             noticeLine("unreadable").with(DecisionField.ERROR, field).write();
--- a/daemon/src/main/java/org/bankturn/daemon/gateway/RequestDialect.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/RequestDialect.java
@@ -11,7 +11,7 @@
     HttpHead toTarget(HttpHead head, ForwardingMetadata forwarding);
 
     /** Returns what a target's head says, not null. */
-    TargetAnswer answer(HttpHead head);
+    ResponseMetadata answer(HttpHead head);
 
     /**
      * Returns the head of an answer that the gateway gives itself.
--- a/daemon/src/main/java/org/bankturn/daemon/gateway/TargetAnswer.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/ResponseMetadata.java
@@ -13,7 +13,7 @@
  * @param notice what the target asks of its callers, not null
  * @param unreadable the fields that should say so and cannot be read, with their values, not null
  */
-public record TargetAnswer(
+public record ResponseMetadata(
         int status,
         String requestId,
         boolean notRun,
@@ -23,7 +23,7 @@
     private static final int MISDIRECTED = 421;
 
     /** Copies the list. */
-    public TargetAnswer {
+    public ResponseMetadata {
         unreadable = List.copyOf(unreadable);
     }
 
--- a/daemon/src/test/java/org/bankturn/daemon/gateway/PlainDialect.java
+++ b/daemon/src/test/java/org/bankturn/daemon/gateway/PlainDialect.java
@@ -36,8 +36,8 @@
     }
 
     @Override
-    public TargetAnswer answer(HttpHead head) {
-        return new TargetAnswer(
+    public ResponseMetadata answer(HttpHead head) {
+        return new ResponseMetadata(
                 head.status(),
                 head.field("Id").orElse(null),
                 head.field("Not-Run").isPresent(),
