--- a/daemon/src/main/java/org/bankturn/daemon/gateway/Attempt.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/Attempt.java
@@ -45,7 +45,7 @@
     private final ByteArrayOutputStream content = new ByteArrayOutputStream();
     private final EventSplitter events = new EventSplitter();
     private TargetConnection connection;
-    private SilenceWatch watch;
+    private StallDetector watch;
     private HttpHead head;
     private ResponseMetadata answer;
     private boolean promptPending = true;
@@ -113,7 +113,7 @@
         boolean hasBody = exchange.body().length > 0 || !exchange.head().first().equals("GET");
         HttpHead framed = hasBody ? sent.with("Content-Length", Integer.toString(exchange.body().length)) : sent;
         // first the watch: a write that fails at once ends the attempt before send returns
-        watch = SilenceWatch.start(gateway, request, choice, connection, this::takeAway);
+        watch = StallDetector.start(gateway, request, choice, connection, this::takeAway);
         connection.send(joined(framed, exchange.body()), exchange.head().first().equals("HEAD"), this);
     }
 
--- a/daemon/src/main/java/org/bankturn/daemon/gateway/SilenceWatch.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/StallDetector.java
@@ -13,9 +13,9 @@
  *
  * <p>A connection that was well before and says nothing may have gone silent for good although its target is well. So the
  * target is blamed only if the connection is new, or if the target spoke meanwhile on others that were open before.
- * SilenceWatch is confined to its reactor's thread.
+ * StallDetector is confined to its reactor's thread.
  */
-final class SilenceWatch {
+final class StallDetector {
     /** How often it is looked again whether another target can take the request. */
     private static final long LOOK_AGAIN_MILLIS = 200;
 
@@ -40,14 +40,14 @@
      * @param connection the connection that it was sent on, not null
      * @param takeAway is run when the request may be repeated and should go to another target, not null
      */
-    static SilenceWatch start(
+    static StallDetector start(
             Gateway gateway, ForwardedRequest request, Choice choice, TargetConnection connection, Runnable takeAway) {
-        SilenceWatch watch = new SilenceWatch(gateway, request, choice, connection, takeAway);
+        StallDetector watch = new StallDetector(gateway, request, choice, connection, takeAway);
         watch.checkLater(watch.boundMillis());
         return watch;
     }
 
-    private SilenceWatch(
+    private StallDetector(
             Gateway gateway, ForwardedRequest request, Choice choice, TargetConnection connection, Runnable takeAway) {
         this.gateway = gateway;
         this.request = request;
--- a/daemon/src/test/java/org/bankturn/daemon/gateway/ResetTargetsTest.java
+++ b/daemon/src/test/java/org/bankturn/daemon/gateway/ResetTargetsTest.java
@@ -17,7 +17,7 @@
  *
  * <p>A gateway lost its connections to two targets at once. It noticed the first, sent that request again on the connection
  * that it had kept to the second, and that connection failed while the request was being written, before its watch had been
- * set: "NullPointerException: Cannot invoke SilenceWatch.end() because this.watch is null". The request was sent again
+ * set: "NullPointerException: Cannot invoke StallDetector.end() because this.watch is null". The request was sent again
  * only when its silence was noticed, 1.4 s later. What a test's reactor throws is looked at after it.
  */
 class ResetTargetsTest extends GatewayFixture {
