--- a/daemon/src/main/java/org/bankturn/daemon/gateway/CrashWatch.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/CrashDetector.java
@@ -34,9 +34,9 @@
  * is stopped at every gateway.
  *
  * <p>A target at which something broke off is connected to once more: an address that refuses connections is that of a
- * process that ended. What ran whole is told as well. CrashWatch is confined to its reactor's thread.
+ * process that ended. What ran whole is told as well. CrashDetector is confined to its reactor's thread.
  */
-final class CrashWatch {
+final class CrashDetector {
     /** A process that ends may close its port a moment after its connections, so it is looked at again then. */
     private static final long LOOK_AGAIN_MILLIS = 150;
 
@@ -76,7 +76,7 @@
      * @param controlGroup takes what all gateways must know, not null
      * @param whenCondemned is run when a request may have been condemned that was not before, not null
      */
-    static CrashWatch of(
+    static CrashDetector of(
             String process,
             Eventloop reactor,
             Clock clock,
@@ -85,10 +85,10 @@
             TargetConnections connections,
             Consumer<PublicationCommand> controlGroup,
             Runnable whenCondemned) {
-        return new CrashWatch(process, reactor, clock, log, metrics, connections, controlGroup, whenCondemned);
+        return new CrashDetector(process, reactor, clock, log, metrics, connections, controlGroup, whenCondemned);
     }
 
-    private CrashWatch(
+    private CrashDetector(
             String process,
             Eventloop reactor,
             Clock clock,
--- a/daemon/src/main/java/org/bankturn/daemon/gateway/Gateway.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/Gateway.java
@@ -73,7 +73,7 @@
     private final RequestPolicy policy;
     private final LoadPoller loads;
     private final PermitCalls permits;
-    private final CrashWatch crashes;
+    private final CrashDetector crashes;
     private final Set<ForwardedRequest> underWay = new LinkedHashSet<>();
     private final long startedMillis;
     private Published published = Published.NOTHING;
@@ -129,7 +129,7 @@
         this.loads = LoadPoller.of(reactor, clock, clients, targets, settings, metrics);
         this.permits = PermitCalls.of(settings.nodeAddress(), reactor, clock, clients, targets, random, log, metrics);
         metrics.tellHeldBack(targets::heldBackCounts);
-        this.crashes = CrashWatch.of(
+        this.crashes = CrashDetector.of(
                 settings.process(), reactor, clock, log, metrics, connections, controlGroup, this::stopCondemned);
         this.callers = HttpListener.create(
                 reactor, clock, settings.callerAddress().toSocketAddress(), this::callerLimits, this::handle);
@@ -340,7 +340,7 @@
         return connections;
     }
 
-    CrashWatch crashes() {
+    CrashDetector crashes() {
         return crashes;
     }
 
