--- a/daemon/src/main/java/org/bankturn/daemon/gateway/CrashDetector.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/CrashDetector.java
@@ -55,7 +55,7 @@
     private final Consumer<PublicationCommand> controlGroup;
     private final Runnable whenCondemned;
     private final BrokenRuns brokenRuns;
-    private final Trials trials;
+    private final TrialRequester trials;
     private final KnownSuspects suspects = KnownSuspects.none();
     private final Set<RequestFingerprint> condemned = new HashSet<>();
     private final Map<String, Promise<Void>> looking = new HashMap<>();
@@ -106,7 +106,7 @@
         this.controlGroup = controlGroup;
         this.whenCondemned = whenCondemned;
         this.brokenRuns = BrokenRuns.of(clock);
-        this.trials = Trials.of(reactor, clock, log, controlGroup, suspects);
+        this.trials = TrialRequester.of(reactor, clock, log, controlGroup, suspects);
     }
 
     // ---- queries
--- a/daemon/src/main/java/org/bankturn/daemon/gateway/Trials.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/TrialRequester.java
@@ -22,9 +22,9 @@
 /**
  * Takes trials of condemned requests from the control group, so that all gateways together send no more than are allowed.
  *
- * <p>Trials is confined to its reactor's thread.
+ * <p>TrialRequester is confined to its reactor's thread.
  */
-final class Trials {
+final class TrialRequester {
     /** A control group that works answers within 60 ms; a request waits no longer than that for its trial. */
     private static final long ANSWER_MILLIS = 300;
 
@@ -47,16 +47,16 @@
      * @param controlGroup takes what all gateways must know, not null
      * @param suspects what is held against requests, not null
      */
-    static Trials of(
+    static TrialRequester of(
             Eventloop reactor,
             Clock clock,
             DecisionLog log,
             Consumer<PublicationCommand> controlGroup,
             KnownSuspects suspects) {
-        return new Trials(reactor, clock, log, controlGroup, suspects);
+        return new TrialRequester(reactor, clock, log, controlGroup, suspects);
     }
 
-    private Trials(
+    private TrialRequester(
             Eventloop reactor,
             Clock clock,
             DecisionLog log,
