--- a/daemon/src/main/java/org/bankturn/daemon/gateway/Gateway.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/Gateway.java
@@ -72,7 +72,7 @@
     private final TargetConnections connections;
     private final RequestPolicy policy;
     private final LoadPoller loads;
-    private final PermitCalls permits;
+    private final PermitExchange permits;
     private final CrashDetector crashes;
     private final Set<ForwardedRequest> underWay = new LinkedHashSet<>();
     private final long startedMillis;
@@ -127,7 +127,8 @@
         this.targets = TargetTable.of(clock, settings.dataHall(), PlacementSettings.DEFAULT, random);
         this.policy = RequestPolicy.of(clock, targets, settings.retries(), random);
         this.loads = LoadPoller.of(reactor, clock, clients, targets, settings, metrics);
-        this.permits = PermitCalls.of(settings.nodeAddress(), reactor, clock, clients, targets, random, log, metrics);
+        this.permits =
+                PermitExchange.of(settings.nodeAddress(), reactor, clock, clients, targets, random, log, metrics);
         metrics.tellHeldBack(targets::heldBackCounts);
         this.crashes = CrashDetector.of(
                 settings.process(), reactor, clock, log, metrics, connections, controlGroup, this::stopCondemned);
--- a/daemon/src/main/java/org/bankturn/daemon/gateway/PermitCalls.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/PermitExchange.java
@@ -29,9 +29,9 @@
  * Asks the gateway that is responsible for a rate-limited target for permits, and hands out those that this gateway is
  * responsible for.
  *
- * <p>Moments are told as ages, since gateways' clocks differ. PermitCalls is confined to its reactor's thread.
+ * <p>Moments are told as ages, since gateways' clocks differ. PermitExchange is confined to its reactor's thread.
  */
-final class PermitCalls {
+final class PermitExchange {
     /** A permit that comes later is of little use: it is valid from when it was asked for. */
     private static final long ANSWER_MILLIS = 400;
 
@@ -58,7 +58,7 @@
      * @param log the decision log, not null
      * @param metrics the metrics, not null
      */
-    static PermitCalls of(
+    static PermitExchange of(
             Address self,
             Eventloop reactor,
             Clock clock,
@@ -67,10 +67,10 @@
             UniformRandomProvider random,
             DecisionLog log,
             ServingMetrics metrics) {
-        return new PermitCalls(self, reactor, clock, clients, targets, random, log, metrics);
+        return new PermitExchange(self, reactor, clock, clients, targets, random, log, metrics);
     }
 
-    private PermitCalls(
+    private PermitExchange(
             Address self,
             Eventloop reactor,
             Clock clock,
