--- a/daemon/src/main/java/org/bankturn/daemon/gateway/CrashDetector.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/CrashDetector.java
@@ -51,7 +51,7 @@
     private final Clock clock;
     private final DecisionLog log;
     private final ServingMetrics metrics;
-    private final TargetConnections connections;
+    private final TargetConnectionPool connections;
     private final Consumer<PublicationCommand> controlGroup;
     private final Runnable whenCondemned;
     private final BrokenRuns brokenRuns;
@@ -82,7 +82,7 @@
             Clock clock,
             DecisionLog log,
             ServingMetrics metrics,
-            TargetConnections connections,
+            TargetConnectionPool connections,
             Consumer<PublicationCommand> controlGroup,
             Runnable whenCondemned) {
         return new CrashDetector(process, reactor, clock, log, metrics, connections, controlGroup, whenCondemned);
@@ -94,7 +94,7 @@
             Clock clock,
             DecisionLog log,
             ServingMetrics metrics,
-            TargetConnections connections,
+            TargetConnectionPool connections,
             Consumer<PublicationCommand> controlGroup,
             Runnable whenCondemned) {
         this.process = process;
--- a/daemon/src/main/java/org/bankturn/daemon/gateway/Gateway.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/Gateway.java
@@ -69,7 +69,7 @@
     private final HttpListener readiness;
     private final TargetTable targets;
     private final ConnectionTrust trust;
-    private final TargetConnections connections;
+    private final TargetConnectionPool connections;
     private final RequestPolicy policy;
     private final LoadPoller loads;
     private final PermitExchange permits;
@@ -122,7 +122,7 @@
         this.metrics = metrics;
         this.startedMillis = clock.millis();
         this.trust = clients.trust();
-        this.connections = new TargetConnections(trust);
+        this.connections = new TargetConnectionPool(trust);
         UniformRandomProvider random = RandomSource.XO_RO_SHI_RO_128_PP.create();
         this.targets = TargetTable.of(clock, settings.dataHall(), PlacementSettings.DEFAULT, random);
         this.policy = RequestPolicy.of(clock, targets, settings.retries(), random);
@@ -337,7 +337,7 @@
         return trust;
     }
 
-    TargetConnections connections() {
+    TargetConnectionPool connections() {
         return connections;
     }
 
--- a/daemon/src/main/java/org/bankturn/daemon/gateway/TargetConnections.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/TargetConnectionPool.java
@@ -11,16 +11,16 @@
 /**
  * The connections to targets that carry no request now, kept for the next one while they are trusted; by incarnation.
  *
- * <p>TargetConnections is confined to its reactor's thread.
+ * <p>TargetConnectionPool is confined to its reactor's thread.
  */
-final class TargetConnections {
+final class TargetConnectionPool {
     /** Connections kept to one target: as many as a gateway has requests under way there at its busiest. */
     private static final int MOST_RESTING = 24;
 
     private final ConnectionTrust trust;
     private final Map<String, Deque<TargetConnection>> resting = new HashMap<>();
 
-    TargetConnections(ConnectionTrust trust) {
+    TargetConnectionPool(ConnectionTrust trust) {
         this.trust = trust;
     }
 
