--- a/daemon/src/test/java/org/bankturn/daemon/gateway/CallersThatLeaveTest.java
+++ b/daemon/src/test/java/org/bankturn/daemon/gateway/CallerDisconnectTest.java
@@ -23,7 +23,7 @@
  * answer, and while it is about to go to another target. Nothing of it reaches a target afterwards, and the target that has
  * it is told, so that no engine works for nobody.
  */
-class CallersThatLeaveTest extends GatewayFixture {
+class CallerDisconnectTest extends GatewayFixture {
     private static final String REQUEST = "GET /x/1 HTTP/1.1\r\nHost: h\r\nId: a1\r\nDeadline: 20000\r\nKey: k\r\n";
 
     private static final int CALLERS = 24;
