--- a/daemon/src/test/java/org/bankturn/daemon/gateway/SilencedFixture.java
+++ b/daemon/src/test/java/org/bankturn/daemon/gateway/SilentConnectionFixture.java
@@ -22,7 +22,7 @@
 import org.junit.jupiter.api.AfterEach;
 
 /** A gateway whose connections to targets, and to the processes beside them, can go silent; tests extend it. */
-abstract class SilencedFixture extends GatewayFixture {
+abstract class SilentConnectionFixture extends GatewayFixture {
     private static final EngineModel ENGINE = new EngineModel(16, 1_000_000, 10, 0.02, 0.03, 20, 2_048, 5, 40);
     private static final EngineLoad COMFORTABLE = new EngineLoad(3, 0, 0, 1_000_000, 1, false);
     private static final long TIMEOUT_MILLIS = 6_000;
--- a/daemon/src/test/java/org/bankturn/daemon/gateway/SilentTargetConnectionsTest.java
+++ b/daemon/src/test/java/org/bankturn/daemon/gateway/SilentTargetConnectionsTest.java
@@ -24,7 +24,7 @@
  * answered in time, in another 38 silent connections were used again. The targets were blamed for it and avoided for up to
  * 4 s, although all were well.
  */
-class SilentTargetConnectionsTest extends SilencedFixture {
+class SilentTargetConnectionsTest extends SilentConnectionFixture {
     private static final int TARGETS = 2;
     private static final int KEPT_IN_ALL = 8;
     private static final int REQUESTS = 6;
--- a/daemon/src/test/java/org/bankturn/daemon/gateway/SilentTargetsTest.java
+++ b/daemon/src/test/java/org/bankturn/daemon/gateway/SilentTargetsTest.java
@@ -19,7 +19,7 @@
 import org.junit.jupiter.api.Test;
 
 /** A gateway before targets whose open connections all go silent at one moment. */
-class SilentTargetsTest extends SilencedFixture {
+class SilentTargetsTest extends SilentConnectionFixture {
     private static final int TARGETS = 8;
     private static final int REQUESTS_BEFORE = 120;
     private static final int REQUESTS_AFTER = 360;
