--- a/daemon/src/test/java/org/bankturn/daemon/gateway/CallerDisconnectTest.java
+++ b/daemon/src/test/java/org/bankturn/daemon/gateway/CallerDisconnectTest.java
@@ -104,7 +104,7 @@
     @Test
     void a_request_that_waits_for_a_connection_as_its_caller_leaves_reaches_no_target() throws Exception {
         ScriptedTarget other = answering("here", "");
-        try (DeafTarget deaf = DeafTarget.start()) {
+        try (FullBacklogTarget deaf = FullBacklogTarget.start()) {
             publish(RequestKind.IDEMPOTENT, 2, 2_000, List.of(deaf.address()));
             try (Socket socket = new Socket(callers.host(), callers.port())) {
                 ScriptedTarget.write(socket, REQUEST + "\r\n");
--- a/daemon/src/test/java/org/bankturn/daemon/gateway/DeafTarget.java
+++ b/daemon/src/test/java/org/bankturn/daemon/gateway/FullBacklogTarget.java
@@ -10,18 +10,18 @@
 import java.util.List;
 
 /** A target whose queue of new connections is full, so that connections to it are neither made nor refused. */
-final class DeafTarget implements AutoCloseable {
+final class FullBacklogTarget implements AutoCloseable {
     private static final int MOST_QUEUED = 16;
     private static final int CONNECT_MILLIS = 200;
 
     private final ServerSocket server;
     private final List<Socket> queued = new ArrayList<>();
 
-    static DeafTarget start() throws IOException {
-        return new DeafTarget();
+    static FullBacklogTarget start() throws IOException {
+        return new FullBacklogTarget();
     }
 
-    private DeafTarget() throws IOException {
+    private FullBacklogTarget() throws IOException {
         server = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
         while (queued.size() < MOST_QUEUED) {
             Socket socket = new Socket();
