--- a/daemon/src/test/java/org/bankturn/daemon/gateway/FragileTarget.java
+++ b/daemon/src/test/java/org/bankturn/daemon/gateway/CrashingTarget.java
@@ -4,8 +4,8 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /** Makes targets that end as soon as they begin a request with one body, and answer all others. */
-public final class FragileTarget {
-    private FragileTarget() {}
+public final class CrashingTarget {
+    private CrashingTarget() {}
 
     /**
      * Returns a target on loopback, not null.
--- a/daemon/src/test/java/org/bankturn/daemon/gateway/DeadlyRequestTest.java
+++ b/daemon/src/test/java/org/bankturn/daemon/gateway/DeadlyRequestTest.java
@@ -52,7 +52,7 @@
     private ScriptedTarget[] fragile(int count) throws IOException {
         ScriptedTarget[] targets = new ScriptedTarget[count];
         for (int index = 0; index < count; index++) {
-            targets[index] = keep(FragileTarget.endingWith(DEADLY, ended));
+            targets[index] = keep(CrashingTarget.endingWith(DEADLY, ended));
         }
         return targets;
     }
