--- a/daemon/src/test/java/org/bankturn/daemon/gateway/SeveralGateways.java
+++ b/daemon/src/test/java/org/bankturn/daemon/gateway/GatewayGroup.java
@@ -27,7 +27,7 @@
 import org.bankturn.time.Clock;
 
 /** Some gateways on loopback that know the same targets and each other. */
-final class SeveralGateways implements AutoCloseable {
+final class GatewayGroup implements AutoCloseable {
     private static final RetryLimits UNLIMITED_RETRIES = new RetryLimits(0.5, 96_000_000, 10_000);
     private static final long TIMEOUT_MILLIS = 2_000;
 
@@ -49,12 +49,12 @@
     /** A gateway, where callers reach it and where other processes do. */
     private record Started(Gateway gateway, Address callers, Address node) {}
 
-    private SeveralGateways(String name) {
+    private GatewayGroup(String name) {
         this.name = name;
     }
 
-    static SeveralGateways start(String name, int count) throws Exception {
-        SeveralGateways gateways = new SeveralGateways(name);
+    static GatewayGroup start(String name, int count) throws Exception {
+        GatewayGroup gateways = new GatewayGroup(name);
         gateways.reactor.keepAlive(true);
         new Thread(gateways.reactor, "several-gateways").start();
         for (int number = 0; number < count; number++) {
--- a/daemon/src/test/java/org/bankturn/daemon/gateway/TargetRateLimitTest.java
+++ b/daemon/src/test/java/org/bankturn/daemon/gateway/TargetRateLimitTest.java
@@ -25,7 +25,7 @@
     private static final long SELDOM_MILLIS = 900;
 
     private final List<ScriptedTarget> targets = new ArrayList<>();
-    private SeveralGateways gateways;
+    private GatewayGroup gateways;
 
     /** When requests arrived at a target that names a limit, and the limit that it names then, null for none. */
     private static final class Limited {
@@ -94,7 +94,7 @@
 
     @Test
     void one_gateway_keeps_the_rate_that_a_target_takes() throws Exception {
-        gateways = SeveralGateways.start("TargetRateLimitTest", 1);
+        gateways = GatewayGroup.start("TargetRateLimitTest", 1);
         Limited limited = new Limited(gateways.clock, "1.5");
         gateways.publish(keep(limited.start()), keep(new Limited(gateways.clock, null).start()));
         gateways.callFor(8_000);
@@ -103,7 +103,7 @@
 
     @Test
     void seven_gateways_together_keep_the_rate_that_a_target_takes() throws Exception {
-        gateways = SeveralGateways.start("TargetRateLimitTest", 7);
+        gateways = GatewayGroup.start("TargetRateLimitTest", 7);
         Limited limited = new Limited(gateways.clock, "1");
         gateways.publish(keep(limited.start()), keep(new Limited(gateways.clock, null).start()));
         gateways.callFor(9_000);
@@ -113,7 +113,7 @@
     /** Each gateway learns of the end by its next permit, one of them by the target's answer. */
     @Test
     void a_target_whose_limit_has_ended_is_used_as_before_by_all() throws Exception {
-        gateways = SeveralGateways.start("TargetRateLimitTest", 3);
+        gateways = GatewayGroup.start("TargetRateLimitTest", 3);
         Limited limited = new Limited(gateways.clock, "1");
         gateways.publish(keep(limited.start()), keep(new Limited(gateways.clock, null).start()));
         gateways.callFor(1_000);
@@ -128,7 +128,7 @@
     /** A permit that comes once the request that wanted it was refused is over before the next request. */
     @Test
     void a_service_whose_only_target_takes_little_is_served_at_that_rate() throws Exception {
-        gateways = SeveralGateways.start("TargetRateLimitTest", 2);
+        gateways = GatewayGroup.start("TargetRateLimitTest", 2);
         Limited limited = new Limited(gateways.clock, "2");
         gateways.publish(keep(limited.start()));
         int answered = 0;
