--- a/daemon/src/test/java/org/bankturn/daemon/gateway/DeadlyRequestTest.java
+++ b/daemon/src/test/java/org/bankturn/daemon/gateway/CrashingRequestTest.java
@@ -15,7 +15,7 @@
  * each of them, "retried ... CLOSED, sends 1" and "failed ... attempts used up, sends 2": a gateway counted the attempts of
  * a request and the retries of a service, and remembered nothing of what had been retried.
  */
-class DeadlyRequestTest extends GatewayFixture {
+class CrashingRequestTest extends GatewayFixture {
     private static final int CALLS = 20;
     private static final int SENDS_OF_ONE_CALL = 2;
     private static final int ENDS_THAT_CONDEMN = 3;
