--- a/daemon/src/main/java/org/bankturn/daemon/gateway/Gateway.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/Gateway.java
@@ -254,7 +254,7 @@
     // ---- requests
 
     private void handle(ServerExchange exchange) {
-        RequestMetadata terms = dialect.terms(exchange.head());
+        RequestMetadata terms = dialect.parseRequest(exchange.head());
         ServingConfiguration configuration = published.configuration();
         if (configuration == null || takenOut) {
             answer(exchange, terms, 503, takenOut ? "stops as planned" : "no configuration known");
--- a/daemon/src/main/java/org/bankturn/daemon/gateway/RequestDialect.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/RequestDialect.java
@@ -5,7 +5,7 @@
 /** How callers and targets write what the gateway must know: names and formats only. */
 public interface RequestDialect {
     /** Returns what a caller says of its request, not null. */
-    RequestMetadata terms(HttpHead head);
+    RequestMetadata parseRequest(HttpHead head);
 
     /** Returns the head that goes to a target, without framing, not null. */
     HttpHead toTarget(HttpHead head, ForwardingMetadata forwarding);
--- a/daemon/src/test/java/org/bankturn/daemon/gateway/PlainDialect.java
+++ b/daemon/src/test/java/org/bankturn/daemon/gateway/PlainDialect.java
@@ -11,7 +11,7 @@
 /** A dialect with short names, for tests. */
 public final class PlainDialect implements RequestDialect {
     @Override
-    public RequestMetadata terms(HttpHead head) {
+    public RequestMetadata parseRequest(HttpHead head) {
         return new RequestMetadata(
                 head.field("Id").orElse(""),
                 head.field("Host").orElse(""),
