--- a/daemon/src/main/java/org/bankturn/daemon/gateway/Attempt.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/Attempt.java
@@ -101,7 +101,7 @@
             gateway.sentToEngine();
         }
         HttpHead sent = gateway.dialect()
-                .toTarget(
+                .buildTargetRequest(
                         exchange.head(),
                         new ForwardingMetadata(
                                 request.remainingMillis(),
--- a/daemon/src/main/java/org/bankturn/daemon/gateway/RequestDialect.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/RequestDialect.java
@@ -8,7 +8,7 @@
     RequestMetadata parseRequest(HttpHead head);
 
     /** Returns the head that goes to a target, without framing, not null. */
-    HttpHead toTarget(HttpHead head, ForwardingMetadata forwarding);
+    HttpHead buildTargetRequest(HttpHead head, ForwardingMetadata forwarding);
 
     /** Returns what a target's head says, not null. */
     ResponseMetadata answer(HttpHead head);
--- a/daemon/src/test/java/org/bankturn/daemon/gateway/PlainDialect.java
+++ b/daemon/src/test/java/org/bankturn/daemon/gateway/PlainDialect.java
@@ -24,7 +24,7 @@
     }
 
     @Override
-    public HttpHead toTarget(HttpHead head, ForwardingMetadata forwarding) {
+    public HttpHead buildTargetRequest(HttpHead head, ForwardingMetadata forwarding) {
         HttpHead plain = head.withoutConnectionFields().without(Set.of("deadline", "key", "content-length"));
         List<HttpField> fields = new ArrayList<>(plain.fields());
         fields.add(new HttpField("Deadline", Long.toString(forwarding.remainingMillis())));
