--- a/daemon/src/main/java/org/bankturn/daemon/gateway/Attempt.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/Attempt.java
@@ -142,7 +142,7 @@
 
     @Override
     public boolean onHead(HttpHead received) {
-        ResponseMetadata read = gateway.dialect().answer(received);
+        ResponseMetadata read = gateway.dialect().parseResponse(received);
         if (read.requestId() != null && !read.requestId().equals(terms.id())) {
             return false;
         }
--- a/daemon/src/main/java/org/bankturn/daemon/gateway/RequestDialect.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/RequestDialect.java
@@ -11,7 +11,7 @@
     HttpHead buildTargetRequest(HttpHead head, ForwardingMetadata forwarding);
 
     /** Returns what a target's head says, not null. */
-    ResponseMetadata answer(HttpHead head);
+    ResponseMetadata parseResponse(HttpHead head);
 
     /**
      * Returns the head of an answer that the gateway gives itself.
--- a/daemon/src/test/java/org/bankturn/daemon/gateway/PlainDialect.java
+++ b/daemon/src/test/java/org/bankturn/daemon/gateway/PlainDialect.java
@@ -36,7 +36,7 @@
     }
 
     @Override
-    public ResponseMetadata answer(HttpHead head) {
+    public ResponseMetadata parseResponse(HttpHead head) {
         return new ResponseMetadata(
                 head.status(),
                 head.field("Id").orElse(null),
