--- a/daemon/src/main/java/org/bankturn/daemon/gateway/ForwardedRequest.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/ForwardedRequest.java
@@ -168,7 +168,7 @@
     /** Says that this attempt did not run and that more of them will not either, for long. */
     private void refuseCondemned() {
         ended(RequestOutcome.REFUSED, TOO_MANY, condemnedReason());
-        exchange.answer(gateway.dialect().ownAnswer(TOO_MANY, terms, ComeBack.CONDEMNED_MILLIS), NOTHING);
+        exchange.answer(gateway.dialect().buildResponse(TOO_MANY, terms, ComeBack.CONDEMNED_MILLIS), NOTHING);
     }
 
     private String condemnedReason() {
@@ -194,7 +194,7 @@
         boolean timeUp = gateway.policy().isTimeUp(progress);
         int status = !mayHaveRun ? 503 : timeUp ? 504 : 502;
         ended(mayHaveRun ? RequestOutcome.FAILED : RequestOutcome.REFUSED, status, reason);
-        exchange.answer(gateway.dialect().ownAnswer(status, terms, mayHaveRun ? 0 : comeBackMillis), NOTHING);
+        exchange.answer(gateway.dialect().buildResponse(status, terms, mayHaveRun ? 0 : comeBackMillis), NOTHING);
     }
 
     /** The target's whole answer was passed on. */
--- a/daemon/src/main/java/org/bankturn/daemon/gateway/Gateway.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/Gateway.java
@@ -299,7 +299,7 @@
                 .write();
         RequestOutcome outcome = status == 503 ? RequestOutcome.REFUSED : RequestOutcome.DENIED;
         metrics.requestEnded(NO_SERVICE, outcome, clock.millis() - exchange.receivedMillis());
-        exchange.answer(dialect.ownAnswer(status, terms, status == 503 ? comeBackMillis : 0), NOTHING);
+        exchange.answer(dialect.buildResponse(status, terms, status == 503 ? comeBackMillis : 0), NOTHING);
     }
 
     // ---- what forwarded requests need
--- a/daemon/src/main/java/org/bankturn/daemon/gateway/RequestDialect.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/RequestDialect.java
@@ -20,5 +20,5 @@
      * @param terms what the caller said, not null
      * @param comeBackMillis when to come back, 0 to say nothing
      */
-    HttpHead ownAnswer(int status, RequestMetadata terms, long comeBackMillis);
+    HttpHead buildResponse(int status, RequestMetadata terms, long comeBackMillis);
 }
--- a/daemon/src/test/java/org/bankturn/daemon/gateway/PlainDialect.java
+++ b/daemon/src/test/java/org/bankturn/daemon/gateway/PlainDialect.java
@@ -54,7 +54,7 @@
     }
 
     @Override
-    public HttpHead ownAnswer(int status, RequestMetadata terms, long comeBackMillis) {
+    public HttpHead buildResponse(int status, RequestMetadata terms, long comeBackMillis) {
         return HttpHead.answer(
                 status,
                 comeBackMillis > 0 ? List.of(new HttpField("Come-Back", Long.toString(comeBackMillis))) : List.of());
