--- a/daemon/src/main/java/org/bankturn/daemon/gateway/Gateway.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/Gateway.java
@@ -267,15 +267,15 @@
         }
         Account account = null;
         if (configuration.hasAccounts() && !route.get().open()) {
-            account = terms.key() == null
+            account = terms.apiKey() == null
                     ? null
-                    : configuration.accountOf(terms.key()).orElse(null);
+                    : configuration.accountOf(terms.apiKey()).orElse(null);
             if (account == null) {
                 deny(exchange, terms, 401, "unknown key");
                 return;
             }
-        } else if (terms.key() != null) {
-            account = configuration.accountOf(terms.key()).orElse(null);
+        } else if (terms.apiKey() != null) {
+            account = configuration.accountOf(terms.apiKey()).orElse(null);
         }
         new ForwardedRequest(this, exchange, terms, route.get(), account).start();
     }
--- a/daemon/src/main/java/org/bankturn/daemon/gateway/RequestMetadata.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/RequestMetadata.java
@@ -7,7 +7,7 @@
  * @param host the host it names, not null
  * @param path the path without the query, not null
  * @param deadlineMillis how long the caller waits, 0 if it does not say
- * @param key the key that speaks for an account, null if there is none
+ * @param apiKey the key that speaks for an account, null if there is none
  * @param promptTokens the size of the prompt, 0 if it has none
  * @param answerTokens the most tokens of the answer, 0 if not told
  * @param answerHint the caller's guess of the answer's tokens, 0 if it has none
@@ -17,7 +17,7 @@
         String host,
         String path,
         long deadlineMillis,
-        String key,
+        String apiKey,
         int promptTokens,
         int answerTokens,
         int answerHint) {}
