--- a/daemon/src/main/java/org/bankturn/daemon/gateway/RequestMetadata.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/RequestMetadata.java
@@ -9,7 +9,7 @@
  * @param deadlineMillis how long the caller waits, 0 if it does not say
  * @param apiKey the key that speaks for an account, null if there is none
  * @param promptTokens the size of the prompt, 0 if it has none
- * @param answerTokens the most tokens of the answer, 0 if not told
+ * @param maxAnswerTokens the most tokens of the answer, 0 if not told
  * @param answerHint the caller's guess of the answer's tokens, 0 if it has none
  */
 public record RequestMetadata(
@@ -19,5 +19,5 @@
         long deadlineMillis,
         String apiKey,
         int promptTokens,
-        int answerTokens,
+        int maxAnswerTokens,
         int answerHint) {}
