--- a/daemon/src/main/java/org/bankturn/daemon/gateway/RequestMetadata.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/RequestMetadata.java
@@ -10,7 +10,7 @@
  * @param apiKey the key that speaks for an account, null if there is none
  * @param promptTokens the size of the prompt, 0 if it has none
  * @param maxAnswerTokens the most tokens of the answer, 0 if not told
- * @param answerHint the caller's guess of the answer's tokens, 0 if it has none
+ * @param answerTokensHint the caller's guess of the answer's tokens, 0 if it has none
  */
 public record RequestMetadata(
         String id,
@@ -20,4 +20,4 @@
         String apiKey,
         int promptTokens,
         int maxAnswerTokens,
-        int answerHint) {}
+        int answerTokensHint) {}
