--- a/daemon/src/test/java/org/bankturn/daemon/gateway/PlainDialect.java
+++ b/daemon/src/test/java/org/bankturn/daemon/gateway/PlainDialect.java
@@ -29,8 +29,8 @@
         List<HttpField> fields = new ArrayList<>(plain.fields());
         fields.add(new HttpField("Deadline", Long.toString(forwarding.remainingMillis())));
         fields.add(new HttpField("Target", forwarding.targetName()));
-        if (forwarding.lastEvent() != null) {
-            fields.add(new HttpField("Last-Event", forwarding.lastEvent()));
+        if (forwarding.lastEventId() != null) {
+            fields.add(new HttpField("Last-Event", forwarding.lastEventId()));
         }
         return HttpHead.request(head.first(), head.second(), fields);
     }
