--- a/daemon/src/main/java/org/bankturn/daemon/gateway/Attempt.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/Attempt.java
@@ -158,7 +158,7 @@
     }
 
     private void noticed(ResponseMetadata read) {
-        for (String field : read.unreadable()) {
+        for (String field : read.unreadableFields()) {
             gateway.metrics().targetNoticed(ServingMetrics.NOTICE_UNREADABLE);
             noticeLine("unreadable").with(DecisionField.ERROR, field).write();
         }
--- a/daemon/src/main/java/org/bankturn/daemon/gateway/ResponseMetadata.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/ResponseMetadata.java
@@ -11,7 +11,7 @@
  * @param notRun true if the target says that it did not run the request and will not
  * @param weightsVersion the version of the weights that ran it, 0 if not told
  * @param notice what the target asks of its callers, not null
- * @param unreadable the fields that should say so and cannot be read, with their values, not null
+ * @param unreadableFields the fields that should say so and cannot be read, with their values, not null
  */
 public record ResponseMetadata(
         int status,
@@ -19,12 +19,12 @@
         boolean notRun,
         int weightsVersion,
         TargetNotice notice,
-        List<String> unreadable) {
+        List<String> unreadableFields) {
     private static final int MISDIRECTED = 421;
 
     /** Copies the list. */
     public ResponseMetadata {
-        unreadable = List.copyOf(unreadable);
+        unreadableFields = List.copyOf(unreadableFields);
     }
 
     /** Returns true if it may come from another process than the target that was asked, whose wishes it then tells. */
