--- a/daemon/src/main/java/org/bankturn/daemon/gateway/Gateway.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/Gateway.java
@@ -125,7 +125,7 @@
         this.connections = new TargetConnectionPool(trust);
         UniformRandomProvider random = RandomSource.XO_RO_SHI_RO_128_PP.create();
         this.targets = TargetTable.of(clock, settings.dataHall(), PlacementSettings.DEFAULT, random);
-        this.policy = RequestPolicy.of(clock, targets, settings.retries(), random);
+        this.policy = RequestPolicy.of(clock, targets, settings.retryLimits(), random);
         this.loads = LoadPoller.of(reactor, clock, clients, targets, settings, metrics);
         this.permits =
                 PermitExchange.of(settings.nodeAddress(), reactor, clock, clients, targets, random, log, metrics);
--- a/daemon/src/main/java/org/bankturn/daemon/gateway/GatewaySettings.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/GatewaySettings.java
@@ -11,7 +11,7 @@
  * @param callerAddress where callers connect, not null
  * @param readyAddress where the platform asks whether it is ready, not null
  * @param nodeAddress where other processes of bankturn call this one; those beside targets have the same port, not null
- * @param retries how often all gateways together may send a request again, not null
+ * @param retryLimits how often all gateways together may send a request again, not null
  * @param weightsDeadlineMillis how long after a version was named the former one may still run
  * @param stopMillis how long a planned stop may take
  */
@@ -21,6 +21,6 @@
         Address callerAddress,
         Address readyAddress,
         Address nodeAddress,
-        RetryLimits retries,
+        RetryLimits retryLimits,
         long weightsDeadlineMillis,
         long stopMillis) {}
