--- a/daemon/src/main/java/org/bankturn/daemon/gateway/Gateway.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/Gateway.java
@@ -218,7 +218,7 @@
             callers.closeResting();
         }
         boolean done = noticed && callers.underWay() == 0;
-        if (done || StopPlan.isOver(waited, settings.stopMillis())) {
+        if (done || StopPlan.isOver(waited, settings.stopTimeoutMillis())) {
             log.line(DecisionKind.STOP)
                     .with(DecisionField.WAITED_MS, waited)
                     .with(DecisionField.UNDER_WAY, callers.underWay())
--- a/daemon/src/main/java/org/bankturn/daemon/gateway/GatewaySettings.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/GatewaySettings.java
@@ -13,7 +13,7 @@
  * @param nodeAddress where other processes of bankturn call this one; those beside targets have the same port, not null
  * @param retryLimits how often all gateways together may send a request again, not null
  * @param weightsDeadlineMillis how long after a version was named the former one may still run
- * @param stopMillis how long a planned stop may take
+ * @param stopTimeoutMillis how long a planned stop may take
  */
 public record GatewaySettings(
         String process,
@@ -23,4 +23,4 @@
         Address nodeAddress,
         RetryLimits retryLimits,
         long weightsDeadlineMillis,
-        long stopMillis) {}
+        long stopTimeoutMillis) {}
