--- a/daemon/src/main/java/org/bankturn/daemon/gateway/Gateway.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/Gateway.java
@@ -247,7 +247,7 @@
     }
 
     /** Answers another gateway that asks for a permit, not null. */
-    public NodeReply givePermit(NodeRequest.AskPermit asked) {
+    public NodeReply handlePermitRequest(NodeRequest.AskPermit asked) {
         return permits.give(asked);
     }
 
--- a/daemon/src/main/java/org/bankturn/daemon/serving/ServingProcess.java
+++ b/daemon/src/main/java/org/bankturn/daemon/serving/ServingProcess.java
@@ -193,7 +193,7 @@
 
     private Promise<NodeReply> answer(WeightsRelay relay, NodeRequest request) {
         if (request instanceof NodeRequest.AskPermit asked) {
-            return Promise.of(gateway.givePermit(asked));
+            return Promise.of(gateway.handlePermitRequest(asked));
         }
         if (request instanceof NodeRequest.GetPiece asked) {
             return relay.givePiece(asked);
--- a/daemon/src/test/java/org/bankturn/daemon/gateway/GatewayGroup.java
+++ b/daemon/src/test/java/org/bankturn/daemon/gateway/GatewayGroup.java
@@ -82,7 +82,7 @@
                     NodeServer.create(
                                     reactor,
                                     node,
-                                    asked -> Promise.of(gateway.givePermit((NodeRequest.AskPermit) asked)))
+                                    asked -> Promise.of(gateway.handlePermitRequest((NodeRequest.AskPermit) asked)))
                             .listen();
                     return Promise.complete();
                 })
