--- a/daemon/src/main/java/org/bankturn/daemon/gateway/ForwardedRequest.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/ForwardedRequest.java
@@ -209,7 +209,7 @@
         gateway.ended(this);
         long heldMillis = now() - exchange.receivedMillis();
         gateway.metrics().requestEnded(service().name(), outcome, heldMillis);
-        if (outcome == RequestOutcome.ANSWERED && !gateway.isSampled()) {
+        if (outcome == RequestOutcome.ANSWERED && !gateway.shouldLogAnswer()) {
             return;
         }
         gateway.log()
--- a/daemon/src/main/java/org/bankturn/daemon/gateway/Gateway.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/Gateway.java
@@ -325,7 +325,7 @@
     }
 
     /** Returns true for one answered request in some, whose line is then written. */
-    boolean isSampled() {
+    boolean shouldLogAnswer() {
         return answered++ % ANSWERS_PER_LINE == 0;
     }
 
