--- a/daemon/src/main/java/org/bankturn/daemon/gateway/Attempt.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/Attempt.java
@@ -86,7 +86,7 @@
             }
             return;
         }
-        gateway.crashes().connected(target.sighting(), failure);
+        gateway.crashDetector().connected(target.sighting(), failure);
         if (failure != null) {
             onFailure(HopFailure.NOT_CONNECTED);
             return;
--- a/daemon/src/main/java/org/bankturn/daemon/gateway/ForwardedRequest.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/ForwardedRequest.java
@@ -57,11 +57,11 @@
     }
 
     void start() {
-        if (!gateway.crashes().isCondemned(this)) {
+        if (!gateway.crashDetector().isCondemned(this)) {
             begin();
             return;
         }
-        gateway.crashes().takeTrial(this).whenResult(this::beginTrialOrRefuse);
+        gateway.crashDetector().takeTrial(this).whenResult(this::beginTrialOrRefuse);
     }
 
     private void beginTrialOrRefuse(boolean granted) {
@@ -118,17 +118,17 @@
 
     /** The request broke off at a target that may have ended; it goes on once that is known. */
     void brokeOff(TargetSighting target, String reason) {
-        gateway.crashes().brokeOff(target, this).whenResult(() -> goOn(target, reason));
+        gateway.crashDetector().brokeOff(target, this).whenResult(() -> goOn(target, reason));
     }
 
     /** The target said nothing for long, so a word of whether it ended is not waited for. */
     void fellSilent(TargetSighting target, String reason) {
-        Promise<Void> unused = gateway.crashes().brokeOff(target, this);
+        Promise<Void> unused = gateway.crashDetector().brokeOff(target, this);
         goOn(target, reason);
     }
 
     private void goOn(TargetSighting target, String reason) {
-        if (trial || gateway.crashes().isCondemned(this)) {
+        if (trial || gateway.crashDetector().isCondemned(this)) {
             stopCondemned();
         } else if (route.kind().mayRepeat()) {
             retry(reason);
@@ -172,7 +172,7 @@
     }
 
     private String condemnedReason() {
-        return gateway.crashes().endsUnder(this) + " targets ended under request " + fingerprint();
+        return gateway.crashDetector().endsUnder(this) + " targets ended under request " + fingerprint();
     }
 
     /** Gives the final answer at once: refused if it certainly did not run, failed otherwise. */
@@ -200,7 +200,7 @@
     /** The target's whole answer was passed on. */
     void answered(int status) {
         if (status / 100 == 2) {
-            gateway.crashes().ranWhole(this);
+            gateway.crashDetector().ranWhole(this);
         }
         ended(RequestOutcome.ANSWERED, status, "answered by " + attempt.targetId());
     }
--- a/daemon/src/main/java/org/bankturn/daemon/gateway/Gateway.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/Gateway.java
@@ -73,7 +73,7 @@
     private final RequestPolicy policy;
     private final LoadPoller loads;
     private final PermitExchange permits;
-    private final CrashDetector crashes;
+    private final CrashDetector crashDetector;
     private final Set<ForwardedRequest> underWay = new LinkedHashSet<>();
     private final long startedMillis;
     private Published published = Published.NOTHING;
@@ -130,7 +130,7 @@
         this.permits =
                 PermitExchange.of(settings.nodeAddress(), reactor, clock, clients, targets, random, log, metrics);
         metrics.tellHeldBack(targets::heldBackCounts);
-        this.crashes = CrashDetector.of(
+        this.crashDetector = CrashDetector.of(
                 settings.process(), reactor, clock, log, metrics, connections, controlGroup, this::stopCondemned);
         this.callers = HttpListener.create(
                 reactor, clock, settings.callerAddress().toSocketAddress(), this::callerLimits, this::handle);
@@ -170,12 +170,12 @@
         connections.forget(targets.update(newer.targets().values()));
         loads.update(newer, gatewaysHere());
         permits.update(addresses(gateways()));
-        crashes.update(newer.suspects(), newer.targets().values());
+        crashDetector.update(newer.suspects(), newer.targets().values());
     }
 
     /** Copies of a condemned request that are under way would end their targets as well. */
     private void stopCondemned() {
-        List.copyOf(underWay).stream().filter(crashes::isCondemned).forEach(ForwardedRequest::stopCondemned);
+        List.copyOf(underWay).stream().filter(crashDetector::isCondemned).forEach(ForwardedRequest::stopCondemned);
     }
 
     /** Returns how many gateways are published, empty while this one is not among them. */
@@ -341,8 +341,8 @@
         return connections;
     }
 
-    CrashDetector crashes() {
-        return crashes;
+    CrashDetector crashDetector() {
+        return crashDetector;
     }
 
     /** A request is on its way. */
