--- a/daemon/src/main/java/org/bankturn/daemon/gateway/ForwardedRequest.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/ForwardedRequest.java
@@ -78,7 +78,7 @@
     }
 
     private void begin() {
-        gateway.began(this);
+        gateway.requestStarted(this);
         gateway.policy().arrived(progress);
         exchange.whenGone(this::callerLeft);
         gateway.reactor().delayBackground(Math.max(1, endMillis - now()), this::timeOut);
--- a/daemon/src/main/java/org/bankturn/daemon/gateway/Gateway.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/Gateway.java
@@ -346,7 +346,7 @@
     }
 
     /** A request is on its way. */
-    void began(ForwardedRequest request) {
+    void requestStarted(ForwardedRequest request) {
         underWay.add(request);
     }
 
