--- a/daemon/src/main/java/org/bankturn/daemon/gateway/ForwardedRequest.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/ForwardedRequest.java
@@ -206,7 +206,7 @@
     }
 
     private void ended(RequestOutcome outcome, int status, String reason) {
-        gateway.ended(this);
+        gateway.requestFinished(this);
         long heldMillis = now() - exchange.receivedMillis();
         gateway.metrics().requestEnded(service().name(), outcome, heldMillis);
         if (outcome == RequestOutcome.ANSWERED && !gateway.shouldLogAnswer()) {
--- a/daemon/src/main/java/org/bankturn/daemon/gateway/Gateway.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/Gateway.java
@@ -351,7 +351,7 @@
     }
 
     /** A request has its final answer, or its caller left. */
-    void ended(ForwardedRequest request) {
+    void requestFinished(ForwardedRequest request) {
         underWay.remove(request);
     }
 
