--- a/daemon/src/main/java/org/bankturn/daemon/gateway/ForwardedRequest.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/ForwardedRequest.java
@@ -98,7 +98,7 @@
         NextStep step = gateway.policy().next(progress);
         gateway.askForPermits();
         if (step instanceof NextStep.Ask ask) {
-            gateway.askForLoad(ask.targets()).whenComplete(this::sendToNext);
+            gateway.pollLoad(ask.targets()).whenComplete(this::sendToNext);
         } else if (step instanceof NextStep.AwaitPermit wait) {
             gateway.awaitPermit(wait).whenComplete(this::sendToNext);
         } else if (step instanceof NextStep.Send send) {
--- a/daemon/src/main/java/org/bankturn/daemon/gateway/Gateway.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/Gateway.java
@@ -356,7 +356,7 @@
     }
 
     /** Asks engines for their load; the promise completes when a request that waits for it should be placed. */
-    Promise<Void> askForLoad(List<String> targetIds) {
+    Promise<Void> pollLoad(List<String> targetIds) {
         return loads.ask(targetIds);
     }
 
