--- a/daemon/src/main/java/org/bankturn/daemon/gateway/ForwardedRequest.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/ForwardedRequest.java
@@ -96,7 +96,7 @@
             return;
         }
         NextStep step = gateway.policy().next(progress);
-        gateway.askForPermits();
+        gateway.requestPermits();
         if (step instanceof NextStep.Ask ask) {
             gateway.pollLoad(ask.targets()).whenComplete(this::sendToNext);
         } else if (step instanceof NextStep.AwaitPermit wait) {
--- a/daemon/src/main/java/org/bankturn/daemon/gateway/Gateway.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/Gateway.java
@@ -361,7 +361,7 @@
     }
 
     /** Asks for the permits that requests could have used. */
-    void askForPermits() {
+    void requestPermits() {
         permits.askForWanted();
     }
 
