--- a/daemon/src/main/java/org/bankturn/daemon/gateway/Attempt.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/Attempt.java
@@ -169,7 +169,7 @@
                     .with(DecisionField.BACK_OFF_MS, read.notice().backOffMillis())
                     .write();
             if (change.isOfLimit()) {
-                gateway.limitChanged(target);
+                gateway.reportRateLimit(target);
             }
         }
     }
--- a/daemon/src/main/java/org/bankturn/daemon/gateway/Gateway.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/Gateway.java
@@ -371,7 +371,7 @@
     }
 
     /** A target's limit changed or ended, by one of its answers. */
-    void limitChanged(TargetState target) {
+    void reportRateLimit(TargetState target) {
         permits.tell(target);
     }
 
