--- a/daemon/src/main/java/org/bankturn/daemon/gateway/Attempt.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/Attempt.java
@@ -98,7 +98,7 @@
         sentMillis = now();
         request.sent();
         if (request.service().engine() != null) {
-            gateway.sentToEngine();
+            gateway.recordEngineRequest();
         }
         HttpHead sent = gateway.dialect()
                 .buildTargetRequest(
--- a/daemon/src/main/java/org/bankturn/daemon/gateway/Gateway.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/Gateway.java
@@ -376,7 +376,7 @@
     }
 
     /** A request left for an engine. */
-    void sentToEngine() {
+    void recordEngineRequest() {
         loads.requestSent();
     }
 
