--- a/daemon/src/main/java/org/bankturn/daemon/gateway/Gateway.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/Gateway.java
@@ -68,7 +68,7 @@
     private final HttpListener callers;
     private final HttpListener readiness;
     private final TargetTable targets;
-    private final ConnectionTrust trust;
+    private final ConnectionTrust connectionTrust;
     private final TargetConnectionPool connections;
     private final RequestPolicy policy;
     private final LoadPoller loads;
@@ -121,8 +121,8 @@
         this.log = log;
         this.metrics = metrics;
         this.startedMillis = clock.millis();
-        this.trust = clients.trust();
-        this.connections = new TargetConnectionPool(trust);
+        this.connectionTrust = clients.trust();
+        this.connections = new TargetConnectionPool(connectionTrust);
         UniformRandomProvider random = RandomSource.XO_RO_SHI_RO_128_PP.create();
         this.targets = TargetTable.of(clock, settings.dataHall(), PlacementSettings.DEFAULT, random);
         this.policy = RequestPolicy.of(clock, targets, settings.retryLimits(), random);
@@ -333,8 +333,8 @@
         return policy;
     }
 
-    ConnectionTrust trust() {
-        return trust;
+    ConnectionTrust connectionTrust() {
+        return connectionTrust;
     }
 
     TargetConnectionPool connections() {
--- a/daemon/src/main/java/org/bankturn/daemon/gateway/StallDetector.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/StallDetector.java
@@ -54,7 +54,7 @@
         this.choice = choice;
         this.connection = connection;
         this.takeAway = takeAway;
-        this.wait = gateway.trust().began(targetId());
+        this.wait = gateway.connectionTrust().began(targetId());
         this.heardMillis = now();
     }
 
@@ -76,14 +76,14 @@
     void heard() {
         heardMillis = now();
         begun = true;
-        gateway.trust().heard(connection.openedMillis());
+        gateway.connectionTrust().heard(connection.openedMillis());
         choice.target().heard(heardMillis, connection.openedMillis());
     }
 
     /** The request is no longer at the target. */
     void end() {
         over = true;
-        gateway.trust().ended(wait);
+        gateway.connectionTrust().ended(wait);
     }
 
     private void checkLater(long millis) {
@@ -120,7 +120,7 @@
         boolean spokeToOthers = target.isAtWork(now(), heardMillis);
         blamesTarget = !wasWell || spokeToOthers;
         if (!blamesTarget) {
-            gateway.trust().wentSilent(now() - silentMillis() / 2);
+            gateway.connectionTrust().wentSilent(now() - silentMillis() / 2);
         }
         gateway.metrics().connectionSilent(ServingMetrics.PEER_TARGET);
         gateway.log()
