--- a/daemon/src/main/java/org/bankturn/daemon/gateway/Attempt.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/Attempt.java
@@ -56,7 +56,7 @@
     Attempt(ForwardedRequest request, Gateway gateway, Choice choice, int version) {
         this.request = request;
         this.gateway = gateway;
-        this.terms = request.terms();
+        this.terms = request.metadata();
         this.route = request.route();
         this.exchange = request.exchange();
         this.beganMillis = gateway.clock().millis();
--- a/daemon/src/main/java/org/bankturn/daemon/gateway/CrashDetector.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/CrashDetector.java
@@ -128,7 +128,7 @@
      */
     Promise<Boolean> takeTrial(ForwardedRequest request) {
         return trials.take(
-                request.fingerprint(), process + "/" + request.terms().id());
+                request.fingerprint(), process + "/" + request.metadata().id());
     }
 
     // ---- what happens
--- a/daemon/src/main/java/org/bankturn/daemon/gateway/ForwardedRequest.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/ForwardedRequest.java
@@ -32,7 +32,7 @@
 
     private final Gateway gateway;
     private final ServerExchange exchange;
-    private final RequestMetadata terms;
+    private final RequestMetadata metadata;
     private final Route route;
     private final Account account;
     private final long endMillis;
@@ -44,7 +44,7 @@
     ForwardedRequest(Gateway gateway, ServerExchange exchange, RequestMetadata terms, Route route, Account account) {
         this.gateway = gateway;
         this.exchange = exchange;
-        this.terms = terms;
+        this.metadata = terms;
         this.route = route;
         this.account = account;
         long patience = terms.deadlineMillis() > 0
@@ -141,7 +141,7 @@
     void retry(String reason) {
         gateway.log()
                 .line(progress.lastEvent() == null ? DecisionKind.RETRIED : DecisionKind.RESUMED)
-                .with(DecisionField.REQUEST, terms.id())
+                .with(DecisionField.REQUEST, metadata.id())
                 .with(DecisionField.REASON, reason)
                 .with(DecisionField.SENDS, progress.sends())
                 .with(DecisionField.HELD_BACK, gateway.policy().heldBack(progress))
@@ -168,7 +168,7 @@
     /** Says that this attempt did not run and that more of them will not either, for long. */
     private void refuseCondemned() {
         ended(RequestOutcome.REFUSED, TOO_MANY, condemnedReason());
-        exchange.answer(gateway.dialect().buildResponse(TOO_MANY, terms, ComeBack.CONDEMNED_MILLIS), NOTHING);
+        exchange.answer(gateway.dialect().buildResponse(TOO_MANY, metadata, ComeBack.CONDEMNED_MILLIS), NOTHING);
     }
 
     private String condemnedReason() {
@@ -194,7 +194,7 @@
         boolean timeUp = gateway.policy().isTimeUp(progress);
         int status = !mayHaveRun ? 503 : timeUp ? 504 : 502;
         ended(mayHaveRun ? RequestOutcome.FAILED : RequestOutcome.REFUSED, status, reason);
-        exchange.answer(gateway.dialect().buildResponse(status, terms, mayHaveRun ? 0 : comeBackMillis), NOTHING);
+        exchange.answer(gateway.dialect().buildResponse(status, metadata, mayHaveRun ? 0 : comeBackMillis), NOTHING);
     }
 
     /** The target's whole answer was passed on. */
@@ -214,7 +214,7 @@
         }
         gateway.log()
                 .line(kindOf(outcome))
-                .with(DecisionField.REQUEST, terms.id())
+                .with(DecisionField.REQUEST, metadata.id())
                 .with(DecisionField.ROUTE, route.name())
                 .with(DecisionField.STATUS, status)
                 .with(DecisionField.REASON, reason)
@@ -261,8 +261,8 @@
         return exchange;
     }
 
-    RequestMetadata terms() {
-        return terms;
+    RequestMetadata metadata() {
+        return metadata;
     }
 
     Route route() {
@@ -281,7 +281,7 @@
     RequestFingerprint fingerprint() {
         if (fingerprint == null) {
             String caller = account == null ? "" : account.name();
-            fingerprint = RequestFingerprint.of(terms.path(), caller, exchange.body());
+            fingerprint = RequestFingerprint.of(metadata.path(), caller, exchange.body());
         }
         return fingerprint;
     }
@@ -357,7 +357,7 @@
         }
         gateway.log()
                 .line(DecisionKind.RETRIED)
-                .with(DecisionField.REQUEST, terms.id())
+                .with(DecisionField.REQUEST, metadata.id())
                 .with(DecisionField.REASON, "status " + failed.status())
                 .write();
         sendTo(another.get());
--- a/daemon/src/main/java/org/bankturn/daemon/gateway/StallDetector.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/StallDetector.java
@@ -127,7 +127,7 @@
                 .line(DecisionKind.LOST)
                 .with(DecisionField.DEPENDENCY, "connection")
                 .with(DecisionField.TARGET, targetId())
-                .with(DecisionField.REQUEST, request.terms().id())
+                .with(DecisionField.REQUEST, request.metadata().id())
                 .with(DecisionField.KEPT, connection.hasCarried())
                 .with(DecisionField.SILENT_MS, now() - connection.heardMillis())
                 .write();
