--- a/daemon/src/main/java/org/bankturn/daemon/gateway/Attempt.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/Attempt.java
@@ -326,7 +326,7 @@
             return;
         }
         request.outcomeUnknown();
-        request.brokeOff(target.sighting(), failure.name());
+        request.onConnectionLost(target.sighting(), failure.name());
     }
 
     void drop() {
--- a/daemon/src/main/java/org/bankturn/daemon/gateway/ForwardedRequest.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/ForwardedRequest.java
@@ -117,7 +117,7 @@
     }
 
     /** The request broke off at a target that may have ended; it goes on once that is known. */
-    void brokeOff(TargetSighting target, String reason) {
+    void onConnectionLost(TargetSighting target, String reason) {
         gateway.crashDetector().brokeOff(target, this).whenResult(() -> goOn(target, reason));
     }
 
