--- a/daemon/src/main/java/org/bankturn/daemon/gateway/Attempt.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/Attempt.java
@@ -137,7 +137,7 @@
             targetFailed("silent");
         }
         request.outcomeUnknown();
-        request.fellSilent(target.sighting(), "silent for " + silentMillis + " ms");
+        request.onStalled(target.sighting(), "silent for " + silentMillis + " ms");
     }
 
     @Override
--- a/daemon/src/main/java/org/bankturn/daemon/gateway/ForwardedRequest.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/ForwardedRequest.java
@@ -122,7 +122,7 @@
     }
 
     /** The target said nothing for long, so a word of whether it ended is not waited for. */
-    void fellSilent(TargetSighting target, String reason) {
+    void onStalled(TargetSighting target, String reason) {
         Promise<Void> unused = gateway.crashDetector().brokeOff(target, this);
         goOn(target, reason);
     }
