--- a/daemon/src/main/java/org/bankturn/daemon/gateway/Attempt.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/Attempt.java
@@ -302,7 +302,7 @@
             request.giveUp("a stream went on with status " + answer.status());
         } else {
             exchange.answer(head.withoutConnectionFields(), content.toByteArray());
-            request.answered(answer.status());
+            request.onAnswered(answer.status());
         }
     }
 
@@ -311,7 +311,7 @@
             exchange.beginParts(head.withoutConnectionFields());
         }
         exchange.endParts();
-        request.answered(answer.status());
+        request.onAnswered(answer.status());
     }
 
     @Override
--- a/daemon/src/main/java/org/bankturn/daemon/gateway/ForwardedRequest.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/ForwardedRequest.java
@@ -198,7 +198,7 @@
     }
 
     /** The target's whole answer was passed on. */
-    void answered(int status) {
+    void onAnswered(int status) {
         if (status / 100 == 2) {
             gateway.crashDetector().ranWhole(this);
         }
