--- a/daemon/src/main/java/org/bankturn/daemon/gateway/Attempt.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/Attempt.java
@@ -107,7 +107,7 @@
                                 request.remainingMillis(),
                                 target.sighting().name(),
                                 request.accountName(),
-                                request.lastEvent(),
+                                request.lastEventId(),
                                 version,
                                 request.urgency()));
         boolean hasBody = exchange.body().length > 0 || !exchange.head().first().equals("GET");
@@ -212,7 +212,7 @@
     }
 
     private boolean isRepeated(Event event) {
-        String last = request.lastEvent();
+        String last = request.lastEventId();
         if (last == null || event.id() == null) {
             return false;
         }
--- a/daemon/src/main/java/org/bankturn/daemon/gateway/ForwardedRequest.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/ForwardedRequest.java
@@ -306,7 +306,7 @@
     }
 
     /** Returns the id of the last event that the caller has whole, null if there is none. */
-    String lastEvent() {
+    String lastEventId() {
         return progress.lastEvent();
     }
 
