--- a/daemon/src/main/java/org/bankturn/daemon/gateway/Attempt.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/Attempt.java
@@ -208,7 +208,7 @@
             exchange.beginParts(head.withoutConnectionFields());
         }
         exchange.part(event.bytes());
-        request.passed(event.id());
+        request.recordEvent(event.id());
     }
 
     private boolean isRepeated(Event event) {
--- a/daemon/src/main/java/org/bankturn/daemon/gateway/ForwardedRequest.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/ForwardedRequest.java
@@ -311,7 +311,7 @@
     }
 
     /** The caller has one more whole event. */
-    void passed(String eventId) {
+    void recordEvent(String eventId) {
         progress.passed(eventId);
     }
 
