--- a/daemon/src/main/java/org/bankturn/daemon/gateway/Attempt.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/Attempt.java
@@ -96,7 +96,7 @@
         }
         connection = opened;
         sentMillis = now();
-        request.sent();
+        request.markSent();
         if (request.service().engine() != null) {
             gateway.recordEngineRequest();
         }
--- a/daemon/src/main/java/org/bankturn/daemon/gateway/ForwardedRequest.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/ForwardedRequest.java
@@ -316,7 +316,7 @@
     }
 
     /** The request is about to leave for a target. */
-    void sent() {
+    void markSent() {
         progress.sent();
     }
 
