--- a/daemon/src/main/java/org/bankturn/daemon/gateway/Attempt.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/Attempt.java
@@ -249,7 +249,7 @@
         finish(true);
         if (answer.notRun()) {
             target.full(now());
-            request.notRun();
+            request.markNotRun();
             request.retry("target did not run it: " + answer.status());
         } else if (answer.status() >= SERVER_ERROR) {
             targetFailed("status " + answer.status());
--- a/daemon/src/main/java/org/bankturn/daemon/gateway/ForwardedRequest.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/ForwardedRequest.java
@@ -321,7 +321,7 @@
     }
 
     /** The target said that it did not run the request. */
-    void notRun() {
+    void markNotRun() {
         progress.notRun();
     }
 
