--- a/daemon/src/main/java/org/bankturn/daemon/gateway/Attempt.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/Attempt.java
@@ -136,7 +136,7 @@
         if (watch.blamesTarget()) {
             targetFailed("silent");
         }
-        request.outcomeUnknown();
+        request.markOutcomeUnknown();
         request.onStalled(target.sighting(), "silent for " + silentMillis + " ms");
     }
 
@@ -253,7 +253,7 @@
             request.retry("target did not run it: " + answer.status());
         } else if (answer.status() >= SERVER_ERROR) {
             targetFailed("status " + answer.status());
-            request.outcomeUnknown();
+            request.markOutcomeUnknown();
             request.failedBy(this);
         } else if (streams()) {
             endStream();
@@ -325,7 +325,7 @@
             request.notConnected();
             return;
         }
-        request.outcomeUnknown();
+        request.markOutcomeUnknown();
         request.onConnectionLost(target.sighting(), failure.name());
     }
 
--- a/daemon/src/main/java/org/bankturn/daemon/gateway/ForwardedRequest.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/ForwardedRequest.java
@@ -326,7 +326,7 @@
     }
 
     /** The request may have run at a target, wholly or in part. */
-    void outcomeUnknown() {
+    void markOutcomeUnknown() {
         progress.outcomeUnknown();
     }
 
