--- a/daemon/src/main/java/org/bankturn/daemon/gateway/Attempt.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/Attempt.java
@@ -125,7 +125,7 @@
         }
         finish(false);
         gateway.connections().keep(targetId(), opened);
-        request.heldBack(target.sighting(), reason.get());
+        request.onHeldBack(target.sighting(), reason.get());
         return true;
     }
 
--- a/daemon/src/main/java/org/bankturn/daemon/gateway/ForwardedRequest.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/ForwardedRequest.java
@@ -331,7 +331,7 @@
     }
 
     /** The target wanted no request any more once there was a connection to it, so nothing left. */
-    void heldBack(TargetSighting target, HeldBack reason) {
+    void onHeldBack(TargetSighting target, HeldBack reason) {
         gateway.metrics().heldBack(reason.label());
         progress.heldBack(target.id());
         sendToNext();
