--- a/daemon/src/main/java/org/bankturn/daemon/gateway/Attempt.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/Attempt.java
@@ -322,7 +322,7 @@
         finish(false);
         targetFailed(failure.name());
         if (failure.isSurelyNotSent()) {
-            request.notConnected();
+            request.onConnectFailure();
             return;
         }
         request.markOutcomeUnknown();
--- a/daemon/src/main/java/org/bankturn/daemon/gateway/ForwardedRequest.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/ForwardedRequest.java
@@ -338,7 +338,7 @@
     }
 
     /** No connection to the target was made, so nothing left. */
-    void notConnected() {
+    void onConnectFailure() {
         progress.notConnected();
         sendToNext();
     }
