--- a/daemon/src/main/java/org/bankturn/daemon/gateway/ForwardedRequest.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/ForwardedRequest.java
@@ -343,7 +343,7 @@
         sendToNext();
     }
 
-    boolean mayGoElsewhere() {
+    boolean hasAlternativeTarget() {
         return gateway.policy().mayGoElsewhere(progress);
     }
 
--- a/daemon/src/main/java/org/bankturn/daemon/gateway/StallDetector.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/StallDetector.java
@@ -103,7 +103,7 @@
         if (!request.route().kind().mayRepeat()) {
             return;
         }
-        if (request.mayGoElsewhere()) {
+        if (request.hasAlternativeTarget()) {
             takeAway.run();
         } else {
             checkLater(LOOK_AGAIN_MILLIS);
