--- a/daemon/src/main/java/org/bankturn/daemon/gateway/Attempt.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/Attempt.java
@@ -254,7 +254,7 @@
         } else if (answer.status() >= SERVER_ERROR) {
             targetFailed("status " + answer.status());
             request.markOutcomeUnknown();
-            request.failedBy(this);
+            request.onFailureResponse(this);
         } else if (streams()) {
             endStream();
         } else {
--- a/daemon/src/main/java/org/bankturn/daemon/gateway/ForwardedRequest.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/ForwardedRequest.java
@@ -348,7 +348,7 @@
     }
 
     /** A target answered with a failure of its own, which is passed on unless another target may try. */
-    void failedBy(Attempt failed) {
+    void onFailureResponse(Attempt failed) {
         Optional<NextStep.Send> another =
                 exchange.hasBegun() ? Optional.empty() : gateway.policy().afterFailure(progress);
         if (another.isEmpty()) {
