--- a/daemon/src/main/java/org/bankturn/daemon/gateway/Attempt.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/Attempt.java
@@ -65,7 +65,7 @@
         this.version = version;
     }
 
-    void begin() {
+    void start() {
         target.begin(terms.promptTokens(), beganMillis);
         long mostRest = route.kind().mayRepeat() ? Long.MAX_VALUE : MOST_REST_UNREPEATABLE_MILLIS;
         TargetConnection rested = gateway.connections().take(targetId(), now(), mostRest);
--- a/daemon/src/main/java/org/bankturn/daemon/gateway/ForwardedRequest.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/ForwardedRequest.java
@@ -113,7 +113,7 @@
             gateway.metrics().retried(service().name());
         }
         attempt = new Attempt(this, gateway, send.choice(), send.leastVersion());
-        attempt.begin();
+        attempt.start();
     }
 
     /** The request broke off at a target that may have ended; it goes on once that is known. */
