--- a/daemon/src/main/java/org/bankturn/daemon/gateway/Attempt.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/Attempt.java
@@ -259,7 +259,7 @@
             endStream();
         } else {
             target.answered(now() - beganMillis);
-            passAnswer();
+            forwardResponse();
         }
     }
 
@@ -297,7 +297,7 @@
     }
 
     /** Passes the target's answer on as it is; a stream that has begun cannot take it up. */
-    void passAnswer() {
+    void forwardResponse() {
         if (exchange.hasBegun()) {
             request.giveUp("a stream went on with status " + answer.status());
         } else {
--- a/daemon/src/main/java/org/bankturn/daemon/gateway/ForwardedRequest.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/ForwardedRequest.java
@@ -352,7 +352,7 @@
         Optional<NextStep.Send> another =
                 exchange.hasBegun() ? Optional.empty() : gateway.policy().afterFailure(progress);
         if (another.isEmpty()) {
-            failed.passAnswer();
+            failed.forwardResponse();
             return;
         }
         gateway.log()
