--- a/daemon/src/main/java/org/bankturn/daemon/gateway/Attempt.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/Attempt.java
@@ -329,7 +329,7 @@
         request.onConnectionLost(target.sighting(), failure.name());
     }
 
-    void drop() {
+    void cancel() {
         if (!over) {
             finish(false);
         }
--- a/daemon/src/main/java/org/bankturn/daemon/gateway/ForwardedRequest.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/ForwardedRequest.java
@@ -250,7 +250,7 @@
 
     private void dropAttempt() {
         if (attempt != null) {
-            attempt.drop();
+            attempt.cancel();
             attempt = null;
         }
     }
