--- a/daemon/src/main/java/org/bankturn/daemon/gateway/Gateway.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/Gateway.java
@@ -362,7 +362,7 @@
 
     /** Asks for the permits that requests could have used. */
     void requestPermits() {
-        permits.askForWanted();
+        permits.requestWanted();
     }
 
     /** The promise completes when a request that waits for a permit should be placed. */
--- a/daemon/src/main/java/org/bankturn/daemon/gateway/PermitExchange.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/PermitExchange.java
@@ -95,7 +95,7 @@
     }
 
     /** Asks for the permits that requests could have used. */
-    void askForWanted() {
+    void requestWanted() {
         for (TargetState target : targets.takePermitsWanted()) {
             askFor(target);
         }
