--- a/daemon/src/main/java/org/bankturn/daemon/gateway/Gateway.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/Gateway.java
@@ -367,7 +367,7 @@
 
     /** The promise completes when a request that waits for a permit should be placed. */
     Promise<Void> awaitPermit(NextStep.AwaitPermit wait) {
-        return permits.await(wait.target(), wait.mostMillis());
+        return permits.awaitPermit(wait.target(), wait.mostMillis());
     }
 
     /** A target's limit changed or ended, by one of its answers. */
--- a/daemon/src/main/java/org/bankturn/daemon/gateway/PermitExchange.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/PermitExchange.java
@@ -108,7 +108,7 @@
      * @param mostMillis how long to wait at most
      * @return completes when a request should be placed again, not null
      */
-    Promise<Void> await(TargetState target, long mostMillis) {
+    Promise<Void> awaitPermit(TargetState target, long mostMillis) {
         SettablePromise<Void> ready = new SettablePromise<>();
         if (target.isAskingPermit()) {
             waiting.computeIfAbsent(target, key -> new ArrayList<>()).add(ready);
