--- a/daemon/src/main/java/org/bankturn/daemon/gateway/Gateway.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/Gateway.java
@@ -372,7 +372,7 @@
 
     /** A target's limit changed or ended, by one of its answers. */
     void reportRateLimit(TargetState target) {
-        permits.tell(target);
+        permits.reportLimit(target);
     }
 
     /** A request left for an engine. */
--- a/daemon/src/main/java/org/bankturn/daemon/gateway/PermitExchange.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/PermitExchange.java
@@ -121,7 +121,7 @@
     }
 
     /** Tells the gateway that is responsible for a target that its limit changed or ended. */
-    void tell(TargetState target) {
+    void reportLimit(TargetState target) {
         ask(target, false).whenException(failure -> unanswered(target, failure));
     }
 
