--- a/daemon/src/main/java/org/bankturn/daemon/gateway/Gateway.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/Gateway.java
@@ -248,7 +248,7 @@
 
     /** Answers another gateway that asks for a permit, not null. */
     public NodeReply handlePermitRequest(NodeRequest.AskPermit asked) {
-        return permits.give(asked);
+        return permits.handleRequest(asked);
     }
 
     // ---- requests
--- a/daemon/src/main/java/org/bankturn/daemon/gateway/PermitExchange.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/PermitExchange.java
@@ -197,7 +197,7 @@
     }
 
     /** Answers another gateway. */
-    NodeReply give(NodeRequest.AskPermit asked) {
+    NodeReply handleRequest(NodeRequest.AskPermit asked) {
         RateLimit told = limit(asked.limited(), asked.perSecond(), asked.ageMillis());
         PermitCoordinator.Answer answer = coordinator.ask(asked.target(), asked.gateway(), told, asked.wants());
         RateLimit known = answer.limit();
