--- a/daemon/src/main/java/org/bankturn/daemon/gateway/CrashDetector.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/CrashDetector.java
@@ -127,7 +127,7 @@
      * @return gives true if it may be sent once more, false if it is to be refused, not null
      */
     Promise<Boolean> takeTrial(ForwardedRequest request) {
-        return trials.take(
+        return trials.requestTrial(
                 request.fingerprint(), process + "/" + request.metadata().id());
     }
 
--- a/daemon/src/main/java/org/bankturn/daemon/gateway/TrialRequester.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/TrialRequester.java
@@ -76,7 +76,7 @@
      * @param who names this attempt among all, not null
      * @return gives true if it may be sent once more, false if it is to be refused, not null
      */
-    Promise<Boolean> take(RequestFingerprint request, String who) {
+    Promise<Boolean> requestTrial(RequestFingerprint request, String who) {
         Optional<Suspect> agreed = suspects.agreed(request);
         if (asked.containsKey(request) || !plan.isDue(agreed)) {
             return Promise.of(false);
