--- a/daemon/src/main/java/org/bankturn/daemon/gateway/Gateway.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/Gateway.java
@@ -357,7 +357,7 @@
 
     /** Asks engines for their load; the promise completes when a request that waits for it should be placed. */
     Promise<Void> pollLoad(List<String> targetIds) {
-        return loads.ask(targetIds);
+        return loads.poll(targetIds);
     }
 
     /** Asks for the permits that requests could have used. */
--- a/daemon/src/main/java/org/bankturn/daemon/gateway/LoadPoller.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/LoadPoller.java
@@ -100,9 +100,9 @@
     }
 
     /** Asks some engines at once; the promise completes when all have answered, or a request should not wait longer. */
-    Promise<Void> ask(List<String> ids) {
+    Promise<Void> poll(List<String> ids) {
         SettablePromise<Void> answered = new SettablePromise<>();
-        Promises.all(ids.stream().map(this::ask).toList()).whenComplete(() -> answered.trySet(null));
+        Promises.all(ids.stream().map(this::poll).toList()).whenComplete(() -> answered.trySet(null));
         reactor.delayBackground(QUESTION_MILLIS, () -> {
             if (answered.trySet(null)) {
                 ids.forEach(id -> targets.unheardSince(id, clock.millis() - QUESTION_MILLIS));
@@ -156,12 +156,12 @@
 
     private void askAllDue() {
         questions.next(clock.millis()).ifPresent(id -> {
-            ask(id);
+            poll(id);
             askAllDue();
         });
     }
 
-    private Promise<Void> ask(String id) {
+    private Promise<Void> poll(String id) {
         TargetSighting target = published.targets().get(id);
         if (target == null) {
             return Promise.complete();
