--- a/daemon/src/main/java/org/bankturn/daemon/gateway/Gateway.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/Gateway.java
@@ -377,7 +377,7 @@
 
     /** A request left for an engine. */
     void recordEngineRequest() {
-        loads.requestSent();
+        loads.recordRequest();
     }
 
     Optional<Service> service(String name) {
--- a/daemon/src/main/java/org/bankturn/daemon/gateway/LoadPoller.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/LoadPoller.java
@@ -112,7 +112,7 @@
     }
 
     /** The gateway sent a request to an engine. */
-    void requestSent() {
+    void recordRequest() {
         questions.requestSent(clock.millis());
         busiest = Math.max(busiest, targets.inFlightAtEngines());
     }
