--- a/daemon/src/main/java/org/bankturn/daemon/gateway/CrashDetector.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/CrashDetector.java
@@ -126,7 +126,7 @@
      *
      * @return gives true if it may be sent once more, false if it is to be refused, not null
      */
-    Promise<Boolean> takeTrial(ForwardedRequest request) {
+    Promise<Boolean> requestTrial(ForwardedRequest request) {
         return trials.requestTrial(
                 request.fingerprint(), process + "/" + request.metadata().id());
     }
--- a/daemon/src/main/java/org/bankturn/daemon/gateway/ForwardedRequest.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/ForwardedRequest.java
@@ -61,7 +61,7 @@
             begin();
             return;
         }
-        gateway.crashDetector().takeTrial(this).whenResult(this::beginTrialOrRefuse);
+        gateway.crashDetector().requestTrial(this).whenResult(this::beginTrialOrRefuse);
     }
 
     private void beginTrialOrRefuse(boolean granted) {
