--- a/daemon/src/main/java/org/bankturn/daemon/gateway/CrashDetector.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/CrashDetector.java
@@ -169,7 +169,7 @@
      *
      * @return completes once it is known whether the target ended, or will not be known soon, not null
      */
-    Promise<Void> brokeOff(TargetSighting target, ForwardedRequest request) {
+    Promise<Void> onConnectionLost(TargetSighting target, ForwardedRequest request) {
         if (target.draining()) {
             // what it cuts at its planned end is not held against a request
             return Promise.complete();
--- a/daemon/src/main/java/org/bankturn/daemon/gateway/ForwardedRequest.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/ForwardedRequest.java
@@ -118,12 +118,12 @@
 
     /** The request broke off at a target that may have ended; it goes on once that is known. */
     void onConnectionLost(TargetSighting target, String reason) {
-        gateway.crashDetector().brokeOff(target, this).whenResult(() -> goOn(target, reason));
+        gateway.crashDetector().onConnectionLost(target, this).whenResult(() -> goOn(target, reason));
     }
 
     /** The target said nothing for long, so a word of whether it ended is not waited for. */
     void onStalled(TargetSighting target, String reason) {
-        Promise<Void> unused = gateway.crashDetector().brokeOff(target, this);
+        Promise<Void> unused = gateway.crashDetector().onConnectionLost(target, this);
         goOn(target, reason);
     }
 
