--- a/daemon/src/main/java/org/bankturn/daemon/gateway/Attempt.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/Attempt.java
@@ -86,7 +86,7 @@
             }
             return;
         }
-        gateway.crashDetector().connected(target.sighting(), failure);
+        gateway.crashDetector().onConnectResult(target.sighting(), failure);
         if (failure != null) {
             onFailure(HopFailure.NOT_CONNECTED);
             return;
--- a/daemon/src/main/java/org/bankturn/daemon/gateway/CrashDetector.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/CrashDetector.java
@@ -229,13 +229,13 @@
                     if (opened != null) {
                         connections.keep(target.id(), opened);
                     }
-                    connected(target, failure);
+                    onConnectResult(target, failure);
                     return Promise.of(failure);
                 });
     }
 
     /** A connection to a target was made, or could not be made. */
-    void connected(TargetSighting target, Exception failure) {
+    void onConnectResult(TargetSighting target, Exception failure) {
         if (failure instanceof ConnectException) {
             ended(target.id());
         }
