--- a/daemon/src/main/java/org/bankturn/daemon/gateway/CrashDetector.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/CrashDetector.java
@@ -261,7 +261,7 @@
     }
 
     /** A request ran to its end. */
-    void ranWhole(ForwardedRequest request) {
+    void onCompleted(ForwardedRequest request) {
         if (suspects.isEmpty() && brokenRuns.isEmpty()) {
             return;
         }
--- a/daemon/src/main/java/org/bankturn/daemon/gateway/ForwardedRequest.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/ForwardedRequest.java
@@ -200,7 +200,7 @@
     /** The target's whole answer was passed on. */
     void onAnswered(int status) {
         if (status / 100 == 2) {
-            gateway.crashDetector().ranWhole(this);
+            gateway.crashDetector().onCompleted(this);
         }
         ended(RequestOutcome.ANSWERED, status, "answered by " + attempt.targetId());
     }
