--- a/daemon/src/main/java/org/bankturn/daemon/gateway/CrashDetector.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/CrashDetector.java
@@ -117,7 +117,7 @@
     }
 
     /** Returns how many targets are known to have ended under the request. */
-    int endsUnder(ForwardedRequest request) {
+    int endedTargetCount(ForwardedRequest request) {
         return suspects.endedUnder(request.fingerprint()).size();
     }
 
@@ -267,7 +267,7 @@
         }
         RequestFingerprint fingerprint = request.fingerprint();
         brokenRuns.ranWhole(List.of(fingerprint));
-        if (endsUnder(request) == 0) {
+        if (endedTargetCount(request) == 0) {
             return;
         }
         suspects.ranWhole(fingerprint);
--- a/daemon/src/main/java/org/bankturn/daemon/gateway/ForwardedRequest.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/ForwardedRequest.java
@@ -172,7 +172,7 @@
     }
 
     private String condemnedReason() {
-        return gateway.crashDetector().endsUnder(this) + " targets ended under request " + fingerprint();
+        return gateway.crashDetector().endedTargetCount(this) + " targets ended under request " + fingerprint();
     }
 
     /** Gives the final answer at once: refused if it certainly did not run, failed otherwise. */
