--- a/daemon/src/main/java/org/bankturn/daemon/gateway/Attempt.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/Attempt.java
@@ -185,7 +185,7 @@
 
     @Override
     public void onPart(byte[] bytes) {
-        watch.heard();
+        watch.onData();
         if (!streams()) {
             content.writeBytes(bytes);
             return;
--- a/daemon/src/main/java/org/bankturn/daemon/gateway/StallDetector.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/StallDetector.java
@@ -73,7 +73,7 @@
     // ---- what happens
 
     /** A part of the answer came. */
-    void heard() {
+    void onData() {
         heardMillis = now();
         begun = true;
         gateway.connectionTrust().heard(connection.openedMillis());
