--- a/daemon/src/main/java/org/bankturn/daemon/gateway/Attempt.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/Attempt.java
@@ -345,7 +345,7 @@
         if (connection == null) {
             return;
         }
-        watch.end();
+        watch.stop();
         if (whole) {
             gateway.connections().keep(targetId(), connection);
         } else {
--- a/daemon/src/main/java/org/bankturn/daemon/gateway/StallDetector.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/StallDetector.java
@@ -81,7 +81,7 @@
     }
 
     /** The request is no longer at the target. */
-    void end() {
+    void stop() {
         over = true;
         gateway.connectionTrust().ended(wait);
     }
