--- a/daemon/src/main/java/org/bankturn/daemon/gateway/Attempt.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/Attempt.java
@@ -68,7 +68,7 @@
     void start() {
         target.begin(terms.promptTokens(), beganMillis);
         long mostRest = route.kind().mayRepeat() ? Long.MAX_VALUE : MOST_REST_UNREPEATABLE_MILLIS;
-        TargetConnection rested = gateway.connections().take(targetId(), now(), mostRest);
+        TargetConnection rested = gateway.connections().acquire(targetId(), now(), mostRest);
         Promise<TargetConnection> connected = rested != null
                 ? Promise.of(rested)
                 : TargetConnection.connect(
--- a/daemon/src/main/java/org/bankturn/daemon/gateway/TargetConnectionPool.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/TargetConnectionPool.java
@@ -25,7 +25,7 @@
     }
 
     /** Takes a connection that rested no longer than that, null if there is none. */
-    TargetConnection take(String target, long nowMillis, long mostRestMillis) {
+    TargetConnection acquire(String target, long nowMillis, long mostRestMillis) {
         Deque<TargetConnection> kept = resting.getOrDefault(target, new ArrayDeque<>());
         while (!kept.isEmpty()) {
             TargetConnection connection = kept.pollLast();
