--- a/daemon/src/main/java/org/bankturn/daemon/gateway/Attempt.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/Attempt.java
@@ -82,7 +82,7 @@
     private void connected(TargetConnection opened, Exception failure) {
         if (over) {
             if (opened != null) {
-                gateway.connections().keep(targetId(), opened);
+                gateway.connections().release(targetId(), opened);
             }
             return;
         }
@@ -124,7 +124,7 @@
             return false;
         }
         finish(false);
-        gateway.connections().keep(targetId(), opened);
+        gateway.connections().release(targetId(), opened);
         request.onHeldBack(target.sighting(), reason.get());
         return true;
     }
@@ -347,7 +347,7 @@
         }
         watch.stop();
         if (whole) {
-            gateway.connections().keep(targetId(), connection);
+            gateway.connections().release(targetId(), connection);
         } else {
             connection.close();
         }
--- a/daemon/src/main/java/org/bankturn/daemon/gateway/CrashDetector.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/CrashDetector.java
@@ -227,7 +227,7 @@
                         reactor, clock, Address.parse(target.address()).toSocketAddress(), CONNECT_MILLIS)
                 .then((opened, failure) -> {
                     if (opened != null) {
-                        connections.keep(target.id(), opened);
+                        connections.release(target.id(), opened);
                     }
                     onConnectResult(target, failure);
                     return Promise.of(failure);
--- a/daemon/src/main/java/org/bankturn/daemon/gateway/TargetConnectionPool.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/TargetConnectionPool.java
@@ -44,7 +44,7 @@
     }
 
     /** Keeps a connection for the next request, or closes it if it cannot carry one. */
-    void keep(String target, TargetConnection connection) {
+    void release(String target, TargetConnection connection) {
         if (!connection.isUsable()) {
             connection.close();
             return;
