--- a/daemon/src/main/java/org/bankturn/daemon/gateway/Gateway.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/Gateway.java
@@ -167,7 +167,7 @@
         }
         published = newer;
         policy.update(newer.configuration(), gatewaysThere());
-        connections.forget(targets.update(newer.targets().values()));
+        connections.closeAll(targets.update(newer.targets().values()));
         loads.update(newer, gatewaysHere());
         permits.update(addresses(gateways()));
         crashDetector.update(newer.suspects(), newer.targets().values());
--- a/daemon/src/main/java/org/bankturn/daemon/gateway/TargetConnectionPool.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/TargetConnectionPool.java
@@ -57,7 +57,7 @@
     }
 
     /** Closes what is kept to targets that are gone. */
-    void forget(Collection<String> targets) {
+    void closeAll(Collection<String> targets) {
         for (String target : targets) {
             Deque<TargetConnection> kept = resting.remove(target);
             if (kept != null) {
