--- a/daemon/src/main/java/org/bankturn/daemon/gateway/Attempt.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/Attempt.java
@@ -241,7 +241,7 @@
         if (over) {
             return;
         }
-        boolean cutInEvent = streams() && events.rest().length > 0;
+        boolean cutInEvent = streams() && events.remainder().length > 0;
         if (cutInEvent) {
             onFailure(HopFailure.CLOSED);
             return;
--- a/daemon/src/main/java/org/bankturn/daemon/gateway/EventSplitter.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/EventSplitter.java
@@ -37,7 +37,7 @@
     }
 
     /** Returns the bytes of an event that is not whole. */
-    byte[] rest() {
+    byte[] remainder() {
         return held;
     }
 
--- a/daemon/src/test/java/org/bankturn/daemon/gateway/EventSplitterTest.java
+++ b/daemon/src/test/java/org/bankturn/daemon/gateway/EventSplitterTest.java
@@ -21,7 +21,8 @@
         assertThat(events).extracting(Event::id).containsExactly("1", "2");
         assertThat(new String(events.get(0).bytes(), StandardCharsets.ISO_8859_1))
                 .isEqualTo("id: 1\ndata: a\n\n");
-        assertThat(new String(splitter.rest(), StandardCharsets.ISO_8859_1)).isEqualTo("id: 3\nda");
+        assertThat(new String(splitter.remainder(), StandardCharsets.ISO_8859_1))
+                .isEqualTo("id: 3\nda");
     }
 
     @Test
