--- a/daemon/src/test/java/org/bankturn/daemon/gateway/CrashingTarget.java
+++ b/daemon/src/test/java/org/bankturn/daemon/gateway/CrashingTarget.java
@@ -18,7 +18,7 @@
         self[0] = new ScriptedTarget((number, id, socket) -> {
             if (self[0].bodies.get(number - 1).equals(deadly)) {
                 ended.incrementAndGet();
-                self[0].end();
+                self[0].crash();
                 return false;
             }
             ScriptedTarget.write(socket, "HTTP/1.1 200 OK\r\nId: " + id + "\r\nContent-Length: 2\r\n\r\nok");
--- a/daemon/src/test/java/org/bankturn/daemon/gateway/ScriptedTarget.java
+++ b/daemon/src/test/java/org/bankturn/daemon/gateway/ScriptedTarget.java
@@ -41,7 +41,7 @@
     }
 
     /** Ends as a process that crashes does: its connections are closed, and its address refuses further ones. */
-    public void end() throws IOException {
+    public void crash() throws IOException {
         server.close();
         for (Socket socket : open) {
             socket.close();
--- a/daemon/src/test/java/org/bankturn/daemon/serving/DeadlyRequestAtASiteTest.java
+++ b/daemon/src/test/java/org/bankturn/daemon/serving/DeadlyRequestAtASiteTest.java
@@ -82,7 +82,7 @@
             }
         }
         for (ScriptedTarget holder : holders) {
-            holder.end();
+            holder.crash();
         }
         underWay.forEach(CompletableFuture::join);
         assertThat(call(gateway, POPULAR)).isEqualTo(429);
