--- a/daemon/src/test/java/org/bankturn/daemon/gateway/CrashingRequestTest.java
+++ b/daemon/src/test/java/org/bankturn/daemon/gateway/CrashingRequestTest.java
@@ -52,7 +52,7 @@
     private ScriptedTarget[] fragile(int count) throws IOException {
         ScriptedTarget[] targets = new ScriptedTarget[count];
         for (int index = 0; index < count; index++) {
-            targets[index] = keep(CrashingTarget.endingWith(DEADLY, ended));
+            targets[index] = keep(CrashingTarget.crashingOn(DEADLY, ended));
         }
         return targets;
     }
--- a/daemon/src/test/java/org/bankturn/daemon/gateway/CrashingTarget.java
+++ b/daemon/src/test/java/org/bankturn/daemon/gateway/CrashingTarget.java
@@ -13,7 +13,7 @@
      * @param deadly the body of requests that end it, not null
      * @param ended counts it when it ends, not null
      */
-    public static ScriptedTarget endingWith(String deadly, AtomicInteger ended) throws IOException {
+    public static ScriptedTarget crashingOn(String deadly, AtomicInteger ended) throws IOException {
         ScriptedTarget[] self = new ScriptedTarget[1];
         self[0] = new ScriptedTarget((number, id, socket) -> {
             if (self[0].bodies.get(number - 1).equals(deadly)) {
--- a/daemon/src/test/java/org/bankturn/daemon/serving/DeadlyRequestAtASiteTest.java
+++ b/daemon/src/test/java/org/bankturn/daemon/serving/DeadlyRequestAtASiteTest.java
@@ -39,7 +39,7 @@
     @Test
     void three_ends_at_different_gateways_condemn_a_request_at_all_of_them() throws Exception {
         for (int target = 0; target < TARGETS; target++) {
-            announce(CrashingTarget.endingWith(DEADLY, ended));
+            announce(CrashingTarget.crashingOn(DEADLY, ended));
         }
         configure();
         Address one = startGateway();
@@ -86,7 +86,7 @@
         }
         underWay.forEach(CompletableFuture::join);
         assertThat(call(gateway, POPULAR)).isEqualTo(429);
-        announce(CrashingTarget.endingWith(DEADLY, ended));
+        announce(CrashingTarget.crashingOn(DEADLY, ended));
         while (call(gateway, POPULAR) != 200) {
             Thread.onSpinWait();
         }
@@ -99,7 +99,7 @@
     @Test
     void operators_see_a_condemned_request_and_have_it_run_again() throws Exception {
         for (int target = 0; target < TARGETS; target++) {
-            announce(CrashingTarget.endingWith(DEADLY, ended));
+            announce(CrashingTarget.crashingOn(DEADLY, ended));
         }
         configure();
         Address gateway = startGateway();
