--- a/daemon/src/test/java/org/bankturn/daemon/gateway/CallerDisconnectTest.java
+++ b/daemon/src/test/java/org/bankturn/daemon/gateway/CallerDisconnectTest.java
@@ -36,7 +36,7 @@
     void a_request_of_which_the_caller_sent_a_part_only_reaches_no_target() throws Exception {
         ScriptedTarget target = answering("here", "");
         publish(RequestKind.IDEMPOTENT, 2, target);
-        try (Socket socket = new Socket(callers.host(), callers.port())) {
+        try (Socket socket = new Socket(callerAddress.host(), callerAddress.port())) {
             ScriptedTarget.write(socket, REQUEST + "Content-Length: 100\r\n\r\npart");
         }
         assertThat(call("GET", "after", "")).endsWith("here");
@@ -60,7 +60,7 @@
             return untilClosed(socket);
         }));
         publish(RequestKind.IDEMPOTENT, 2, target);
-        try (Socket socket = new Socket(callers.host(), callers.port())) {
+        try (Socket socket = new Socket(callerAddress.host(), callerAddress.port())) {
             ScriptedTarget.write(socket, REQUEST + "\r\n");
             assertThat(socket.getInputStream().read()).isPositive();
         }
@@ -83,7 +83,7 @@
             return false;
         }));
         publish(RequestKind.IDEMPOTENT, 2, one, other);
-        try (Socket socket = new Socket(callers.host(), callers.port())) {
+        try (Socket socket = new Socket(callerAddress.host(), callerAddress.port())) {
             ScriptedTarget.write(socket, REQUEST + "\r\n");
             while (one.heads.size() + other.heads.size() == 0) {
                 pause();
@@ -106,7 +106,7 @@
         ScriptedTarget other = answering("here", "");
         try (FullBacklogTarget deaf = FullBacklogTarget.start()) {
             publish(RequestKind.IDEMPOTENT, 2, 2_000, List.of(deaf.address()));
-            try (Socket socket = new Socket(callers.host(), callers.port())) {
+            try (Socket socket = new Socket(callerAddress.host(), callerAddress.port())) {
                 ScriptedTarget.write(socket, REQUEST + "\r\n");
                 await(new CountDownLatch(1), 100);
             }
@@ -125,7 +125,7 @@
         try (ServerSocket silentProcess = new ServerSocket(node.port(), 50, InetAddress.getByName(node.host()))) {
             publishEngine(engine);
             for (int number = 0; number < CALLERS; number++) {
-                try (Socket socket = new Socket(callers.host(), callers.port())) {
+                try (Socket socket = new Socket(callerAddress.host(), callerAddress.port())) {
                     ScriptedTarget.write(socket, REQUEST + "\r\n");
                     await(new CountDownLatch(1), number);
                 }
@@ -155,7 +155,7 @@
     }
 
     private void leaveOnceAt(ScriptedTarget target) throws IOException {
-        try (Socket socket = new Socket(callers.host(), callers.port())) {
+        try (Socket socket = new Socket(callerAddress.host(), callerAddress.port())) {
             ScriptedTarget.write(socket, REQUEST + "\r\n");
             while (target.heads.isEmpty()) {
                 pause();
--- a/daemon/src/test/java/org/bankturn/daemon/gateway/GatewayFixture.java
+++ b/daemon/src/test/java/org/bankturn/daemon/gateway/GatewayFixture.java
@@ -69,7 +69,7 @@
     /** Whether what is published is confirmed by a control process in touch with a majority. */
     boolean confirmed = true;
 
-    Address callers;
+    Address callerAddress;
     Address ready;
 
     /** Where the gateway is known as one of the gateways; nothing listens there. */
@@ -77,13 +77,13 @@
 
     @BeforeEach
     void startGateway() throws Exception {
-        callers = FreeAddresses.next();
+        callerAddress = FreeAddresses.next();
         ready = FreeAddresses.next();
         node = FreeAddresses.next();
         DecisionLog log = DecisionLog.startTo(LogFile.of(getClass().getSimpleName()), "test", clock);
         metrics = ServingMetrics.of(log);
         gateway = Gateway.of(
-                new GatewaySettings("test", "north", callers, ready, node, UNLIMITED_RETRIES, 1_000, 20_000),
+                new GatewaySettings("test", "north", callerAddress, ready, node, UNLIMITED_RETRIES, 1_000, 20_000),
                 new PlainDialect(),
                 reactor,
                 NodeClients.on(reactor, clock, ConnectionObserver.NONE),
@@ -181,7 +181,7 @@
     }
 
     String exchange(String request) throws IOException {
-        try (Socket socket = new Socket(callers.host(), callers.port())) {
+        try (Socket socket = new Socket(callerAddress.host(), callerAddress.port())) {
             ScriptedTarget.write(socket, request);
             return readAll(socket.getInputStream());
         }
--- a/daemon/src/test/java/org/bankturn/daemon/gateway/GatewayStateTest.java
+++ b/daemon/src/test/java/org/bankturn/daemon/gateway/GatewayStateTest.java
@@ -68,7 +68,7 @@
         });
         targets.add(target);
         publish(RequestKind.UNSAFE, 1, target);
-        try (Socket socket = new Socket(callers.host(), callers.port())) {
+        try (Socket socket = new Socket(callerAddress.host(), callerAddress.port())) {
             ScriptedTarget.write(
                     socket, "POST /x/1 HTTP/1.1\r\nHost: h\r\nId: a1\r\nKey: k\r\nContent-Length: 0\r\n\r\n");
             while (target.heads.isEmpty()) {
@@ -93,7 +93,7 @@
             return true;
         }));
         publish(RequestKind.UNSAFE, 1, 15_000, target);
-        try (Socket socket = new Socket(callers.host(), callers.port())) {
+        try (Socket socket = new Socket(callerAddress.host(), callerAddress.port())) {
             String id = "a1";
             ScriptedTarget.write(
                     socket, "POST /x/1 HTTP/1.1\r\nHost: h\r\nKey: k\r\nContent-Length: 0\r\nId: " + id + "\r\n\r\n");
--- a/daemon/src/test/java/org/bankturn/daemon/gateway/GatewayTest.java
+++ b/daemon/src/test/java/org/bankturn/daemon/gateway/GatewayTest.java
@@ -179,7 +179,7 @@
         });
         targets.add(target);
         publish(RequestKind.IDEMPOTENT, 1, target);
-        try (Socket socket = new Socket(callers.host(), callers.port())) {
+        try (Socket socket = new Socket(callerAddress.host(), callerAddress.port())) {
             ScriptedTarget.write(socket, "GET /x/1 HTTP/1.1\r\nHost: h\r\nId: a1\r\nDeadline: 20000\r\nKey: k\r\n\r\n");
             while (target.heads.isEmpty()) {
                 pause();
