--- a/daemon/src/test/java/org/bankturn/daemon/gateway/GatewayFixture.java
+++ b/daemon/src/test/java/org/bankturn/daemon/gateway/GatewayFixture.java
@@ -70,7 +70,7 @@
     boolean confirmed = true;
 
     Address callerAddress;
-    Address ready;
+    Address readyAddress;
 
     /** Where the gateway is known as one of the gateways; nothing listens there. */
     Address node;
@@ -78,12 +78,13 @@
     @BeforeEach
     void startGateway() throws Exception {
         callerAddress = FreeAddresses.next();
-        ready = FreeAddresses.next();
+        readyAddress = FreeAddresses.next();
         node = FreeAddresses.next();
         DecisionLog log = DecisionLog.startTo(LogFile.of(getClass().getSimpleName()), "test", clock);
         metrics = ServingMetrics.of(log);
         gateway = Gateway.of(
-                new GatewaySettings("test", "north", callerAddress, ready, node, UNLIMITED_RETRIES, 1_000, 20_000),
+                new GatewaySettings(
+                        "test", "north", callerAddress, readyAddress, node, UNLIMITED_RETRIES, 1_000, 20_000),
                 new PlainDialect(),
                 reactor,
                 NodeClients.on(reactor, clock, ConnectionObserver.NONE),
@@ -188,7 +189,7 @@
     }
 
     String askReady() throws IOException {
-        try (Socket socket = new Socket(ready.host(), ready.port())) {
+        try (Socket socket = new Socket(readyAddress.host(), readyAddress.port())) {
             ScriptedTarget.write(socket, "GET /ready HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n");
             return readAll(socket.getInputStream());
         }
