--- a/daemon/src/test/java/org/bankturn/daemon/gateway/CallerDisconnectTest.java
+++ b/daemon/src/test/java/org/bankturn/daemon/gateway/CallerDisconnectTest.java
@@ -122,7 +122,8 @@
     @Test
     void a_request_that_waits_for_news_of_load_as_its_caller_leaves_keeps_no_engine_at_work() throws Exception {
         ScriptedTarget engine = keep(new ScriptedTarget((number, id, socket) -> untilClosed(socket)));
-        try (ServerSocket silentProcess = new ServerSocket(node.port(), 50, InetAddress.getByName(node.host()))) {
+        try (ServerSocket silentProcess =
+                new ServerSocket(nodeAddress.port(), 50, InetAddress.getByName(nodeAddress.host()))) {
             publishEngine(engine);
             for (int number = 0; number < CALLERS; number++) {
                 try (Socket socket = new Socket(callerAddress.host(), callerAddress.port())) {
--- a/daemon/src/test/java/org/bankturn/daemon/gateway/GatewayFixture.java
+++ b/daemon/src/test/java/org/bankturn/daemon/gateway/GatewayFixture.java
@@ -73,18 +73,18 @@
     Address readyAddress;
 
     /** Where the gateway is known as one of the gateways; nothing listens there. */
-    Address node;
+    Address nodeAddress;
 
     @BeforeEach
     void startGateway() throws Exception {
         callerAddress = FreeAddresses.next();
         readyAddress = FreeAddresses.next();
-        node = FreeAddresses.next();
+        nodeAddress = FreeAddresses.next();
         DecisionLog log = DecisionLog.startTo(LogFile.of(getClass().getSimpleName()), "test", clock);
         metrics = ServingMetrics.of(log);
         gateway = Gateway.of(
                 new GatewaySettings(
-                        "test", "north", callerAddress, readyAddress, node, UNLIMITED_RETRIES, 1_000, 20_000),
+                        "test", "north", callerAddress, readyAddress, nodeAddress, UNLIMITED_RETRIES, 1_000, 20_000),
                 new PlainDialect(),
                 reactor,
                 NodeClients.on(reactor, clock, ConnectionObserver.NONE),
@@ -148,7 +148,8 @@
         Map<String, TargetSighting> sightings = new HashMap<>();
         sightings.put(
                 "relay-test",
-                new TargetSighting("relay-test", WeightsRelay.SERVICE, node.toString(), "north", 0, false, -1, 1));
+                new TargetSighting(
+                        "relay-test", WeightsRelay.SERVICE, nodeAddress.toString(), "north", 0, false, -1, 1));
         for (String address : addresses) {
             String id = "t-" + address;
             sightings.put(id, new TargetSighting(id, "chat", address, "north", 4, false, -1, 1));
--- a/daemon/src/test/java/org/bankturn/daemon/gateway/SilentConnectionFixture.java
+++ b/daemon/src/test/java/org/bankturn/daemon/gateway/SilentConnectionFixture.java
@@ -47,7 +47,7 @@
         Service service = new Service("chat", "/health", 100, ENGINE, new WeightsLayout("m", 1, 4, 10), null, null);
         publishTargets(kind, service, engines, 1);
         for (SilencingRelay relay : targetRelays) {
-            questionRelays.add(SilencingRelay.at(new Address(relay.address().host(), node.port()), loads));
+            questionRelays.add(SilencingRelay.at(new Address(relay.address().host(), nodeAddress.port()), loads));
         }
     }
 
@@ -65,7 +65,8 @@
         Map<String, TargetSighting> sightings = new HashMap<>();
         sightings.put(
                 "relay-test",
-                new TargetSighting("relay-test", WeightsRelay.SERVICE, node.toString(), "north", 0, false, -1, 1));
+                new TargetSighting(
+                        "relay-test", WeightsRelay.SERVICE, nodeAddress.toString(), "north", 0, false, -1, 1));
         for (ScriptedTarget target : behind) {
             int number = targetRelays.size() + 1;
             Address destination = Address.parse(target.address());
