--- a/daemon/src/test/java/org/bankturn/daemon/gateway/GatewayFixture.java
+++ b/daemon/src/test/java/org/bankturn/daemon/gateway/GatewayFixture.java
@@ -62,7 +62,7 @@
     Gateway gateway;
 
     /** What the gateway had the control group agree on. */
-    final List<PublicationCommand> toldControlGroup = new CopyOnWriteArrayList<>();
+    final List<PublicationCommand> publicationCommands = new CopyOnWriteArrayList<>();
 
     ServingMetrics metrics;
 
@@ -88,7 +88,7 @@
                 new PlainDialect(),
                 reactor,
                 NodeClients.on(reactor, clock, ConnectionObserver.NONE),
-                toldControlGroup::add,
+                publicationCommands::add,
                 clock,
                 log,
                 metrics);
