--- a/daemon/src/test/java/org/bankturn/daemon/gateway/GatewayFixture.java
+++ b/daemon/src/test/java/org/bankturn/daemon/gateway/GatewayFixture.java
@@ -189,7 +189,7 @@
         }
     }
 
-    String askReady() throws IOException {
+    String getReadiness() throws IOException {
         try (Socket socket = new Socket(readyAddress.host(), readyAddress.port())) {
             ScriptedTarget.write(socket, "GET /ready HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n");
             return readAll(socket.getInputStream());
--- a/daemon/src/test/java/org/bankturn/daemon/gateway/GatewayStateTest.java
+++ b/daemon/src/test/java/org/bankturn/daemon/gateway/GatewayStateTest.java
@@ -75,7 +75,7 @@
                 pause();
             }
             var stopped = reactor.submit(gateway::stop);
-            assertThat(askReady()).startsWith("HTTP/1.1 503");
+            assertThat(getReadiness()).startsWith("HTTP/1.1 503");
             release.countDown();
             String answer = readAll(socket.getInputStream());
             assertThat(answer).endsWith("done").contains("Connection: close");
