--- a/daemon/src/test/java/org/bankturn/daemon/gateway/CallerDisconnectTest.java
+++ b/daemon/src/test/java/org/bankturn/daemon/gateway/CallerDisconnectTest.java
@@ -45,7 +45,7 @@
 
     @Test
     void a_target_that_says_nothing_yet_is_told() throws Exception {
-        ScriptedTarget target = keep(new ScriptedTarget((number, id, socket) -> untilClosed(socket)));
+        ScriptedTarget target = register(new ScriptedTarget((number, id, socket) -> untilClosed(socket)));
         publish(RequestKind.IDEMPOTENT, 2, target);
         leaveOnceAt(target);
         assertThat(told.await(20, TimeUnit.SECONDS)).isTrue();
@@ -54,7 +54,7 @@
 
     @Test
     void a_target_within_its_answer_is_told() throws Exception {
-        ScriptedTarget target = keep(new ScriptedTarget((number, id, socket) -> {
+        ScriptedTarget target = register(new ScriptedTarget((number, id, socket) -> {
             ScriptedTarget.write(
                     socket, "HTTP/1.1 200 OK\r\nId: " + id + "\r\nContent-Length: 100\r\n\r\nthe first part");
             return untilClosed(socket);
@@ -70,13 +70,13 @@
     @Test
     void a_request_whose_target_breaks_off_after_the_caller_left_goes_to_no_other() throws Exception {
         CountDownLatch left = new CountDownLatch(1);
-        ScriptedTarget one = keep(new ScriptedTarget((number, id, socket) -> {
+        ScriptedTarget one = register(new ScriptedTarget((number, id, socket) -> {
             await(left);
             pause();
             ScriptedTarget.reset(socket);
             return false;
         }));
-        ScriptedTarget other = keep(new ScriptedTarget((number, id, socket) -> {
+        ScriptedTarget other = register(new ScriptedTarget((number, id, socket) -> {
             await(left);
             pause();
             ScriptedTarget.reset(socket);
@@ -121,7 +121,7 @@
     /** If the caller's end is seen only once the request has left, the engine is told. */
     @Test
     void a_request_that_waits_for_news_of_load_as_its_caller_leaves_keeps_no_engine_at_work() throws Exception {
-        ScriptedTarget engine = keep(new ScriptedTarget((number, id, socket) -> untilClosed(socket)));
+        ScriptedTarget engine = register(new ScriptedTarget((number, id, socket) -> untilClosed(socket)));
         try (ServerSocket silentProcess =
                 new ServerSocket(nodeAddress.port(), 50, InetAddress.getByName(nodeAddress.host()))) {
             publishEngine(engine);
--- a/daemon/src/test/java/org/bankturn/daemon/gateway/CrashingRequestTest.java
+++ b/daemon/src/test/java/org/bankturn/daemon/gateway/CrashingRequestTest.java
@@ -38,7 +38,7 @@
     void targets_that_break_off_and_live_on_do_not_condemn_a_request() throws Exception {
         ScriptedTarget[] targets = new ScriptedTarget[SENDS_OF_ONE_CALL * CALLS];
         for (int index = 0; index < targets.length; index++) {
-            targets[index] = keep(new ScriptedTarget((number, id, socket) -> {
+            targets[index] = register(new ScriptedTarget((number, id, socket) -> {
                 ScriptedTarget.reset(socket);
                 return false;
             }));
@@ -52,7 +52,7 @@
     private ScriptedTarget[] fragile(int count) throws IOException {
         ScriptedTarget[] targets = new ScriptedTarget[count];
         for (int index = 0; index < count; index++) {
-            targets[index] = keep(CrashingTarget.crashingOn(DEADLY, ended));
+            targets[index] = register(CrashingTarget.crashingOn(DEADLY, ended));
         }
         return targets;
     }
--- a/daemon/src/test/java/org/bankturn/daemon/gateway/GatewayFixture.java
+++ b/daemon/src/test/java/org/bankturn/daemon/gateway/GatewayFixture.java
@@ -114,7 +114,7 @@
     // ---- targets
 
     ScriptedTarget answering(String body, String fields) throws IOException {
-        return keep(new ScriptedTarget((number, id, socket) -> {
+        return register(new ScriptedTarget((number, id, socket) -> {
             ScriptedTarget.write(
                     socket,
                     "HTTP/1.1 200 OK\r\nId: " + id + "\r\n" + fields + "Content-Length: " + body.length() + "\r\n\r\n"
@@ -123,7 +123,7 @@
         }));
     }
 
-    ScriptedTarget keep(ScriptedTarget target) {
+    ScriptedTarget register(ScriptedTarget target) {
         targets.add(target);
         return target;
     }
--- a/daemon/src/test/java/org/bankturn/daemon/gateway/GatewayStateTest.java
+++ b/daemon/src/test/java/org/bankturn/daemon/gateway/GatewayStateTest.java
@@ -87,7 +87,7 @@
     @Test
     void late_in_a_planned_stop_a_new_request_is_refused_and_the_old_one_still_ends_whole() throws Exception {
         CountDownLatch release = new CountDownLatch(1);
-        ScriptedTarget target = keep(new ScriptedTarget((number, id, socket) -> {
+        ScriptedTarget target = register(new ScriptedTarget((number, id, socket) -> {
             await(release);
             ScriptedTarget.write(socket, "HTTP/1.1 200 OK\r\nId: " + id + "\r\nContent-Length: 4\r\n\r\ndone");
             return true;
--- a/daemon/src/test/java/org/bankturn/daemon/gateway/GatewayTest.java
+++ b/daemon/src/test/java/org/bankturn/daemon/gateway/GatewayTest.java
@@ -158,7 +158,7 @@
     @Test
     void a_request_that_may_be_repeated_leaves_a_silent_target() throws Exception {
         CountDownLatch never = new CountDownLatch(1);
-        ScriptedTarget silent = keep(new ScriptedTarget((number, id, socket) -> {
+        ScriptedTarget silent = register(new ScriptedTarget((number, id, socket) -> {
             await(never);
             return false;
         }));
@@ -191,14 +191,14 @@
     // ---- targets
 
     private ScriptedTarget resetting() throws IOException {
-        return keep(new ScriptedTarget((number, id, socket) -> {
+        return register(new ScriptedTarget((number, id, socket) -> {
             ScriptedTarget.reset(socket);
             return false;
         }));
     }
 
     private ScriptedTarget refusingFirst() throws IOException {
-        return keep(new ScriptedTarget((number, id, socket) -> {
+        return register(new ScriptedTarget((number, id, socket) -> {
             ScriptedTarget.write(
                     socket,
                     number == 1
@@ -209,7 +209,7 @@
     }
 
     private ScriptedTarget alwaysRefusing() throws IOException {
-        return keep(new ScriptedTarget((number, id, socket) -> {
+        return register(new ScriptedTarget((number, id, socket) -> {
             ScriptedTarget.write(socket, "HTTP/1.1 503 Full\r\nNot-Run: 1\r\nContent-Length: 0\r\n\r\n");
             return true;
         }));
@@ -233,7 +233,7 @@
             return false;
         });
         self.put("target", target);
-        return keep(target);
+        return register(target);
     }
 
     /** Gives one event more than before, then half of the next, and closes an answer without a length. */
@@ -249,7 +249,7 @@
             return false;
         });
         self.put("target", target);
-        return keep(target);
+        return register(target);
     }
 
     private static String chunk(String text) {
--- a/daemon/src/test/java/org/bankturn/daemon/gateway/ResetTargetsTest.java
+++ b/daemon/src/test/java/org/bankturn/daemon/gateway/ResetTargetsTest.java
@@ -44,7 +44,7 @@
 
     /** Holds the first answer to requests whose name says so, and answers all others. */
     private ScriptedTarget target() throws IOException {
-        return keep(new ScriptedTarget((number, id, socket) -> {
+        return register(new ScriptedTarget((number, id, socket) -> {
             boolean first = sockets.putIfAbsent(id, socket) == null;
             if (first && id.startsWith("held")) {
                 await(over);
--- a/daemon/src/test/java/org/bankturn/daemon/gateway/SilentTargetConnectionsTest.java
+++ b/daemon/src/test/java/org/bankturn/daemon/gateway/SilentTargetConnectionsTest.java
@@ -46,7 +46,7 @@
         CountDownLatch together = new CountDownLatch(KEPT_IN_ALL);
         List<ScriptedTarget> answering = new ArrayList<>();
         for (int number = 0; number < TARGETS; number++) {
-            answering.add(keep(new ScriptedTarget((count, id, socket) -> {
+            answering.add(register(new ScriptedTarget((count, id, socket) -> {
                 together.countDown();
                 await(together);
                 ScriptedTarget.write(socket, "HTTP/1.1 200 OK\r\nId: " + id + "\r\nContent-Length: 2\r\n\r\nok");
--- a/daemon/src/test/java/org/bankturn/daemon/gateway/SilentTargetsTest.java
+++ b/daemon/src/test/java/org/bankturn/daemon/gateway/SilentTargetsTest.java
@@ -121,6 +121,6 @@
             return true;
         });
         self.put("target", target);
-        return keep(target);
+        return register(target);
     }
 }
--- a/daemon/src/test/java/org/bankturn/daemon/gateway/TargetBackOffTest.java
+++ b/daemon/src/test/java/org/bankturn/daemon/gateway/TargetBackOffTest.java
@@ -22,7 +22,7 @@
     private final List<Long> arrivals = new CopyOnWriteArrayList<>();
 
     private ScriptedTarget rejecting(long backOffMillis) throws IOException {
-        return keep(new ScriptedTarget((number, id, socket) -> {
+        return register(new ScriptedTarget((number, id, socket) -> {
             arrivals.add(clock.millis());
             ScriptedTarget.write(
                     socket,
@@ -33,7 +33,7 @@
     }
 
     private ScriptedTarget leaving() throws IOException {
-        return keep(new ScriptedTarget((number, id, socket) -> {
+        return register(new ScriptedTarget((number, id, socket) -> {
             arrivals.add(clock.millis());
             ScriptedTarget.write(
                     socket, "HTTP/1.1 200 OK\r\nId: " + id + "\r\nLeaving: 1\r\nContent-Length: 2\r\n\r\nok");
@@ -43,7 +43,7 @@
 
     /** A target that looks worse than one that rejects everything. */
     private ScriptedTarget slow() throws IOException {
-        return keep(new ScriptedTarget((number, id, socket) -> {
+        return register(new ScriptedTarget((number, id, socket) -> {
             await(new CountDownLatch(1), SLOW_MILLIS);
             ScriptedTarget.write(socket, "HTTP/1.1 200 OK\r\nId: " + id + "\r\nContent-Length: 2\r\n\r\nok");
             return true;
