--- a/daemon/src/test/java/org/bankturn/daemon/gateway/SilentConnectionFixture.java
+++ b/daemon/src/test/java/org/bankturn/daemon/gateway/SilentConnectionFixture.java
@@ -29,14 +29,14 @@
     private static final int ATTEMPTS = 2;
 
     final List<SilencingRelay> targetRelays = new ArrayList<>();
-    final List<SilencingRelay> questionRelays = new ArrayList<>();
+    final List<SilencingRelay> loadRelays = new ArrayList<>();
 
     @AfterEach
     void closeRelays() throws IOException {
         for (SilencingRelay relay : targetRelays) {
             relay.close();
         }
-        for (SilencingRelay relay : questionRelays) {
+        for (SilencingRelay relay : loadRelays) {
             relay.close();
         }
     }
@@ -47,7 +47,7 @@
         Service service = new Service("chat", "/health", 100, ENGINE, new WeightsLayout("m", 1, 4, 10), null, null);
         publishTargets(kind, service, engines, 1);
         for (SilencingRelay relay : targetRelays) {
-            questionRelays.add(SilencingRelay.at(new Address(relay.address().host(), nodeAddress.port()), loads));
+            loadRelays.add(SilencingRelay.at(new Address(relay.address().host(), nodeAddress.port()), loads));
         }
     }
 
--- a/daemon/src/test/java/org/bankturn/daemon/gateway/SilentTargetsTest.java
+++ b/daemon/src/test/java/org/bankturn/daemon/gateway/SilentTargetsTest.java
@@ -45,7 +45,7 @@
         send(REQUESTS_BEFORE, "before", outcomes, calls);
         long silentMillis = clock.millis();
         targetRelays.forEach(SilencingRelay::silence);
-        questionRelays.forEach(SilencingRelay::silence);
+        loadRelays.forEach(SilencingRelay::silence);
         send(REQUESTS_AFTER, "after", outcomes, calls);
         for (Future<?> call : calls) {
             call.get(30, TimeUnit.SECONDS);
