--- a/daemon/src/main/java/org/bankturn/daemon/gateway/Attempt.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/Attempt.java
@@ -21,66 +21,66 @@
 import org.bankturn.service.Route;
 
 /**
- * One target's turn at a request: sends it, passes the answer on, and tells the request what came of it.
+ * One attempt at a request: sends it to a target, forwards the response and reports the outcome.
  *
  * <p>Attempt is confined to its reactor's thread.
  */
 final class Attempt implements AnswerListener {
     private static final long CONNECT_TIMEOUT_MILLIS = 400;
 
-    /** What may run only once gets a connection that was used just now: an older one may have been dropped silently. */
-    private static final long MOST_REST_UNREPEATABLE_MILLIS = 600;
+    /** Idle limit for non-repeatable requests; a connection idle for longer may have been dropped silently. */
+    private static final long MAX_IDLE_NOT_REPEATABLE_MILLIS = 600;
 
     private static final int SERVER_ERROR = 500;
 
     private final ForwardedRequest request;
     private final Gateway gateway;
-    private final RequestMetadata terms;
+    private final RequestMetadata metadata;
     private final Route route;
     private final ServerExchange exchange;
     private final TargetState target;
     private final Choice choice;
     private final int version;
-    private final long beganMillis;
+    private final long startedMillis;
     private final ByteArrayOutputStream content = new ByteArrayOutputStream();
     private final EventSplitter events = new EventSplitter();
     private TargetConnection connection;
-    private StallDetector watch;
-    private HttpHead head;
-    private ResponseMetadata answer;
+    private StallDetector stallDetector;
+    private HttpHead responseHead;
+    private ResponseMetadata response;
     private boolean promptPending = true;
-    private boolean over;
+    private boolean finished;
     private long sentMillis;
     private long firstEventMillis;
 
     Attempt(ForwardedRequest request, Gateway gateway, Choice choice, int version) {
         this.request = request;
         this.gateway = gateway;
-        this.terms = request.metadata();
+        this.metadata = request.metadata();
         this.route = request.route();
         this.exchange = request.exchange();
-        this.beganMillis = gateway.clock().millis();
+        this.startedMillis = gateway.clock().millis();
         this.target = choice.target();
         this.choice = choice;
         this.version = version;
     }
 
     void start() {
-        target.begin(terms.promptTokens(), beganMillis);
-        long mostRest = route.kind().mayRepeat() ? Long.MAX_VALUE : MOST_REST_UNREPEATABLE_MILLIS;
-        TargetConnection rested = gateway.connections().acquire(targetId(), now(), mostRest);
-        Promise<TargetConnection> connected = rested != null
-                ? Promise.of(rested)
+        target.begin(metadata.promptTokens(), startedMillis);
+        long maxIdleMillis = route.kind().mayRepeat() ? Long.MAX_VALUE : MAX_IDLE_NOT_REPEATABLE_MILLIS;
+        TargetConnection idleConnection = gateway.connections().acquire(targetId(), now(), maxIdleMillis);
+        Promise<TargetConnection> connected = idleConnection != null
+                ? Promise.of(idleConnection)
                 : TargetConnection.connect(
                         gateway.reactor(),
                         gateway.clock(),
                         Address.parse(target.sighting().address()).toSocketAddress(),
                         CONNECT_TIMEOUT_MILLIS);
-        connected.whenComplete(this::connected);
+        connected.whenComplete(this::onConnected);
     }
 
-    private void connected(TargetConnection opened, Exception failure) {
-        if (over) {
+    private void onConnected(TargetConnection opened, Exception failure) {
+        if (finished) {
             if (opened != null) {
                 gateway.connections().release(targetId(), opened);
             }
@@ -100,7 +100,7 @@
         if (request.service().engine() != null) {
             gateway.recordEngineRequest();
         }
-        HttpHead sent = gateway.dialect()
+        HttpHead forwarded = gateway.dialect()
                 .buildTargetRequest(
                         exchange.head(),
                         new ForwardingMetadata(
@@ -111,13 +111,15 @@
                                 version,
                                 request.urgency()));
         boolean hasBody = exchange.body().length > 0 || !exchange.head().first().equals("GET");
-        HttpHead framed = hasBody ? sent.with("Content-Length", Integer.toString(exchange.body().length)) : sent;
-        // first the watch: a write that fails at once ends the attempt before send returns
-        watch = StallDetector.start(gateway, request, choice, connection, this::takeAway);
-        connection.send(joined(framed, exchange.body()), exchange.head().first().equals("HEAD"), this);
+        HttpHead framed =
+                hasBody ? forwarded.with("Content-Length", Integer.toString(exchange.body().length)) : forwarded;
+        // started first: a write that fails immediately finishes the attempt before send returns
+        stallDetector = StallDetector.start(gateway, request, choice, connection, this::onStalled);
+        connection.send(
+                concatenate(framed, exchange.body()), exchange.head().first().equals("HEAD"), this);
     }
 
-    /** Gives the request back if the target wants none by now; what it asks for may have come while the connection was made. */
+    /** Hands the request back, and returns true, if the target stopped accepting requests during the connect. */
     private boolean isHeldBack(TargetConnection opened) {
         Optional<HeldBack> reason = target.takePlace(now());
         if (reason.isEmpty()) {
@@ -129,11 +131,11 @@
         return true;
     }
 
-    /** Takes a request that may be repeated away from a target, or from a connection, that says nothing for long. */
-    private void takeAway() {
-        long silentMillis = watch.silentMillis();
+    /** Abandons the attempt because the target or the connection has stalled. */
+    private void onStalled() {
+        long silentMillis = stallDetector.silentMillis();
         finish(false);
-        if (watch.blamesTarget()) {
+        if (stallDetector.blamesTarget()) {
             targetFailed("silent");
         }
         request.markOutcomeUnknown();
@@ -142,31 +144,31 @@
 
     @Override
     public boolean onHead(HttpHead received) {
-        ResponseMetadata read = gateway.dialect().parseResponse(received);
-        if (read.requestId() != null && !read.requestId().equals(terms.id())) {
+        ResponseMetadata parsed = gateway.dialect().parseResponse(received);
+        if (parsed.requestId() != null && !parsed.requestId().equals(metadata.id())) {
             return false;
         }
-        head = received;
-        answer = read;
-        if (read.weightsVersion() > 0) {
-            target.sawVersion(read.weightsVersion());
+        responseHead = received;
+        response = parsed;
+        if (parsed.weightsVersion() > 0) {
+            target.sawVersion(parsed.weightsVersion());
         }
-        if (!read.isMisdirected()) {
-            noticed(read);
+        if (!parsed.isMisdirected()) {
+            applyNotice(parsed);
         }
         return true;
     }
 
-    private void noticed(ResponseMetadata read) {
-        for (String field : read.unreadableFields()) {
+    private void applyNotice(ResponseMetadata parsed) {
+        for (String field : parsed.unreadableFields()) {
             gateway.metrics().targetNoticed(ServingMetrics.NOTICE_UNREADABLE);
             noticeLine("unreadable").with(DecisionField.ERROR, field).write();
         }
-        for (NoticeChange change : target.noticed(read.notice(), read.isSuccess(), sentMillis, now())) {
+        for (NoticeChange change : target.noticed(parsed.notice(), parsed.isSuccess(), sentMillis, now())) {
             gateway.metrics().targetNoticed(change.label());
             noticeLine(change.label())
                     .with(DecisionField.PER_SECOND, target.rateLimit().perSecond())
-                    .with(DecisionField.BACK_OFF_MS, read.notice().backOffMillis())
+                    .with(DecisionField.BACK_OFF_MS, parsed.notice().backOffMillis())
                     .write();
             if (change.isOfLimit()) {
                 gateway.reportRateLimit(target);
@@ -179,39 +181,39 @@
                 .line(DecisionKind.NOTICE)
                 .with(DecisionField.EVENT, event)
                 .with(DecisionField.TARGET, targetId())
-                .with(DecisionField.REQUEST, terms.id())
-                .with(DecisionField.STATUS, answer.status());
+                .with(DecisionField.REQUEST, metadata.id())
+                .with(DecisionField.STATUS, response.status());
     }
 
     @Override
     public void onPart(byte[] bytes) {
-        watch.onData();
-        if (!streams()) {
+        stallDetector.onData();
+        if (!isStreamed()) {
             content.writeBytes(bytes);
             return;
         }
         for (Event event : events.add(bytes)) {
-            pass(event);
+            forward(event);
         }
     }
 
-    private boolean streams() {
-        return route.kind().isStream() && answer.isSuccess();
+    private boolean isStreamed() {
+        return route.kind().isStream() && response.isSuccess();
     }
 
-    private void pass(Event event) {
-        if (isRepeated(event)) {
+    private void forward(Event event) {
+        if (isDuplicate(event)) {
             return;
         }
-        firstAnswerCame();
+        recordFirstEvent();
         if (!exchange.hasBegun()) {
-            exchange.beginParts(head.withoutConnectionFields());
+            exchange.beginParts(responseHead.withoutConnectionFields());
         }
         exchange.part(event.bytes());
         request.recordEvent(event.id());
     }
 
-    private boolean isRepeated(Event event) {
+    private boolean isDuplicate(Event event) {
         String last = request.lastEventId();
         if (last == null || event.id() == null) {
             return false;
@@ -223,12 +225,12 @@
         }
     }
 
-    private void firstAnswerCame() {
+    private void recordFirstEvent() {
         if (promptPending) {
             promptPending = false;
-            target.promptRead(terms.promptTokens());
+            target.promptRead(metadata.promptTokens());
             gateway.metrics().firstEvent(request.service().name(), now() - exchange.receivedMillis());
-            firstEventMillis = now() - beganMillis;
+            firstEventMillis = now() - startedMillis;
             double predicted = choice.predictedMillis();
             gateway.policy().correction(request.service()).observed(predicted, (double) firstEventMillis);
             gateway.metrics().firstEventPredicted(request.service().name(), predicted, firstEventMillis);
@@ -238,39 +240,39 @@
 
     @Override
     public void onEnd() {
-        if (over) {
+        if (finished) {
             return;
         }
-        boolean cutInEvent = streams() && events.remainder().length > 0;
-        if (cutInEvent) {
+        boolean endsWithinEvent = isStreamed() && events.remainder().length > 0;
+        if (endsWithinEvent) {
             onFailure(HopFailure.CLOSED);
             return;
         }
         finish(true);
-        if (answer.notRun()) {
+        if (response.notRun()) {
             target.full(now());
             request.markNotRun();
-            request.retry("target did not run it: " + answer.status());
-        } else if (answer.status() >= SERVER_ERROR) {
-            targetFailed("status " + answer.status());
+            request.retry("target did not run the request: status " + response.status());
+        } else if (response.status() >= SERVER_ERROR) {
+            targetFailed("status " + response.status());
             request.markOutcomeUnknown();
             request.onFailureResponse(this);
-        } else if (streams()) {
+        } else if (isStreamed()) {
             endStream();
         } else {
-            target.answered(now() - beganMillis);
+            target.answered(now() - startedMillis);
             forwardResponse();
         }
     }
 
-    /** Avoids the target for a while and says so. */
+    /** Records a failure of the target, which is then avoided for a while. */
     private void targetFailed(String reason) {
         long avoidedMillis = target.failed(now());
         gateway.metrics().targetFailed(request.service().name());
         gateway.log()
                 .line(DecisionKind.HEALTH)
                 .with(DecisionField.TARGET, targetId())
-                .with(DecisionField.REQUEST, terms.id())
+                .with(DecisionField.REQUEST, metadata.id())
                 .with(DecisionField.FINGERPRINT, request.fingerprint())
                 .with(DecisionField.REASON, reason)
                 .with(DecisionField.FAILURES, target.failuresInARow())
@@ -282,41 +284,41 @@
         return target.sighting().id();
     }
 
-    /** Returns how long the first event was predicted to take. */
+    /** Returns the predicted time to the first event, in milliseconds. */
     long predictedMillis() {
         return Math.round(choice.predictedMillis());
     }
 
-    /** Returns how long the first event took, 0 if none came. */
+    /** Returns the time to the first event, in milliseconds, 0 if there was none. */
     long firstEventMillis() {
         return firstEventMillis;
     }
 
     int status() {
-        return answer.status();
+        return response.status();
     }
 
-    /** Passes the target's answer on as it is; a stream that has begun cannot take it up. */
+    /** Forwards the response unchanged; gives up if part of a stream was already forwarded. */
     void forwardResponse() {
         if (exchange.hasBegun()) {
-            request.giveUp("a stream went on with status " + answer.status());
+            request.giveUp("resumed stream failed with status " + response.status());
         } else {
-            exchange.answer(head.withoutConnectionFields(), content.toByteArray());
-            request.onAnswered(answer.status());
+            exchange.answer(responseHead.withoutConnectionFields(), content.toByteArray());
+            request.onAnswered(response.status());
         }
     }
 
     private void endStream() {
         if (!exchange.hasBegun()) {
-            exchange.beginParts(head.withoutConnectionFields());
+            exchange.beginParts(responseHead.withoutConnectionFields());
         }
         exchange.endParts();
-        request.onAnswered(answer.status());
+        request.onAnswered(response.status());
     }
 
     @Override
     public void onFailure(HopFailure failure) {
-        if (over) {
+        if (finished) {
             return;
         }
         finish(false);
@@ -330,22 +332,22 @@
     }
 
     void cancel() {
-        if (!over) {
+        if (!finished) {
             finish(false);
         }
     }
 
     private void finish(boolean whole) {
-        over = true;
-        target.end(beganMillis, now());
+        finished = true;
+        target.end(startedMillis, now());
         if (promptPending) {
             promptPending = false;
-            target.promptRead(terms.promptTokens());
+            target.promptRead(metadata.promptTokens());
         }
         if (connection == null) {
             return;
         }
-        watch.stop();
+        stallDetector.stop();
         if (whole) {
             gateway.connections().release(targetId(), connection);
         } else {
@@ -357,7 +359,7 @@
         return gateway.clock().millis();
     }
 
-    private static byte[] joined(HttpHead head, byte[] body) {
+    private static byte[] concatenate(HttpHead head, byte[] body) {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream(body.length + 512);
         bytes.writeBytes(head.encode());
         bytes.writeBytes(body);
--- a/daemon/src/main/java/org/bankturn/daemon/gateway/CrashDetector.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/CrashDetector.java
@@ -30,21 +30,22 @@
 import org.bankturn.time.Clock;
 
 /**
- * Finds out which targets ended under which requests, and tells the control group, so that a request that ends its targets
- * is stopped at every gateway.
+ * Detects targets that crash while running a request and reports them to the control group, so that all gateways stop
+ * requests that crash their targets.
  *
- * <p>A target at which something broke off is connected to once more: an address that refuses connections is that of a
- * process that ended. What ran whole is told as well. CrashDetector is confined to its reactor's thread.
+ * <p>After a lost connection the target is probed: an address that refuses connections belongs to a crashed process.
+ * Completed requests are reported as well, which clears them of suspicion. CrashDetector is confined to its reactor's
+ * thread.
  */
 final class CrashDetector {
-    /** A process that ends may close its port a moment after its connections, so it is looked at again then. */
-    private static final long LOOK_AGAIN_MILLIS = 150;
+    /** Delay before the second probe; a crashing process may close its port after its connections. */
+    private static final long SECOND_PROBE_DELAY_MILLIS = 150;
 
-    /** A request that broke off waits that long at most for word of its target; a way between regions takes 6 ms. */
-    private static final long CONNECT_MILLIS = 100;
+    /** Connect timeout of a probe, which bounds how long an interrupted request waits for the result. */
+    private static final long PROBE_TIMEOUT_MILLIS = 100;
 
-    /** What is seen within that time is told the control group together; the requests of a target break off within 8 ms. */
-    private static final long TELL_MILLIS = 10;
+    /** Observations made within this time are sent to the control group together. */
+    private static final long REPORT_DELAY_MILLIS = 10;
 
     private final String process;
     private final Eventloop reactor;
@@ -53,28 +54,28 @@
     private final ServingMetrics metrics;
     private final TargetConnectionPool connections;
     private final Consumer<PublicationCommand> controlGroup;
-    private final Runnable whenCondemned;
+    private final Runnable onCondemned;
     private final BrokenRuns brokenRuns;
-    private final TrialRequester trials;
+    private final TrialRequester trialRequester;
     private final KnownSuspects suspects = KnownSuspects.none();
     private final Set<RequestFingerprint> condemned = new HashSet<>();
-    private final Map<String, Promise<Void>> looking = new HashMap<>();
-    private final Map<String, Set<RequestFingerprint>> untoldEnds = new LinkedHashMap<>();
-    private final Set<RequestFingerprint> untoldWhole = new LinkedHashSet<>();
+    private final Map<String, Promise<Void>> pendingProbes = new HashMap<>();
+    private final Map<String, Set<RequestFingerprint>> unreportedCrashes = new LinkedHashMap<>();
+    private final Set<RequestFingerprint> unreportedCompletions = new LinkedHashSet<>();
     private List<Suspect> lastPublished = List.of();
-    private boolean telling;
+    private boolean reportScheduled;
 
     /**
-     * Returns a watch that has seen nothing, not null.
+     * Returns a detector without observations, not null.
      *
      * @param process the name of this gateway, not null
-     * @param reactor its reactor, not null
-     * @param clock the time, not null
+     * @param reactor the event loop, not null
+     * @param clock the clock, not null
      * @param log the decision log, not null
      * @param metrics the metrics, not null
-     * @param connections takes connections that were made to look at a target, not null
-     * @param controlGroup takes what all gateways must know, not null
-     * @param whenCondemned is run when a request may have been condemned that was not before, not null
+     * @param connections the pool that receives connections opened by probes, not null
+     * @param controlGroup receives commands for the control group, not null
+     * @param onCondemned runs when further requests are condemned, not null
      */
     static CrashDetector of(
             String process,
@@ -84,8 +85,8 @@
             ServingMetrics metrics,
             TargetConnectionPool connections,
             Consumer<PublicationCommand> controlGroup,
-            Runnable whenCondemned) {
-        return new CrashDetector(process, reactor, clock, log, metrics, connections, controlGroup, whenCondemned);
+            Runnable onCondemned) {
+        return new CrashDetector(process, reactor, clock, log, metrics, connections, controlGroup, onCondemned);
     }
 
     private CrashDetector(
@@ -96,7 +97,7 @@
             ServingMetrics metrics,
             TargetConnectionPool connections,
             Consumer<PublicationCommand> controlGroup,
-            Runnable whenCondemned) {
+            Runnable onCondemned) {
         this.process = process;
         this.reactor = reactor;
         this.clock = clock;
@@ -104,116 +105,118 @@
         this.metrics = metrics;
         this.connections = connections;
         this.controlGroup = controlGroup;
-        this.whenCondemned = whenCondemned;
+        this.onCondemned = onCondemned;
         this.brokenRuns = BrokenRuns.of(clock);
-        this.trials = TrialRequester.of(reactor, clock, log, controlGroup, suspects);
+        this.trialRequester = TrialRequester.of(reactor, clock, log, controlGroup, suspects);
     }
 
     // ---- queries
 
-    /** Returns true if the request must be sent to no target any more. */
+    /** Returns true if the request must not be sent to any target. */
     boolean isCondemned(ForwardedRequest request) {
         return !condemned.isEmpty() && !request.isTrial() && condemned.contains(request.fingerprint());
     }
 
-    /** Returns how many targets are known to have ended under the request. */
+    /** Returns the number of targets known to have crashed while running the request. */
     int endedTargetCount(ForwardedRequest request) {
         return suspects.endedUnder(request.fingerprint()).size();
     }
 
     /**
-     * Takes a trial of a condemned request, if one is due.
+     * Requests a trial of a condemned request, if one is due.
      *
-     * @return gives true if it may be sent once more, false if it is to be refused, not null
+     * @return a promise of true if the request may be sent, false if it must be refused, not null
      */
     Promise<Boolean> requestTrial(ForwardedRequest request) {
-        return trials.requestTrial(
+        return trialRequester.requestTrial(
                 request.fingerprint(), process + "/" + request.metadata().id());
     }
 
-    // ---- what happens
+    // ---- events
 
-    /** Takes in what is published. */
+    /** Applies the published suspects and targets. */
     void update(List<Suspect> published, Collection<TargetSighting> targets) {
-        brokenRuns.succeededBy(targets).forEach(this::ended);
-        // 1,024 suspects cost 0.7 ms each time (fastest of 200, C1 compiler), and most publications are of targets
+        brokenRuns.succeededBy(targets).forEach(this::onTargetEnded);
+        // most publications change targets only, and processing many suspects is expensive
         if (!Objects.equals(published, lastPublished)) {
             lastPublished = published;
             suspects.published(published);
-            lookForCondemned();
+            refreshCondemned();
         }
     }
 
-    private void lookForCondemned() {
-        Set<RequestFingerprint> newly = suspects.condemned();
-        metrics.condemned(newly.size());
-        Set<RequestFingerprint> before = Set.copyOf(condemned);
+    private void refreshCondemned() {
+        Set<RequestFingerprint> current = suspects.condemned();
+        metrics.condemned(current.size());
+        Set<RequestFingerprint> previous = Set.copyOf(condemned);
         condemned.clear();
-        condemned.addAll(newly);
-        trials.update(condemned);
-        newly.removeAll(before);
-        for (RequestFingerprint request : newly) {
+        condemned.addAll(current);
+        trialRequester.update(condemned);
+        Set<RequestFingerprint> newlyCondemned = new HashSet<>(current);
+        newlyCondemned.removeAll(previous);
+        for (RequestFingerprint request : newlyCondemned) {
             log.line(DecisionKind.SUSPECT)
                     .with(DecisionField.EVENT, "sent to no target any more")
                     .with(DecisionField.FINGERPRINT, request)
                     .with(DecisionField.ENDS, suspects.endedUnder(request).size())
                     .write();
         }
-        if (!newly.isEmpty()) {
-            whenCondemned.run();
+        if (!newlyCondemned.isEmpty()) {
+            onCondemned.run();
         }
     }
 
     /**
-     * A request broke off at a target.
+     * Handles a connection lost while a target ran a request.
      *
-     * @return completes once it is known whether the target ended, or will not be known soon, not null
+     * @return a promise that completes once it is known, or cannot be known soon, whether the target has crashed, not
+     *     null
      */
     Promise<Void> onConnectionLost(TargetSighting target, ForwardedRequest request) {
         if (target.draining()) {
-            // what it cuts at its planned end is not held against a request
+            // a connection closed by a planned shutdown is not held against the request
             return Promise.complete();
         }
         brokenRuns.brokeOff(target, request.fingerprint());
         if (brokenRuns.hasEnded(target.id())) {
-            ended(target.id());
+            onTargetEnded(target.id());
             return Promise.complete();
         }
-        return lookOnce(target).then(() -> untilCertainEnough(request));
+        return probeOnce(target).then(() -> awaitCertainty(request));
     }
 
-    private Promise<Void> lookOnce(TargetSighting target) {
-        Promise<Void> begun = looking.get(target.id());
-        if (begun != null) {
-            return begun;
+    private Promise<Void> probeOnce(TargetSighting target) {
+        Promise<Void> pending = pendingProbes.get(target.id());
+        if (pending != null) {
+            return pending;
         }
-        Promise<Void> look = look(target);
-        if (!look.isComplete()) {
-            looking.put(target.id(), look);
+        Promise<Void> probe = probe(target);
+        if (!probe.isComplete()) {
+            pendingProbes.put(target.id(), probe);
         }
-        return look;
+        return probe;
     }
 
-    /** A request that one more end condemns goes on only once it is certain that there was none. */
-    private Promise<Void> untilCertainEnough(ForwardedRequest request) {
-        Set<String> possiblyEnded = suspects.endedUnder(request.fingerprint());
-        possiblyEnded.addAll(brokenRuns.undecidedUnder(request.fingerprint()));
-        boolean certain = isCondemned(request) || possiblyEnded.size() < Suspect.ENDS_THAT_CONDEMN;
-        return certain ? Promise.complete() : Promises.delay(LOOK_AGAIN_MILLIS + CONNECT_MILLIS);
+    /** Delays a request that one more crash would condemn until the undecided probes have finished. */
+    private Promise<Void> awaitCertainty(ForwardedRequest request) {
+        Set<String> possiblyCrashed = suspects.endedUnder(request.fingerprint());
+        possiblyCrashed.addAll(brokenRuns.undecidedUnder(request.fingerprint()));
+        boolean certain = isCondemned(request) || possiblyCrashed.size() < Suspect.ENDS_THAT_CONDEMN;
+        return certain ? Promise.complete() : Promises.delay(SECOND_PROBE_DELAY_MILLIS + PROBE_TIMEOUT_MILLIS);
     }
 
-    /** Connects to a target to see whether its address still takes connections, and again a moment later if it does. */
-    private Promise<Void> look(TargetSighting target) {
+    /** Probes whether a target accepts connections, and if so once more after a delay. */
+    private Promise<Void> probe(TargetSighting target) {
         return connect(target).then(failure -> {
-            looking.remove(target.id());
+            pendingProbes.remove(target.id());
             if (failure == null) {
-                reactor.delayBackground(LOOK_AGAIN_MILLIS, () -> lookAgain(target));
+                reactor.delayBackground(SECOND_PROBE_DELAY_MILLIS, () -> probeAgain(target));
             }
             return Promise.complete();
         });
     }
 
-    private void lookAgain(TargetSighting target) {
+    private void probeAgain(TargetSighting target) {
         connect(target).whenResult(failure -> {
             if (failure == null) {
                 brokenRuns.livesOn(target.id());
@@ -221,10 +224,10 @@
         });
     }
 
-    /** Gives null if the target takes a connection, or why it does not. */
+    /** Returns a promise of the connect failure, null if the target accepts the connection. */
     private Promise<Exception> connect(TargetSighting target) {
         return TargetConnection.connect(
-                        reactor, clock, Address.parse(target.address()).toSocketAddress(), CONNECT_MILLIS)
+                        reactor, clock, Address.parse(target.address()).toSocketAddress(), PROBE_TIMEOUT_MILLIS)
                 .then((opened, failure) -> {
                     if (opened != null) {
                         connections.release(target.id(), opened);
@@ -234,14 +237,14 @@
                 });
     }
 
-    /** A connection to a target was made, or could not be made. */
+    /** Evaluates the outcome of connecting to a target; a refused connection means that it has crashed. */
     void onConnectResult(TargetSighting target, Exception failure) {
         if (failure instanceof ConnectException) {
-            ended(target.id());
+            onTargetEnded(target.id());
         }
     }
 
-    private void ended(String target) {
+    private void onTargetEnded(String target) {
         List<RequestFingerprint> requests = brokenRuns.ended(target);
         for (RequestFingerprint request : requests) {
             suspects.ended(target, request);
@@ -254,13 +257,15 @@
                     .write();
         }
         if (!requests.isEmpty()) {
-            untoldEnds.computeIfAbsent(target, key -> new LinkedHashSet<>()).addAll(requests);
-            tellSoon();
-            lookForCondemned();
+            unreportedCrashes
+                    .computeIfAbsent(target, key -> new LinkedHashSet<>())
+                    .addAll(requests);
+            scheduleReport();
+            refreshCondemned();
         }
     }
 
-    /** A request ran to its end. */
+    /** Records that a request ran to completion, which clears it of suspicion. */
     void onCompleted(ForwardedRequest request) {
         if (suspects.isEmpty() && brokenRuns.isEmpty()) {
             return;
@@ -271,26 +276,26 @@
             return;
         }
         suspects.ranWhole(fingerprint);
-        lookForCondemned();
+        refreshCondemned();
         metrics.suspected(ServingMetrics.SUSPECT_CLEARED);
-        untoldWhole.add(fingerprint);
-        tellSoon();
+        unreportedCompletions.add(fingerprint);
+        scheduleReport();
     }
 
-    private void tellSoon() {
-        if (!telling) {
-            telling = true;
-            reactor.delayBackground(TELL_MILLIS, this::tell);
+    private void scheduleReport() {
+        if (!reportScheduled) {
+            reportScheduled = true;
+            reactor.delayBackground(REPORT_DELAY_MILLIS, this::report);
         }
     }
 
-    private void tell() {
-        telling = false;
-        List<EndedTarget> ends = untoldEnds.entrySet().stream()
+    private void report() {
+        reportScheduled = false;
+        List<EndedTarget> ends = unreportedCrashes.entrySet().stream()
                 .map(each -> new EndedTarget(each.getKey(), List.copyOf(each.getValue())))
                 .toList();
-        controlGroup.accept(new PublicationCommand.NoteRuns(ends, List.copyOf(untoldWhole)));
-        untoldEnds.clear();
-        untoldWhole.clear();
+        controlGroup.accept(new PublicationCommand.NoteRuns(ends, List.copyOf(unreportedCompletions)));
+        unreportedCrashes.clear();
+        unreportedCompletions.clear();
     }
 }
--- a/daemon/src/main/java/org/bankturn/daemon/gateway/EventSplitter.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/EventSplitter.java
@@ -6,50 +6,50 @@
 import java.util.Arrays;
 import java.util.List;
 
-/** Cuts a series of events (text/event-stream) into whole events; mutable, confined to one thread. */
+/** Splits a text/event-stream into complete events; mutable and not thread-safe. */
 final class EventSplitter {
     private static final String ID_FIELD = "id:";
 
-    private byte[] held = new byte[0];
+    private byte[] buffer = new byte[0];
 
     /**
-     * One whole event.
+     * A complete event.
      *
-     * @param bytes its bytes with the empty line that ends it, not null
-     * @param id its id, null if it has none
+     * @param bytes the bytes, including the terminating empty line, not null
+     * @param id the id, null if there is none
      */
     record Event(byte[] bytes, String id) {}
 
-    /** Adds bytes and returns the events that are whole now. */
+    /** Adds bytes and returns the events that they complete. */
     List<Event> add(byte[] bytes) {
-        byte[] all = held.length == 0 ? bytes : joined(held, bytes);
+        byte[] all = buffer.length == 0 ? bytes : concatenate(buffer, bytes);
         List<Event> events = new ArrayList<>();
         int start = 0;
-        int end = endOfEvent(all, start);
+        int end = findEventEnd(all, start);
         while (end > 0) {
             byte[] event = Arrays.copyOfRange(all, start, end);
             events.add(new Event(event, idOf(event)));
             start = end;
-            end = endOfEvent(all, start);
+            end = findEventEnd(all, start);
         }
-        held = start == 0 ? all : Arrays.copyOfRange(all, start, all.length);
+        buffer = start == 0 ? all : Arrays.copyOfRange(all, start, all.length);
         return events;
     }
 
-    /** Returns the bytes of an event that is not whole. */
+    /** Returns the bytes of an incomplete event. */
     byte[] remainder() {
-        return held;
+        return buffer;
     }
 
-    private static byte[] joined(byte[] one, byte[] other) {
-        ByteArrayOutputStream all = new ByteArrayOutputStream(one.length + other.length);
-        all.writeBytes(one);
-        all.writeBytes(other);
+    private static byte[] concatenate(byte[] first, byte[] second) {
+        ByteArrayOutputStream all = new ByteArrayOutputStream(first.length + second.length);
+        all.writeBytes(first);
+        all.writeBytes(second);
         return all.toByteArray();
     }
 
     /** Returns the position after the next empty line, 0 if there is none. */
-    private static int endOfEvent(byte[] bytes, int start) {
+    private static int findEventEnd(byte[] bytes, int start) {
         boolean lineEmpty = true;
         boolean anyLine = false;
         for (int position = start; position < bytes.length; position++) {
--- a/daemon/src/main/java/org/bankturn/daemon/gateway/ForwardedRequest.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/ForwardedRequest.java
@@ -18,17 +18,17 @@
 import org.bankturn.service.Service;
 
 /**
- * One request on its way: sent to one target at a time until an answer is whole, or until it must be given up on.
+ * A request in flight, sent to one target at a time until it is answered completely or given up.
  *
- * <p>A request that may run only once goes to another target only after the target before said that it did not run it, or
- * if no byte of it left. ForwardedRequest is confined to its reactor's thread.
+ * <p>A request that may not be repeated is sent to another target only if the previous one stated that it did not run
+ * it, or if no byte was sent. ForwardedRequest is confined to its reactor's thread.
  */
 final class ForwardedRequest {
-    private static final byte[] NOTHING = new byte[0];
-    private static final int LAST_URGENCY = 9;
+    private static final byte[] EMPTY_BODY = new byte[0];
+    private static final int LOWEST_URGENCY = 9;
 
-    /** Too many of the same request: true of a caller that sends it again and again, and no word on the service's health. */
-    private static final int TOO_MANY = 429;
+    /** Status of condemned requests; unlike a 5xx status, it does not indicate an unhealthy service. */
+    private static final int TOO_MANY_REQUESTS = 429;
 
     private final Gateway gateway;
     private final ServerExchange exchange;
@@ -41,47 +41,47 @@
     private RequestFingerprint fingerprint;
     private boolean trial;
 
-    ForwardedRequest(Gateway gateway, ServerExchange exchange, RequestMetadata terms, Route route, Account account) {
+    ForwardedRequest(Gateway gateway, ServerExchange exchange, RequestMetadata metadata, Route route, Account account) {
         this.gateway = gateway;
         this.exchange = exchange;
-        this.metadata = terms;
+        this.metadata = metadata;
         this.route = route;
         this.account = account;
-        long patience = terms.deadlineMillis() > 0
-                ? Math.min(terms.deadlineMillis(), route.timeoutMillis())
+        long timeoutMillis = metadata.deadlineMillis() > 0
+                ? Math.min(metadata.deadlineMillis(), route.timeoutMillis())
                 : route.timeoutMillis();
-        this.endMillis = exchange.receivedMillis() + patience;
+        this.endMillis = exchange.receivedMillis() + timeoutMillis;
         Service service =
-                gateway.service(route.serviceFor(terms.id().hashCode())).orElseThrow();
-        this.progress = RequestProgress.of(route, service, terms.promptTokens(), endMillis);
+                gateway.service(route.serviceFor(metadata.id().hashCode())).orElseThrow();
+        this.progress = RequestProgress.of(route, service, metadata.promptTokens(), endMillis);
     }
 
     void start() {
         if (!gateway.crashDetector().isCondemned(this)) {
-            begin();
+            startForwarding();
             return;
         }
-        gateway.crashDetector().requestTrial(this).whenResult(this::beginTrialOrRefuse);
+        gateway.crashDetector().requestTrial(this).whenResult(this::startTrialOrRefuse);
     }
 
-    private void beginTrialOrRefuse(boolean granted) {
+    private void startTrialOrRefuse(boolean granted) {
         if (exchange.isFinished()) {
             return;
         }
         trial = granted;
         if (granted) {
-            begin();
+            startForwarding();
         } else {
             gateway.metrics().suspected(ServingMetrics.SUSPECT_REFUSED);
             refuseCondemned();
         }
     }
 
-    private void begin() {
+    private void startForwarding() {
         gateway.requestStarted(this);
         gateway.policy().arrived(progress);
-        exchange.whenGone(this::callerLeft);
-        gateway.reactor().delayBackground(Math.max(1, endMillis - now()), this::timeOut);
+        exchange.whenGone(this::onCallerDisconnected);
+        gateway.reactor().delayBackground(Math.max(1, endMillis - now()), this::onTimeout);
         sendToNext();
     }
 
@@ -116,18 +116,18 @@
         attempt.start();
     }
 
-    /** The request broke off at a target that may have ended; it goes on once that is known. */
+    /** Handles a connection lost during the request, once it is known whether the target has crashed. */
     void onConnectionLost(TargetSighting target, String reason) {
-        gateway.crashDetector().onConnectionLost(target, this).whenResult(() -> goOn(target, reason));
+        gateway.crashDetector().onConnectionLost(target, this).whenResult(() -> retryOrGiveUp(target, reason));
     }
 
-    /** The target said nothing for long, so a word of whether it ended is not waited for. */
+    /** Handles a stalled target, without waiting to learn whether it has crashed. */
     void onStalled(TargetSighting target, String reason) {
         Promise<Void> unused = gateway.crashDetector().onConnectionLost(target, this);
-        goOn(target, reason);
+        retryOrGiveUp(target, reason);
     }
 
-    private void goOn(TargetSighting target, String reason) {
+    private void retryOrGiveUp(TargetSighting target, String reason) {
         if (trial || gateway.crashDetector().isCondemned(this)) {
             stopCondemned();
         } else if (route.kind().mayRepeat()) {
@@ -137,7 +137,7 @@
         }
     }
 
-    /** Sends the request to another target, if one may still have it. */
+    /** Retries the request at another target, if the policy allows it. */
     void retry(String reason) {
         gateway.log()
                 .line(progress.lastEvent() == null ? DecisionKind.RETRIED : DecisionKind.RESUMED)
@@ -149,9 +149,9 @@
         sendToNext();
     }
 
-    // ---- ends
+    // ---- completion
 
-    /** Stops the request: too many targets have ended under it. */
+    /** Stops the request because too many targets have crashed while running it. */
     void stopCondemned() {
         if (exchange.isFinished()) {
             return;
@@ -160,52 +160,54 @@
         if (exchange.hasBegun() || progress.mayHaveRun()) {
             giveUp(condemnedReason());
         } else {
-            dropAttempt();
+            cancelAttempt();
             refuseCondemned();
         }
     }
 
-    /** Says that this attempt did not run and that more of them will not either, for long. */
+    /** Refuses the request with a long retry delay. */
     private void refuseCondemned() {
-        ended(RequestOutcome.REFUSED, TOO_MANY, condemnedReason());
-        exchange.answer(gateway.dialect().buildResponse(TOO_MANY, metadata, ComeBack.CONDEMNED_MILLIS), NOTHING);
+        recordOutcome(RequestOutcome.REFUSED, TOO_MANY_REQUESTS, condemnedReason());
+        exchange.answer(
+                gateway.dialect().buildResponse(TOO_MANY_REQUESTS, metadata, ComeBack.CONDEMNED_MILLIS), EMPTY_BODY);
     }
 
     private String condemnedReason() {
         return gateway.crashDetector().endedTargetCount(this) + " targets ended under request " + fingerprint();
     }
 
-    /** Gives the final answer at once: refused if it certainly did not run, failed otherwise. */
+    /** Ends the request: as refused if it certainly has not run, as failed otherwise. */
     void giveUp(String reason) {
         giveUp(reason, ComeBack.TO_ANOTHER_GATEWAY_MILLIS);
     }
 
-    private void giveUp(String reason, long comeBackMillis) {
-        dropAttempt();
+    private void giveUp(String reason, long retryAfterMillis) {
+        cancelAttempt();
         if (exchange.isFinished()) {
             return;
         }
         if (exchange.hasBegun()) {
-            ended(RequestOutcome.FAILED, 0, reason);
+            recordOutcome(RequestOutcome.FAILED, 0, reason);
             exchange.abort();
             return;
         }
         boolean mayHaveRun = progress.mayHaveRun();
         boolean timeUp = gateway.policy().isTimeUp(progress);
         int status = !mayHaveRun ? 503 : timeUp ? 504 : 502;
-        ended(mayHaveRun ? RequestOutcome.FAILED : RequestOutcome.REFUSED, status, reason);
-        exchange.answer(gateway.dialect().buildResponse(status, metadata, mayHaveRun ? 0 : comeBackMillis), NOTHING);
+        recordOutcome(mayHaveRun ? RequestOutcome.FAILED : RequestOutcome.REFUSED, status, reason);
+        exchange.answer(
+                gateway.dialect().buildResponse(status, metadata, mayHaveRun ? 0 : retryAfterMillis), EMPTY_BODY);
     }
 
-    /** The target's whole answer was passed on. */
+    /** Records that the complete response of a target was forwarded. */
     void onAnswered(int status) {
         if (status / 100 == 2) {
             gateway.crashDetector().onCompleted(this);
         }
-        ended(RequestOutcome.ANSWERED, status, "answered by " + attempt.targetId());
+        recordOutcome(RequestOutcome.ANSWERED, status, "answered by " + attempt.targetId());
     }
 
-    private void ended(RequestOutcome outcome, int status, String reason) {
+    private void recordOutcome(RequestOutcome outcome, int status, String reason) {
         gateway.requestFinished(this);
         long heldMillis = now() - exchange.receivedMillis();
         gateway.metrics().requestEnded(service().name(), outcome, heldMillis);
@@ -237,25 +239,25 @@
         };
     }
 
-    private void timeOut() {
+    private void onTimeout() {
         if (!exchange.isFinished()) {
             giveUp("time is up");
         }
     }
 
-    private void callerLeft() {
-        ended(RequestOutcome.CANCELLED, 0, "caller left");
-        dropAttempt();
+    private void onCallerDisconnected() {
+        recordOutcome(RequestOutcome.CANCELLED, 0, "caller disconnected");
+        cancelAttempt();
     }
 
-    private void dropAttempt() {
+    private void cancelAttempt() {
         if (attempt != null) {
             attempt.cancel();
             attempt = null;
         }
     }
 
-    // ---- what an attempt needs and tells
+    // ---- used by attempts
 
     ServerExchange exchange() {
         return exchange;
@@ -277,7 +279,7 @@
         return account == null ? null : account.name();
     }
 
-    /** Returns what the same request has in common whenever it comes again, not null; made only once it is needed. */
+    /** Returns the fingerprint shared by all repetitions of the request, computed on first use, not null. */
     RequestFingerprint fingerprint() {
         if (fingerprint == null) {
             String caller = account == null ? "" : account.name();
@@ -286,7 +288,7 @@
         return fingerprint;
     }
 
-    /** Returns true if it is sent, although condemned, to see whether it does end its target. */
+    /** Returns true if this is a trial of a condemned request. */
     boolean isTrial() {
         return trial;
     }
@@ -297,47 +299,47 @@
 
     int urgency() {
         int rank = account != null && account.priority() >= 0 ? account.priority() : route.priority();
-        return Math.max(0, Math.min(LAST_URGENCY, rank));
+        return Math.max(0, Math.min(LOWEST_URGENCY, rank));
     }
 
-    /** Returns how far it has come, not null. */
+    /** Returns the progress of the request, not null. */
     RequestProgress progress() {
         return progress;
     }
 
-    /** Returns the id of the last event that the caller has whole, null if there is none. */
+    /** Returns the id of the last event forwarded completely, null if there is none. */
     String lastEventId() {
         return progress.lastEvent();
     }
 
-    /** The caller has one more whole event. */
+    /** Records an event that was forwarded completely. */
     void recordEvent(String eventId) {
         progress.passed(eventId);
     }
 
-    /** The request is about to leave for a target. */
+    /** Records that the request is about to be sent to a target. */
     void markSent() {
         progress.sent();
     }
 
-    /** The target said that it did not run the request. */
+    /** Records that the target stated that it did not run the request. */
     void markNotRun() {
         progress.notRun();
     }
 
-    /** The request may have run at a target, wholly or in part. */
+    /** Records that a target may have run the request, at least in part. */
     void markOutcomeUnknown() {
         progress.outcomeUnknown();
     }
 
-    /** The target wanted no request any more once there was a connection to it, so nothing left. */
+    /** Handles a target that stopped accepting requests before this one was sent. */
     void onHeldBack(TargetSighting target, HeldBack reason) {
         gateway.metrics().heldBack(reason.label());
         progress.heldBack(target.id());
         sendToNext();
     }
 
-    /** No connection to the target was made, so nothing left. */
+    /** Handles a failure to connect; nothing was sent. */
     void onConnectFailure() {
         progress.notConnected();
         sendToNext();
@@ -347,11 +349,11 @@
         return gateway.policy().mayGoElsewhere(progress);
     }
 
-    /** A target answered with a failure of its own, which is passed on unless another target may try. */
+    /** Handles a 5xx response: retries at another target if allowed, otherwise forwards the response. */
     void onFailureResponse(Attempt failed) {
-        Optional<NextStep.Send> another =
+        Optional<NextStep.Send> alternative =
                 exchange.hasBegun() ? Optional.empty() : gateway.policy().afterFailure(progress);
-        if (another.isEmpty()) {
+        if (alternative.isEmpty()) {
             failed.forwardResponse();
             return;
         }
@@ -360,6 +362,6 @@
                 .with(DecisionField.REQUEST, metadata.id())
                 .with(DecisionField.REASON, "status " + failed.status())
                 .write();
-        sendTo(another.get());
+        sendTo(alternative.get());
     }
 }
--- a/daemon/src/main/java/org/bankturn/daemon/gateway/ForwardingMetadata.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/ForwardingMetadata.java
@@ -1,14 +1,14 @@
 package org.bankturn.daemon.gateway;
 
 /**
- * What the gateway says of a request to a target.
+ * Metadata that the gateway adds to a forwarded request.
  *
- * @param remainingMillis how long the target may work
- * @param targetName what the target that may run it calls itself, not null
+ * @param remainingMillis the time left until the request's deadline
+ * @param targetName the name of the only target that may run the request, not null
  * @param account the caller's account, null if there is none
- * @param lastEventId the event after which a stream goes on, null to take the caller's own word
- * @param weightsVersion the version of the weights that must run it, 0 for any
- * @param urgency 0 first to 9
+ * @param lastEventId the id of the last event that the caller received, null to pass on the caller's own field
+ * @param weightsVersion the weights version that must serve the request, 0 for any
+ * @param urgency the priority, from 0 (highest) to 9
  */
 public record ForwardingMetadata(
         long remainingMillis, String targetName, String account, String lastEventId, int weightsVersion, int urgency) {}
--- a/daemon/src/main/java/org/bankturn/daemon/gateway/Gateway.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/Gateway.java
@@ -47,16 +47,16 @@
 import org.bankturn.time.Clock;
 
 /**
- * Takes callers' requests, finds their route and account, and hands each to a {@link ForwardedRequest}.
+ * Accepts callers' requests, resolves route and account, and forwards each as a {@link ForwardedRequest}.
  *
  * <p>Gateway is confined to its reactor's thread.
  */
 public final class Gateway {
-    private static final byte[] NOTHING = new byte[0];
+    private static final byte[] EMPTY_BODY = new byte[0];
 
     private static final long STOP_CHECK_MILLIS = 50;
-    private static final long DUE_AFTER_START_MILLIS = 2_000;
-    private static final int ANSWERS_PER_LINE = 64;
+    private static final long VERSION_GRACE_AFTER_START_MILLIS = 2_000;
+    private static final int ANSWERS_PER_LOG_LINE = 64;
     private static final String NO_SERVICE = "none";
 
     private final GatewaySettings settings;
@@ -71,25 +71,25 @@
     private final ConnectionTrust connectionTrust;
     private final TargetConnectionPool connections;
     private final RequestPolicy policy;
-    private final LoadPoller loads;
+    private final LoadPoller loadPoller;
     private final PermitExchange permits;
     private final CrashDetector crashDetector;
-    private final Set<ForwardedRequest> underWay = new LinkedHashSet<>();
+    private final Set<ForwardedRequest> inFlight = new LinkedHashSet<>();
     private final long startedMillis;
     private Published published = Published.NOTHING;
     private boolean stopping;
-    private boolean takenOut;
-    private long answered;
+    private boolean outOfRotation;
+    private long answeredCount;
 
     /**
-     * Returns a gateway that does not serve yet, not null.
+     * Returns a gateway that has not been started, not null.
      *
-     * @param settings what it must be told, not null
-     * @param dialect how callers and targets speak, not null
-     * @param reactor its reactor, not null
-     * @param clients asks other processes, not null
-     * @param controlGroup takes what all gateways must know, not null
-     * @param clock the time, not null
+     * @param settings the settings, not null
+     * @param dialect maps metadata to header fields, not null
+     * @param reactor the event loop, not null
+     * @param clients calls other processes, not null
+     * @param controlGroup receives commands for the control group, not null
+     * @param clock the clock, not null
      * @param log the decision log, not null
      * @param metrics the metrics, not null
      */
@@ -126,7 +126,7 @@
         UniformRandomProvider random = RandomSource.XO_RO_SHI_RO_128_PP.create();
         this.targets = TargetTable.of(clock, settings.dataHall(), PlacementSettings.DEFAULT, random);
         this.policy = RequestPolicy.of(clock, targets, settings.retryLimits(), random);
-        this.loads = LoadPoller.of(reactor, clock, clients, targets, settings, metrics);
+        this.loadPoller = LoadPoller.of(reactor, clock, clients, targets, settings, metrics);
         this.permits =
                 PermitExchange.of(settings.nodeAddress(), reactor, clock, clients, targets, random, log, metrics);
         metrics.tellHeldBack(targets::heldBackCounts);
@@ -142,44 +142,44 @@
                 this::answerReadiness);
     }
 
-    /** Starts to serve; call on the reactor's thread. */
+    /** Starts serving; must be called on the reactor's thread. */
     public void start() throws IOException {
         callers.listen();
         readiness.listen();
-        loads.start();
+        loadPoller.start();
     }
 
     /**
-     * Takes in what is published now.
+     * Applies a newly published state.
      *
-     * <p>A gateway that was frozen or cut off learns of a version late; the version is due as early as for the others.
+     * <p>The deadline for a new weights version counts from its publication, also for a gateway that learns of it late.
      *
-     * @param newer what is published, not null
-     * @param changedSinceMillis a moment at which nothing of what is new in it was in force yet
+     * @param newer the published state, not null
+     * @param changedSinceMillis a time before any of the changes took effect
      */
     public void update(Published newer, long changedSinceMillis) {
         boolean mayPredateStart = changedSinceMillis < startedMillis;
         long due = mayPredateStart
-                ? clock.millis() + DUE_AFTER_START_MILLIS
+                ? clock.millis() + VERSION_GRACE_AFTER_START_MILLIS
                 : changedSinceMillis + settings.weightsDeadlineMillis();
         for (NamedWeights named : newer.weights()) {
             policy.versionNamed(named.model(), named.version(), due);
         }
         published = newer;
-        policy.update(newer.configuration(), gatewaysThere());
+        policy.update(newer.configuration(), publishedGatewayCount());
         connections.closeAll(targets.update(newer.targets().values()));
-        loads.update(newer, gatewaysHere());
+        loadPoller.update(newer, gatewaysInDataHall());
         permits.update(addresses(gateways()));
         crashDetector.update(newer.suspects(), newer.targets().values());
     }
 
-    /** Copies of a condemned request that are under way would end their targets as well. */
+    /** Stops the requests in flight that have become condemned, before they crash their targets. */
     private void stopCondemned() {
-        List.copyOf(underWay).stream().filter(crashDetector::isCondemned).forEach(ForwardedRequest::stopCondemned);
+        List.copyOf(inFlight).stream().filter(crashDetector::isCondemned).forEach(ForwardedRequest::stopCondemned);
     }
 
-    /** Returns how many gateways are published, empty while this one is not among them. */
-    private OptionalInt gatewaysThere() {
+    /** Returns the number of published gateways, empty while this one is not among them. */
+    private OptionalInt publishedGatewayCount() {
         Set<String> gateways = addresses(gateways());
         return gateways.contains(settings.nodeAddress().toString())
                 ? OptionalInt.of(gateways.size())
@@ -187,11 +187,11 @@
     }
 
     /** Returns the node addresses of the gateways in the same data hall. */
-    private Set<String> gatewaysHere() {
+    private Set<String> gatewaysInDataHall() {
         return addresses(gateways().filter(gateway -> gateway.dataHall().equals(settings.dataHall())));
     }
 
-    /** Returns the gateways as they announce themselves: each is a relay as well. */
+    /** Returns the published gateways; each one registers as a weights relay. */
     private Stream<TargetSighting> gateways() {
         return published.targets().values().stream()
                 .filter(target -> target.service().equals(WeightsRelay.SERVICE));
@@ -201,23 +201,23 @@
         return sightings.map(TargetSighting::address).collect(Collectors.toSet());
     }
 
-    /** Stops as planned; the promise completes when nothing is under way or time is up. */
+    /** Shuts down gracefully; the promise completes when no request is in flight or the timeout expires. */
     public Promise<Void> stop() {
         stopping = true;
         callers.drain();
         SettablePromise<Void> stopped = new SettablePromise<>();
-        checkStopped(clock.millis(), stopped);
+        checkStopComplete(clock.millis(), stopped);
         return stopped;
     }
 
-    private void checkStopped(long since, SettablePromise<Void> stopped) {
+    private void checkStopComplete(long since, SettablePromise<Void> stopped) {
         long waited = clock.millis() - since;
-        boolean noticed = StopPlan.isNoticed(waited);
-        if (noticed) {
-            takenOut = true;
+        boolean removedFromRotation = StopPlan.isNoticed(waited);
+        if (removedFromRotation) {
+            outOfRotation = true;
             callers.closeResting();
         }
-        boolean done = noticed && callers.underWay() == 0;
+        boolean done = removedFromRotation && callers.underWay() == 0;
         if (done || StopPlan.isOver(waited, settings.stopTimeoutMillis())) {
             log.line(DecisionKind.STOP)
                     .with(DecisionField.WAITED_MS, waited)
@@ -228,7 +228,7 @@
             stopped.set(null);
             return;
         }
-        reactor.delayBackground(STOP_CHECK_MILLIS, () -> checkStopped(since, stopped));
+        reactor.delayBackground(STOP_CHECK_MILLIS, () -> checkStopComplete(since, stopped));
     }
 
     private ServerLimits callerLimits() {
@@ -243,66 +243,66 @@
 
     private void answerReadiness(ServerExchange exchange) {
         boolean ready = !stopping && published.configuration() != null;
-        exchange.answer(HttpHead.answer(ready ? 200 : 503, List.of()), NOTHING);
+        exchange.answer(HttpHead.answer(ready ? 200 : 503, List.of()), EMPTY_BODY);
     }
 
-    /** Answers another gateway that asks for a permit, not null. */
-    public NodeReply handlePermitRequest(NodeRequest.AskPermit asked) {
-        return permits.handleRequest(asked);
+    /** Handles a permit request from another gateway; returns the reply, not null. */
+    public NodeReply handlePermitRequest(NodeRequest.AskPermit request) {
+        return permits.handleRequest(request);
     }
 
     // ---- requests
 
     private void handle(ServerExchange exchange) {
-        RequestMetadata terms = dialect.parseRequest(exchange.head());
+        RequestMetadata metadata = dialect.parseRequest(exchange.head());
         ServingConfiguration configuration = published.configuration();
-        if (configuration == null || takenOut) {
-            answer(exchange, terms, 503, takenOut ? "stops as planned" : "no configuration known");
+        if (configuration == null || outOfRotation) {
+            answer(exchange, metadata, 503, outOfRotation ? "shutting down" : "no configuration received");
             return;
         }
-        Optional<Route> route = configuration.route(terms.host(), terms.path());
+        Optional<Route> route = configuration.route(metadata.host(), metadata.path());
         if (route.isEmpty()) {
-            deny(exchange, terms, 404, "no route");
+            deny(exchange, metadata, 404, "no route");
             return;
         }
         Account account = null;
         if (configuration.hasAccounts() && !route.get().open()) {
-            account = terms.apiKey() == null
+            account = metadata.apiKey() == null
                     ? null
-                    : configuration.accountOf(terms.apiKey()).orElse(null);
+                    : configuration.accountOf(metadata.apiKey()).orElse(null);
             if (account == null) {
-                deny(exchange, terms, 401, "unknown key");
+                deny(exchange, metadata, 401, "unknown key");
                 return;
             }
-        } else if (terms.apiKey() != null) {
-            account = configuration.accountOf(terms.apiKey()).orElse(null);
+        } else if (metadata.apiKey() != null) {
+            account = configuration.accountOf(metadata.apiKey()).orElse(null);
         }
-        new ForwardedRequest(this, exchange, terms, route.get(), account).start();
+        new ForwardedRequest(this, exchange, metadata, route.get(), account).start();
     }
 
-    /** Denies a request for good, unless a newer configuration that this process has not heard of may allow it. */
-    private void deny(ServerExchange exchange, RequestMetadata terms, int status, String reason) {
+    /** Denies a request, or answers 503 if an unconfirmed configuration may be out of date. */
+    private void deny(ServerExchange exchange, RequestMetadata metadata, int status, String reason) {
         String inVersion = reason + " in version " + published.configuration().version();
         if (published.confirmed()) {
-            answer(exchange, terms, status, inVersion);
+            answer(exchange, metadata, status, inVersion);
         } else {
-            answer(exchange, terms, 503, inVersion + ", which is not confirmed yet");
+            answer(exchange, metadata, 503, inVersion + ", which is not confirmed yet");
         }
     }
 
-    private void answer(ServerExchange exchange, RequestMetadata terms, int status, String reason) {
-        long comeBackMillis = takenOut ? ComeBack.TO_ANOTHER_GATEWAY_MILLIS : ComeBack.WITHOUT_TARGET_MILLIS;
+    private void answer(ServerExchange exchange, RequestMetadata metadata, int status, String reason) {
+        long retryAfterMillis = outOfRotation ? ComeBack.TO_ANOTHER_GATEWAY_MILLIS : ComeBack.WITHOUT_TARGET_MILLIS;
         log.line(DecisionKind.REFUSED)
-                .with(DecisionField.REQUEST, terms.id())
+                .with(DecisionField.REQUEST, metadata.id())
                 .with(DecisionField.STATUS, status)
                 .with(DecisionField.REASON, reason)
                 .write();
         RequestOutcome outcome = status == 503 ? RequestOutcome.REFUSED : RequestOutcome.DENIED;
         metrics.requestEnded(NO_SERVICE, outcome, clock.millis() - exchange.receivedMillis());
-        exchange.answer(dialect.buildResponse(status, terms, status == 503 ? comeBackMillis : 0), NOTHING);
+        exchange.answer(dialect.buildResponse(status, metadata, status == 503 ? retryAfterMillis : 0), EMPTY_BODY);
     }
 
-    // ---- what forwarded requests need
+    // ---- used by forwarded requests
 
     RequestDialect dialect() {
         return dialect;
@@ -324,9 +324,9 @@
         return metrics;
     }
 
-    /** Returns true for one answered request in some, whose line is then written. */
+    /** Returns true for one in {@code ANSWERS_PER_LOG_LINE} answered requests, which is then logged. */
     boolean shouldLogAnswer() {
-        return answered++ % ANSWERS_PER_LINE == 0;
+        return answeredCount++ % ANSWERS_PER_LOG_LINE == 0;
     }
 
     RequestPolicy policy() {
@@ -345,39 +345,39 @@
         return crashDetector;
     }
 
-    /** A request is on its way. */
+    /** Registers a request in flight. */
     void requestStarted(ForwardedRequest request) {
-        underWay.add(request);
+        inFlight.add(request);
     }
 
-    /** A request has its final answer, or its caller left. */
+    /** Unregisters a request that was answered or whose caller disconnected. */
     void requestFinished(ForwardedRequest request) {
-        underWay.remove(request);
+        inFlight.remove(request);
     }
 
-    /** Asks engines for their load; the promise completes when a request that waits for it should be placed. */
+    /** Polls engines for their load; the promise completes when the waiting request should be placed. */
     Promise<Void> pollLoad(List<String> targetIds) {
-        return loads.poll(targetIds);
+        return loadPoller.poll(targetIds);
     }
 
-    /** Asks for the permits that requests could have used. */
+    /** Requests the permits that requests were lacking. */
     void requestPermits() {
         permits.requestWanted();
     }
 
-    /** The promise completes when a request that waits for a permit should be placed. */
+    /** Waits for a permit; the promise completes when the waiting request should be placed. */
     Promise<Void> awaitPermit(NextStep.AwaitPermit wait) {
         return permits.awaitPermit(wait.target(), wait.mostMillis());
     }
 
-    /** A target's limit changed or ended, by one of its answers. */
+    /** Reports that a response of a target changed or ended its rate limit. */
     void reportRateLimit(TargetState target) {
         permits.reportLimit(target);
     }
 
-    /** A request left for an engine. */
+    /** Records that a request was sent to an engine. */
     void recordEngineRequest() {
-        loads.recordRequest();
+        loadPoller.recordRequest();
     }
 
     Optional<Service> service(String name) {
--- a/daemon/src/main/java/org/bankturn/daemon/gateway/GatewaySettings.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/GatewaySettings.java
@@ -4,16 +4,18 @@
 import org.bankturn.routing.RetryLimits;
 
 /**
- * What a gateway must be told.
+ * Settings of a gateway.
  *
- * @param process its name, not null
- * @param dataHall the data hall it is in, not null
- * @param callerAddress where callers connect, not null
- * @param readyAddress where the platform asks whether it is ready, not null
- * @param nodeAddress where other processes of bankturn call this one; those beside targets have the same port, not null
- * @param retryLimits how often all gateways together may send a request again, not null
- * @param weightsDeadlineMillis how long after a version was named the former one may still run
- * @param stopTimeoutMillis how long a planned stop may take
+ * @param process the name of the gateway process, not null
+ * @param dataHall the data hall that it runs in, not null
+ * @param callerAddress the address on which callers connect, not null
+ * @param readyAddress the address of the readiness check, not null
+ * @param nodeAddress the address for calls from other bankturn processes, not null; the processes beside targets
+ *     listen on the same port
+ * @param retryLimits the retry budget that all gateways share, not null
+ * @param weightsDeadlineMillis how long requests may still start on the previous weights version after a new
+ *     one is published
+ * @param stopTimeoutMillis the maximum duration of a graceful shutdown
  */
 public record GatewaySettings(
         String process,
--- a/daemon/src/main/java/org/bankturn/daemon/gateway/LoadPoller.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/LoadPoller.java
@@ -21,22 +21,22 @@
 import org.bankturn.time.Clock;
 
 /**
- * Asks the processes beside engines for their load, as {@link WatchPlan} and {@link LoadQuestions} say.
+ * Polls the processes beside engines for their load, as scheduled by {@link WatchPlan} and {@link LoadQuestions}.
  *
- * <p>How long an answer takes tells how slow the path is; requests on it would be held up as well. LoadPoller is confined
- * to its reactor's thread.
+ * <p>The response time also indicates how slow the network path to the engine is. LoadPoller is confined to its
+ * reactor's thread.
  */
 final class LoadPoller {
-    private static final long ANSWER_MILLIS = 600;
+    private static final long RESPONSE_TIMEOUT_MILLIS = 600;
 
-    /** A request waits for the answers to its questions no longer: ten times what they take between data halls. */
-    private static final long QUESTION_MILLIS = 25;
+    /** How long a request waits for load reports before it is placed without them. */
+    private static final long PLACEMENT_TIMEOUT_MILLIS = 25;
 
-    /** How often the engines to watch are chosen anew by the gateway's own load. */
-    private static final long PLAN_MILLIS = 1_000;
+    /** How often the set of watched engines is recomputed from the gateway's own load. */
+    private static final long WATCH_PLAN_INTERVAL_MILLIS = 1_000;
 
-    /** Questions are asked at least that far apart, several at a time if need be: each wake-up costs. */
-    private static final long LEAST_PAUSE_MILLIS = 20;
+    /** Minimum time between polling rounds, which limits the number of wake-ups. */
+    private static final long MIN_POLL_INTERVAL_MILLIS = 20;
 
     private final Eventloop reactor;
     private final Clock clock;
@@ -45,10 +45,10 @@
     private final GatewaySettings settings;
     private final ServingMetrics metrics;
     private final WatchPlan plan;
-    private final LoadQuestions questions;
+    private final LoadQuestions pollSchedule;
     private Published published = Published.NOTHING;
-    private Set<String> gatewaysHere = Set.of();
-    private int busiest;
+    private Set<String> gatewaysInDataHall = Set.of();
+    private int peakInFlight;
     private boolean started;
 
     static LoadPoller of(
@@ -76,88 +76,88 @@
         this.metrics = metrics;
         this.plan =
                 WatchPlan.of(PlacementSettings.DEFAULT, settings.nodeAddress().toString(), settings.dataHall());
-        this.questions = LoadQuestions.of(PlacementSettings.DEFAULT);
+        this.pollSchedule = LoadQuestions.of(PlacementSettings.DEFAULT);
     }
 
     void start() {
         started = true;
-        planAgain();
-        askLater();
+        refreshWatchPlan();
+        schedulePoll();
     }
 
     /**
-     * Takes in what is published now.
+     * Applies a newly published state.
      *
-     * @param newer what is published, not null
+     * @param newer the published state, not null
      * @param gateways the node addresses of the gateways in the same data hall, not null
      */
     void update(Published newer, Set<String> gateways) {
         published = newer;
-        gatewaysHere = gateways;
+        gatewaysInDataHall = gateways;
         if (started) {
-            watch();
+            updateWatchedEngines();
         }
     }
 
-    /** Asks some engines at once; the promise completes when all have answered, or a request should not wait longer. */
+    /** Polls engines immediately; the promise completes when all have answered or the wait is over. */
     Promise<Void> poll(List<String> ids) {
         SettablePromise<Void> answered = new SettablePromise<>();
         Promises.all(ids.stream().map(this::poll).toList()).whenComplete(() -> answered.trySet(null));
-        reactor.delayBackground(QUESTION_MILLIS, () -> {
+        reactor.delayBackground(PLACEMENT_TIMEOUT_MILLIS, () -> {
             if (answered.trySet(null)) {
-                ids.forEach(id -> targets.unheardSince(id, clock.millis() - QUESTION_MILLIS));
+                ids.forEach(id -> targets.unheardSince(id, clock.millis() - PLACEMENT_TIMEOUT_MILLIS));
             }
         });
         return answered;
     }
 
-    /** The gateway sent a request to an engine. */
+    /** Records that the gateway sent a request to an engine. */
     void recordRequest() {
-        questions.requestSent(clock.millis());
-        busiest = Math.max(busiest, targets.inFlightAtEngines());
+        pollSchedule.requestSent(clock.millis());
+        peakInFlight = Math.max(peakInFlight, targets.inFlightAtEngines());
     }
 
-    private void planAgain() {
-        watch();
-        busiest = targets.inFlightAtEngines();
-        reactor.delayBackground(PLAN_MILLIS, this::planAgain);
+    private void refreshWatchPlan() {
+        updateWatchedEngines();
+        peakInFlight = targets.inFlightAtEngines();
+        reactor.delayBackground(WATCH_PLAN_INTERVAL_MILLIS, this::refreshWatchPlan);
     }
 
-    private void watch() {
+    private void updateWatchedEngines() {
         List<WatchPlan.Engine> engines = published.targets().values().stream()
                 .filter(target -> target.heldVersion() >= 0)
                 .map(target -> new WatchPlan.Engine(target.id(), target.dataHall(), target.slots()))
                 .toList();
-        // in place of engines that are held back others are watched, which would be run over otherwise
-        Set<String> watched = new HashSet<>(plan.watched(engines, gatewaysHere, busiest));
-        List<WatchPlan.Engine> free = engines.stream()
+        // watches substitutes for engines that are held back, so that their requests do not overload unwatched engines
+        Set<String> selected = new HashSet<>(plan.watched(engines, gatewaysInDataHall, peakInFlight));
+        List<WatchPlan.Engine> available = engines.stream()
                 .filter(engine -> !targets.isHeldBack(engine.id()))
                 .toList();
-        if (free.size() < engines.size()) {
-            watched.addAll(plan.watched(free, gatewaysHere, busiest));
+        if (available.size() < engines.size()) {
+            selected.addAll(plan.watched(available, gatewaysInDataHall, peakInFlight));
         }
         Set<String> near = new HashSet<>();
         Set<String> far = new HashSet<>();
-        for (String id : watched) {
+        for (String id : selected) {
             boolean isNear = published.targets().get(id).dataHall().equals(settings.dataHall());
             (isNear ? near : far).add(id);
         }
-        targets.watch(watched);
-        questions.watch(near, far, clock.millis());
+        targets.watch(selected);
+        pollSchedule.watch(near, far, clock.millis());
     }
 
-    private void askLater() {
-        long pause = Math.max(LEAST_PAUSE_MILLIS, questions.untilNextMillis(clock.millis()));
+    private void schedulePoll() {
+        long pause = Math.max(MIN_POLL_INTERVAL_MILLIS, pollSchedule.untilNextMillis(clock.millis()));
         reactor.delayBackground(pause, () -> {
-            askAllDue();
-            askLater();
+            pollDue();
+            schedulePoll();
         });
     }
 
-    private void askAllDue() {
-        questions.next(clock.millis()).ifPresent(id -> {
+    private void pollDue() {
+        pollSchedule.next(clock.millis()).ifPresent(id -> {
             poll(id);
-            askAllDue();
+            pollDue();
         });
     }
 
@@ -166,20 +166,21 @@
         if (target == null) {
             return Promise.complete();
         }
-        Address process = new Address(
+        Address address = new Address(
                 Address.parse(target.address()).host(), settings.nodeAddress().port());
         long askedMillis = clock.millis();
-        return clients.ask(process, new NodeRequest.GetLoad(), ANSWER_MILLIS).then((reply, failure) -> {
-            long tookMillis = clock.millis() - askedMillis;
-            boolean answered = failure == null && reply instanceof NodeReply.Load;
-            metrics.loadQuestionEnded(answered);
-            if (answered && reply instanceof NodeReply.Load told && told.load() != null) {
-                targets.reported(id, told.load(), told.ageMillis(), tookMillis);
-                targets.breaksOff(id, told.breaksOffInMillis());
-            } else {
-                targets.unheard(id, tookMillis);
-            }
-            return Promise.complete();
-        });
+        return clients.ask(address, new NodeRequest.GetLoad(), RESPONSE_TIMEOUT_MILLIS)
+                .then((reply, failure) -> {
+                    long elapsedMillis = clock.millis() - askedMillis;
+                    boolean answered = failure == null && reply instanceof NodeReply.Load;
+                    metrics.loadQuestionEnded(answered);
+                    if (answered && reply instanceof NodeReply.Load report && report.load() != null) {
+                        targets.reported(id, report.load(), report.ageMillis(), elapsedMillis);
+                        targets.breaksOff(id, report.breaksOffInMillis());
+                    } else {
+                        targets.unheard(id, elapsedMillis);
+                    }
+                    return Promise.complete();
+                });
     }
 }
--- a/daemon/src/main/java/org/bankturn/daemon/gateway/PermitExchange.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/PermitExchange.java
@@ -26,16 +26,17 @@
 import org.bankturn.time.Clock;
 
 /**
- * Asks the gateway that is responsible for a rate-limited target for permits, and hands out those that this gateway is
- * responsible for.
+ * Requests permits for rate-limited targets from the gateways that coordinate them, and grants permits for the targets
+ * that this gateway coordinates.
  *
- * <p>Moments are told as ages, since gateways' clocks differ. PermitExchange is confined to its reactor's thread.
+ * <p>Times are exchanged as ages because the clocks of gateways differ. PermitExchange is confined to its reactor's
+ * thread.
  */
 final class PermitExchange {
-    /** A permit that comes later is of little use: it is valid from when it was asked for. */
-    private static final long ANSWER_MILLIS = 400;
+    /** The validity of a permit starts with its request, so a later one is of little use. */
+    private static final long RESPONSE_TIMEOUT_MILLIS = 400;
 
-    private final String self;
+    private final String selfAddress;
     private final Eventloop reactor;
     private final Clock clock;
     private final NodeClients clients;
@@ -47,19 +48,19 @@
     private Set<String> gateways = Set.of();
 
     /**
-     * Returns calls of a gateway that knows of no other, not null.
+     * Returns an exchange that knows no gateways yet, not null.
      *
-     * @param self the node address of this gateway, not null
-     * @param reactor its reactor, not null
-     * @param clock the time, not null
-     * @param clients asks other processes, not null
-     * @param targets the targets that this gateway knows, not null
-     * @param random random numbers, not null
+     * @param selfAddress the node address of this gateway, not null
+     * @param reactor the event loop, not null
+     * @param clock the clock, not null
+     * @param clients calls other processes, not null
+     * @param targets the known targets, not null
+     * @param random the random number source, not null
      * @param log the decision log, not null
      * @param metrics the metrics, not null
      */
     static PermitExchange of(
-            Address self,
+            Address selfAddress,
             Eventloop reactor,
             Clock clock,
             NodeClients clients,
@@ -67,11 +68,11 @@
             UniformRandomProvider random,
             DecisionLog log,
             ServingMetrics metrics) {
-        return new PermitExchange(self, reactor, clock, clients, targets, random, log, metrics);
+        return new PermitExchange(selfAddress, reactor, clock, clients, targets, random, log, metrics);
     }
 
     private PermitExchange(
-            Address self,
+            Address selfAddress,
             Eventloop reactor,
             Clock clock,
             NodeClients clients,
@@ -79,7 +80,7 @@
             UniformRandomProvider random,
             DecisionLog log,
             ServingMetrics metrics) {
-        this.self = self.toString();
+        this.selfAddress = selfAddress.toString();
         this.reactor = reactor;
         this.clock = clock;
         this.clients = clients;
@@ -89,43 +90,43 @@
         this.coordinator = PermitCoordinator.of(clock, random);
     }
 
-    /** Takes in the node addresses of the gateways that are published. */
+    /** Sets the node addresses of the published gateways. */
     void update(Set<String> published) {
         gateways = published;
     }
 
-    /** Asks for the permits that requests could have used. */
+    /** Requests the permits that requests were lacking. */
     void requestWanted() {
         for (TargetState target : targets.takePermitsWanted()) {
-            askFor(target);
+            requestPermit(target);
         }
     }
 
     /**
-     * Waits for a permit that is being asked for, or for the time of one that is held.
+     * Waits for a requested permit, or until a granted permit becomes valid.
      *
      * @param target the target, not null
-     * @param mostMillis how long to wait at most
-     * @return completes when a request should be placed again, not null
+     * @param maxWaitMillis the maximum wait
+     * @return a promise that completes when the request should be placed again, not null
      */
-    Promise<Void> awaitPermit(TargetState target, long mostMillis) {
+    Promise<Void> awaitPermit(TargetState target, long maxWaitMillis) {
         SettablePromise<Void> ready = new SettablePromise<>();
         if (target.isAskingPermit()) {
             waiting.computeIfAbsent(target, key -> new ArrayList<>()).add(ready);
-            reactor.delayBackground(mostMillis, () -> ready.trySet(null));
+            reactor.delayBackground(maxWaitMillis, () -> ready.trySet(null));
         } else {
-            long untilPermit = Math.min(mostMillis, target.untilPermitMillis(clock.millis()));
+            long untilPermit = Math.min(maxWaitMillis, target.untilPermitMillis(clock.millis()));
             reactor.delayBackground(Math.max(1, untilPermit), () -> ready.trySet(null));
         }
         return ready;
     }
 
-    /** Tells the gateway that is responsible for a target that its limit changed or ended. */
+    /** Reports a changed or ended rate limit to the gateway that coordinates the target. */
     void reportLimit(TargetState target) {
-        ask(target, false).whenException(failure -> unanswered(target, failure));
+        askCoordinator(target, false).whenException(failure -> recordUnanswered(target, failure));
     }
 
-    private void unanswered(TargetState target, Exception failure) {
+    private void recordUnanswered(TargetState target, Exception failure) {
         metrics.permitAsked(ServingMetrics.PERMIT_UNANSWERED);
         log.line(DecisionKind.NOTICE)
                 .with(DecisionField.EVENT, "permits_unanswered")
@@ -134,29 +135,29 @@
                 .write();
     }
 
-    private void askFor(TargetState target) {
+    private void requestPermit(TargetState target) {
         long askedMillis = clock.millis();
         target.permitAsked();
-        ask(target, true).whenComplete((answer, failure) -> {
+        askCoordinator(target, true).whenComplete((answer, failure) -> {
             if (failure == null) {
-                answered(target, answer, askedMillis);
+                applyAnswer(target, answer, askedMillis);
                 metrics.permitAsked(answer.granted() ? ServingMetrics.PERMIT_GRANTED : ServingMetrics.PERMIT_REFUSED);
             } else {
                 target.permitUnanswered(clock.millis());
-                unanswered(target, failure);
+                recordUnanswered(target, failure);
             }
-            placeWaiting(target);
+            releaseWaiting(target);
         });
     }
 
-    private void placeWaiting(TargetState target) {
+    private void releaseWaiting(TargetState target) {
         List<SettablePromise<Void>> requests = waiting.remove(target);
         if (requests != null) {
             requests.forEach(request -> request.trySet(null));
         }
     }
 
-    private void answered(TargetState target, PermitCoordinator.Answer answer, long askedMillis) {
+    private void applyAnswer(TargetState target, PermitCoordinator.Answer answer, long askedMillis) {
         RateLimit before = target.rateLimit();
         target.permitAnswered(answer, askedMillis, clock.millis());
         RateLimit after = target.rateLimit();
@@ -173,43 +174,45 @@
                 .write();
     }
 
-    private Promise<PermitCoordinator.Answer> ask(TargetState target, boolean wants) {
+    private Promise<PermitCoordinator.Answer> askCoordinator(TargetState target, boolean wantsPermit) {
         String id = target.sighting().id();
         RateLimit limit = target.rateLimit();
-        Optional<String> responsible = PermitCoordinator.responsible(id, gateways);
-        if (responsible.isEmpty()) {
+        Optional<String> coordinatorAddress = PermitCoordinator.responsible(id, gateways);
+        if (coordinatorAddress.isEmpty()) {
             return Promise.ofException(new IllegalStateException("no gateway is published"));
         }
-        if (responsible.get().equals(self)) {
-            return Promise.of(coordinator.ask(id, self, limit, wants));
+        if (coordinatorAddress.get().equals(selfAddress)) {
+            return Promise.of(coordinator.ask(id, selfAddress, limit, wantsPermit));
         }
-        NodeRequest.AskPermit question = new NodeRequest.AskPermit(
-                id, self, limit.inForce(), limit.perSecond(), clock.millis() - limit.asOfMillis(), wants);
-        return clients.ask(Address.parse(responsible.get()), question, ANSWER_MILLIS)
+        NodeRequest.AskPermit request = new NodeRequest.AskPermit(
+                id, selfAddress, limit.inForce(), limit.perSecond(), clock.millis() - limit.asOfMillis(), wantsPermit);
+        return clients.ask(Address.parse(coordinatorAddress.get()), request, RESPONSE_TIMEOUT_MILLIS)
                 .then(reply -> reply instanceof NodeReply.Permit permit
-                        ? Promise.of(answer(permit))
-                        : Promise.ofException(new IllegalStateException("not answered by a permit: " + reply)));
+                        ? Promise.of(toAnswer(permit))
+                        : Promise.ofException(
+                                new IllegalStateException("unexpected reply to permit request: " + reply)));
     }
 
-    private PermitCoordinator.Answer answer(NodeReply.Permit permit) {
-        RateLimit limit = limit(permit.limited(), permit.perSecond(), permit.ageMillis());
+    private PermitCoordinator.Answer toAnswer(NodeReply.Permit permit) {
+        RateLimit limit = toRateLimit(permit.limited(), permit.perSecond(), permit.ageMillis());
         return new PermitCoordinator.Answer(limit, permit.granted(), permit.inMillis());
     }
 
-    /** Answers another gateway. */
-    NodeReply handleRequest(NodeRequest.AskPermit asked) {
-        RateLimit told = limit(asked.limited(), asked.perSecond(), asked.ageMillis());
-        PermitCoordinator.Answer answer = coordinator.ask(asked.target(), asked.gateway(), told, asked.wants());
-        RateLimit known = answer.limit();
+    /** Handles a permit request from another gateway. */
+    NodeReply handleRequest(NodeRequest.AskPermit request) {
+        RateLimit reported = toRateLimit(request.limited(), request.perSecond(), request.ageMillis());
+        PermitCoordinator.Answer answer =
+                coordinator.ask(request.target(), request.gateway(), reported, request.wants());
+        RateLimit current = answer.limit();
         return new NodeReply.Permit(
-                known.inForce(),
-                known.perSecond(),
-                clock.millis() - known.asOfMillis(),
+                current.inForce(),
+                current.perSecond(),
+                clock.millis() - current.asOfMillis(),
                 answer.granted(),
                 answer.inMillis());
     }
 
-    private RateLimit limit(boolean limited, double perSecond, long ageMillis) {
+    private RateLimit toRateLimit(boolean limited, double perSecond, long ageMillis) {
         return new RateLimit(limited, perSecond, clock.millis() - ageMillis);
     }
 }
--- a/daemon/src/main/java/org/bankturn/daemon/gateway/RequestDialect.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/RequestDialect.java
@@ -2,23 +2,23 @@
 
 import org.bankturn.daemon.http.HttpHead;
 
-/** How callers and targets write what the gateway must know: names and formats only. */
+/** Maps the gateway's request and response metadata to and from HTTP header fields. */
 public interface RequestDialect {
-    /** Returns what a caller says of its request, not null. */
+    /** Parses the metadata of a caller's request, not null. */
     RequestMetadata parseRequest(HttpHead head);
 
-    /** Returns the head that goes to a target, without framing, not null. */
+    /** Returns the request head to send to a target, without framing fields, not null. */
     HttpHead buildTargetRequest(HttpHead head, ForwardingMetadata forwarding);
 
-    /** Returns what a target's head says, not null. */
+    /** Parses the metadata of a target's response, not null. */
     ResponseMetadata parseResponse(HttpHead head);
 
     /**
-     * Returns the head of an answer that the gateway gives itself.
+     * Returns the head of a response that the gateway generates itself.
      *
-     * @param status the status
-     * @param terms what the caller said, not null
-     * @param comeBackMillis when to come back, 0 to say nothing
+     * @param status the HTTP status code
+     * @param metadata the metadata of the request, not null
+     * @param retryAfterMillis the delay before a retry, 0 to omit it
      */
-    HttpHead buildResponse(int status, RequestMetadata terms, long comeBackMillis);
+    HttpHead buildResponse(int status, RequestMetadata metadata, long retryAfterMillis);
 }
--- a/daemon/src/main/java/org/bankturn/daemon/gateway/RequestMetadata.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/RequestMetadata.java
@@ -1,16 +1,16 @@
 package org.bankturn.daemon.gateway;
 
 /**
- * What a caller says of its request.
+ * Metadata of a caller's request.
  *
- * @param id the request's id, not null
- * @param host the host it names, not null
- * @param path the path without the query, not null
- * @param deadlineMillis how long the caller waits, 0 if it does not say
- * @param apiKey the key that speaks for an account, null if there is none
- * @param promptTokens the size of the prompt, 0 if it has none
- * @param maxAnswerTokens the most tokens of the answer, 0 if not told
- * @param answerTokensHint the caller's guess of the answer's tokens, 0 if it has none
+ * @param id the request id, not null
+ * @param host the host, without the port, not null
+ * @param path the path, without the query, not null
+ * @param deadlineMillis the caller's timeout, 0 if not given
+ * @param apiKey the API key that identifies an account, null if there is none
+ * @param promptTokens the number of prompt tokens, 0 if not given
+ * @param maxAnswerTokens the maximum number of response tokens, 0 if not given
+ * @param answerTokensHint the caller's estimate of the number of response tokens, 0 if not given
  */
 public record RequestMetadata(
         String id,
--- a/daemon/src/main/java/org/bankturn/daemon/gateway/ResponseMetadata.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/ResponseMetadata.java
@@ -4,14 +4,14 @@
 import org.bankturn.routing.TargetNotice;
 
 /**
- * What a target's head says.
+ * Metadata of a target's response.
  *
- * @param status the status
- * @param requestId the request it answers, null if it does not say
- * @param notRun true if the target says that it did not run the request and will not
- * @param weightsVersion the version of the weights that ran it, 0 if not told
- * @param notice what the target asks of its callers, not null
- * @param unreadableFields the fields that should say so and cannot be read, with their values, not null
+ * @param status the HTTP status code
+ * @param requestId the id of the request, null if not given
+ * @param notRun true if the target states that it has not run the request and will not run it
+ * @param weightsVersion the weights version that served the request, 0 if not given
+ * @param notice the flow-control notice of the target, not null
+ * @param unreadableFields the notice fields that could not be parsed, with their values, not null
  */
 public record ResponseMetadata(
         int status,
@@ -22,17 +22,16 @@
         List<String> unreadableFields) {
     private static final int MISDIRECTED = 421;
 
-    /** Copies the list. */
     public ResponseMetadata {
         unreadableFields = List.copyOf(unreadableFields);
     }
 
-    /** Returns true if it may come from another process than the target that was asked, whose wishes it then tells. */
+    /** Returns true if the response, and its notice, may come from a process other than the intended target. */
     boolean isMisdirected() {
         return status == MISDIRECTED;
     }
 
-    /** Returns true if the target ran the request with success. */
+    /** Returns true if the status is 2xx. */
     boolean isSuccess() {
         return status / 100 == 2;
     }
--- a/daemon/src/main/java/org/bankturn/daemon/gateway/StallDetector.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/StallDetector.java
@@ -9,116 +9,116 @@
 import org.bankturn.routing.TargetTable.Choice;
 
 /**
- * Notices that nothing comes any more for a request that a target has.
+ * Detects that no more data arrives for a request sent to a target.
  *
- * <p>A connection that was well before and says nothing may have gone silent for good although its target is well. So the
- * target is blamed only if the connection is new, or if the target spoke meanwhile on others that were open before.
+ * <p>A connection that worked before may be dead although its target is healthy. The target is therefore blamed only if
+ * the connection never carried data, or if the target meanwhile answered on others that were already open.
  * StallDetector is confined to its reactor's thread.
  */
 final class StallDetector {
-    /** How often it is looked again whether another target can take the request. */
-    private static final long LOOK_AGAIN_MILLIS = 200;
+    /** How often to check again whether another target can take the request. */
+    private static final long RECHECK_INTERVAL_MILLIS = 200;
 
     private final Gateway gateway;
     private final ForwardedRequest request;
     private final Choice choice;
     private final TargetConnection connection;
-    private final Runnable takeAway;
+    private final Runnable onStall;
     private final ConnectionTrust.Wait wait;
-    private long heardMillis;
-    private boolean begun;
-    private boolean noted;
+    private long lastDataMillis;
+    private boolean dataReceived;
+    private boolean stallRecorded;
     private boolean blamesTarget;
-    private boolean over;
+    private boolean stopped;
 
     /**
-     * Starts to watch.
+     * Starts monitoring a request.
      *
      * @param gateway the gateway, not null
-     * @param request the request, just sent, not null
-     * @param choice the target that has it, not null
-     * @param connection the connection that it was sent on, not null
-     * @param takeAway is run when the request may be repeated and should go to another target, not null
+     * @param request the request, which is about to be sent, not null
+     * @param choice the selected target, not null
+     * @param connection the connection used for the request, not null
+     * @param onStall runs when the request may be repeated and should be sent to another target, not null
      */
     static StallDetector start(
-            Gateway gateway, ForwardedRequest request, Choice choice, TargetConnection connection, Runnable takeAway) {
-        StallDetector watch = new StallDetector(gateway, request, choice, connection, takeAway);
-        watch.checkLater(watch.boundMillis());
-        return watch;
+            Gateway gateway, ForwardedRequest request, Choice choice, TargetConnection connection, Runnable onStall) {
+        StallDetector detector = new StallDetector(gateway, request, choice, connection, onStall);
+        detector.scheduleCheck(detector.silenceLimitMillis());
+        return detector;
     }
 
     private StallDetector(
-            Gateway gateway, ForwardedRequest request, Choice choice, TargetConnection connection, Runnable takeAway) {
+            Gateway gateway, ForwardedRequest request, Choice choice, TargetConnection connection, Runnable onStall) {
         this.gateway = gateway;
         this.request = request;
         this.choice = choice;
         this.connection = connection;
-        this.takeAway = takeAway;
+        this.onStall = onStall;
         this.wait = gateway.connectionTrust().began(targetId());
-        this.heardMillis = now();
+        this.lastDataMillis = now();
     }
 
     // ---- queries
 
-    /** Returns for how long nothing came, in milliseconds. */
+    /** Returns the time since data last arrived, in milliseconds. */
     long silentMillis() {
-        return now() - heardMillis;
+        return now() - lastDataMillis;
     }
 
-    /** Returns true if the silence that was noted is the target's and not only the connection's. */
+    /** Returns true if the recorded stall is attributed to the target and not only to the connection. */
     boolean blamesTarget() {
         return blamesTarget;
     }
 
-    // ---- what happens
+    // ---- events
 
-    /** A part of the answer came. */
+    /** Records that a part of the response arrived. */
     void onData() {
-        heardMillis = now();
-        begun = true;
+        lastDataMillis = now();
+        dataReceived = true;
         gateway.connectionTrust().heard(connection.openedMillis());
-        choice.target().heard(heardMillis, connection.openedMillis());
+        choice.target().heard(lastDataMillis, connection.openedMillis());
     }
 
-    /** The request is no longer at the target. */
+    /** Stops monitoring the request. */
     void stop() {
-        over = true;
+        stopped = true;
         gateway.connectionTrust().ended(wait);
     }
 
-    private void checkLater(long millis) {
+    private void scheduleCheck(long millis) {
         gateway.reactor().delayBackground(Math.max(1, millis), this::check);
     }
 
     private void check() {
-        if (over) {
+        if (stopped) {
             return;
         }
-        long left = boundMillis() - silentMillis();
-        if (left > 0) {
-            checkLater(left);
+        long remainingMillis = silenceLimitMillis() - silentMillis();
+        if (remainingMillis > 0) {
+            scheduleCheck(remainingMillis);
             return;
         }
-        note();
+        recordStall();
         if (!request.route().kind().mayRepeat()) {
             return;
         }
         if (request.hasAlternativeTarget()) {
-            takeAway.run();
+            onStall.run();
         } else {
-            checkLater(LOOK_AGAIN_MILLIS);
+            scheduleCheck(RECHECK_INTERVAL_MILLIS);
         }
     }
 
-    private void note() {
-        if (noted) {
+    private void recordStall() {
+        if (stallRecorded) {
             return;
         }
-        noted = true;
+        stallRecorded = true;
         TargetState target = choice.target();
-        boolean wasWell = connection.hasCarried() || begun;
-        boolean spokeToOthers = target.isAtWork(now(), heardMillis);
-        blamesTarget = !wasWell || spokeToOthers;
+        boolean connectionWorked = connection.hasCarried() || dataReceived;
+        boolean targetResponsive = target.isAtWork(now(), lastDataMillis);
+        blamesTarget = !connectionWorked || targetResponsive;
         if (!blamesTarget) {
             gateway.connectionTrust().wentSilent(now() - silentMillis() / 2);
         }
@@ -133,8 +133,8 @@
                 .write();
     }
 
-    private long boundMillis() {
-        return gateway.policy().silenceMillis(request.progress(), choice, heardMillis);
+    private long silenceLimitMillis() {
+        return gateway.policy().silenceMillis(request.progress(), choice, lastDataMillis);
     }
 
     private String targetId() {
--- a/daemon/src/main/java/org/bankturn/daemon/gateway/TargetConnectionPool.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/TargetConnectionPool.java
@@ -9,59 +9,59 @@
 import org.bankturn.routing.ConnectionTrust;
 
 /**
- * The connections to targets that carry no request now, kept for the next one while they are trusted; by incarnation.
+ * Pools idle connections to targets, by incarnation, for reuse while they are trusted.
  *
  * <p>TargetConnectionPool is confined to its reactor's thread.
  */
 final class TargetConnectionPool {
-    /** Connections kept to one target: as many as a gateway has requests under way there at its busiest. */
-    private static final int MOST_RESTING = 24;
+    /** Maximum number of idle connections per target. */
+    private static final int MAX_IDLE_PER_TARGET = 24;
 
-    private final ConnectionTrust trust;
-    private final Map<String, Deque<TargetConnection>> resting = new HashMap<>();
+    private final ConnectionTrust connectionTrust;
+    private final Map<String, Deque<TargetConnection>> idle = new HashMap<>();
 
-    TargetConnectionPool(ConnectionTrust trust) {
-        this.trust = trust;
+    TargetConnectionPool(ConnectionTrust connectionTrust) {
+        this.connectionTrust = connectionTrust;
     }
 
-    /** Takes a connection that rested no longer than that, null if there is none. */
-    TargetConnection acquire(String target, long nowMillis, long mostRestMillis) {
-        Deque<TargetConnection> kept = resting.getOrDefault(target, new ArrayDeque<>());
-        while (!kept.isEmpty()) {
-            TargetConnection connection = kept.pollLast();
-            // without trust, requests are sent on connections that went silent with others
-            if (!connection.isUsable() || !trust.mayCarry(connection.heardMillis())) {
+    /** Removes and returns a connection that has been idle for at most the given time, null if there is none. */
+    TargetConnection acquire(String target, long nowMillis, long maxIdleMillis) {
+        Deque<TargetConnection> connections = idle.getOrDefault(target, new ArrayDeque<>());
+        while (!connections.isEmpty()) {
+            TargetConnection connection = connections.pollLast();
+            // other connections heard at the same time may have revealed that this one is dead
+            if (!connection.isUsable() || !connectionTrust.mayCarry(connection.heardMillis())) {
                 connection.close();
                 continue;
             }
-            if (nowMillis - connection.restingSince() <= mostRestMillis) {
+            if (nowMillis - connection.restingSince() <= maxIdleMillis) {
                 return connection;
             }
-            kept.addLast(connection);
+            connections.addLast(connection);
             return null;
         }
         return null;
     }
 
-    /** Keeps a connection for the next request, or closes it if it cannot carry one. */
+    /** Returns a connection to the pool, or closes it if it is not reusable. */
     void release(String target, TargetConnection connection) {
         if (!connection.isUsable()) {
             connection.close();
             return;
         }
-        Deque<TargetConnection> kept = resting.computeIfAbsent(target, key -> new ArrayDeque<>());
-        kept.addLast(connection);
-        if (kept.size() > MOST_RESTING) {
-            kept.pollFirst().close();
+        Deque<TargetConnection> connections = idle.computeIfAbsent(target, key -> new ArrayDeque<>());
+        connections.addLast(connection);
+        if (connections.size() > MAX_IDLE_PER_TARGET) {
+            connections.pollFirst().close();
         }
     }
 
-    /** Closes what is kept to targets that are gone. */
+    /** Closes the idle connections to the given targets, which are gone. */
     void closeAll(Collection<String> targets) {
         for (String target : targets) {
-            Deque<TargetConnection> kept = resting.remove(target);
-            if (kept != null) {
-                kept.forEach(TargetConnection::close);
+            Deque<TargetConnection> connections = idle.remove(target);
+            if (connections != null) {
+                connections.forEach(TargetConnection::close);
             }
         }
     }
--- a/daemon/src/main/java/org/bankturn/daemon/gateway/TrialRequester.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/TrialRequester.java
@@ -20,32 +20,32 @@
 import org.bankturn.time.Clock;
 
 /**
- * Takes trials of condemned requests from the control group, so that all gateways together send no more than are allowed.
+ * Requests trials of condemned requests from the control group, which limits them across all gateways.
  *
  * <p>TrialRequester is confined to its reactor's thread.
  */
 final class TrialRequester {
-    /** A control group that works answers within 60 ms; a request waits no longer than that for its trial. */
-    private static final long ANSWER_MILLIS = 300;
+    /** How long a request waits for its trial to be granted. */
+    private static final long GRANT_TIMEOUT_MILLIS = 300;
 
     private final Eventloop reactor;
     private final DecisionLog log;
     private final Consumer<PublicationCommand> controlGroup;
     private final KnownSuspects suspects;
     private final TrialPlan plan;
-    private final Map<RequestFingerprint, Asked> asked = new HashMap<>();
+    private final Map<RequestFingerprint, PendingTrial> pending = new HashMap<>();
 
-    /** A trial that was asked for, and who waits for it. */
-    private record Asked(String who, SettablePromise<Boolean> granted) {}
+    /** A requested trial and the promise to complete with the decision. */
+    private record PendingTrial(String requester, SettablePromise<Boolean> decision) {}
 
     /**
-     * Returns one that has asked for no trial, not null.
+     * Returns a requester without pending trials, not null.
      *
-     * @param reactor its reactor, not null
-     * @param clock the time, not null
+     * @param reactor the event loop, not null
+     * @param clock the clock, not null
      * @param log the decision log, not null
-     * @param controlGroup takes what all gateways must know, not null
-     * @param suspects what is held against requests, not null
+     * @param controlGroup receives commands for the control group, not null
+     * @param suspects the known suspects, not null
      */
     static TrialRequester of(
             Eventloop reactor,
@@ -70,49 +70,49 @@
     }
 
     /**
-     * Takes a trial of a condemned request, if one is due: for one request at one gateway, whatever comes to others.
+     * Requests a trial of a condemned request, if one is due and none is pending here.
      *
-     * @param request the request, not null
-     * @param who names this attempt among all, not null
-     * @return gives true if it may be sent once more, false if it is to be refused, not null
+     * @param request the fingerprint of the request, not null
+     * @param requester a name that identifies this trial across gateways, not null
+     * @return a promise of true if the request may be sent, false if it must be refused, not null
      */
-    Promise<Boolean> requestTrial(RequestFingerprint request, String who) {
+    Promise<Boolean> requestTrial(RequestFingerprint request, String requester) {
         Optional<Suspect> agreed = suspects.agreed(request);
-        if (asked.containsKey(request) || !plan.isDue(agreed)) {
+        if (pending.containsKey(request) || !plan.isDue(agreed)) {
             return Promise.of(false);
         }
         int number = agreed.orElseThrow().trials() + 1;
         SettablePromise<Boolean> granted = new SettablePromise<>();
-        asked.put(request, new Asked(who, granted));
-        controlGroup.accept(new PublicationCommand.TakeTrial(request, number, who));
-        reactor.delayBackground(ANSWER_MILLIS, () -> answer(request, who, false));
+        pending.put(request, new PendingTrial(requester, granted));
+        controlGroup.accept(new PublicationCommand.TakeTrial(request, number, requester));
+        reactor.delayBackground(GRANT_TIMEOUT_MILLIS, () -> complete(request, requester, false));
         return granted;
     }
 
-    /** Takes in which requests are condemned, after what is held against requests has changed. */
+    /** Updates the condemned requests and completes the trials that were granted. */
     void update(Collection<RequestFingerprint> condemned) {
         plan.update(condemned, suspects);
-        for (RequestFingerprint request : List.copyOf(asked.keySet())) {
-            String who = asked.get(request).who();
+        for (RequestFingerprint request : List.copyOf(pending.keySet())) {
+            String requester = pending.get(request).requester();
             boolean granted = suspects.agreed(request)
-                    .map(suspect -> who.equals(suspect.trialBy()))
+                    .map(suspect -> requester.equals(suspect.trialBy()))
                     .orElse(false);
             if (granted) {
-                answer(request, who, true);
+                complete(request, requester, true);
             }
         }
     }
 
-    private void answer(RequestFingerprint request, String who, boolean granted) {
-        Asked waiting = asked.get(request);
-        if (waiting == null || !waiting.who().equals(who)) {
+    private void complete(RequestFingerprint request, String requester, boolean granted) {
+        PendingTrial trial = pending.get(request);
+        if (trial == null || !trial.requester().equals(requester)) {
             return;
         }
-        asked.remove(request);
+        pending.remove(request);
         log.line(DecisionKind.SUSPECT)
                 .with(DecisionField.EVENT, granted ? "tried once more" : "no trial granted")
                 .with(DecisionField.FINGERPRINT, request)
                 .write();
-        waiting.granted().set(granted);
+        trial.decision().set(granted);
     }
 }
--- a/daemon/src/main/java/org/bankturn/daemon/gateway/package-info.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/package-info.java
@@ -1,2 +1,2 @@
-/** The path of a request: from a caller's connection to a target and back, whole or with a true account of why not. */
+/** The request gateway: accepts callers' HTTP requests, forwards them to targets and relays the responses. */
 package org.bankturn.daemon.gateway;
