--- a/daemon/src/test/java/org/bankturn/daemon/gateway/CallerDisconnectTest.java
+++ b/daemon/src/test/java/org/bankturn/daemon/gateway/CallerDisconnectTest.java
@@ -19,21 +19,20 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Callers close their connections wherever their request is: before it is read, at a target that says nothing yet, within the
- * answer, and while it is about to go to another target. Nothing of it reaches a target afterwards, and the target that has
- * it is told, so that no engine works for nobody.
+ * Requests whose caller disconnects at any stage must not reach a further target, and the target that runs such a
+ * request must be disconnected.
  */
 class CallerDisconnectTest extends GatewayFixture {
     private static final String REQUEST = "GET /x/1 HTTP/1.1\r\nHost: h\r\nId: a1\r\nDeadline: 20000\r\nKey: k\r\n";
 
     private static final int CALLERS = 24;
-    private static final int MOST_LOOKS = 500;
+    private static final int MAX_POLLS = 500;
 
-    private final CountDownLatch told = new CountDownLatch(1);
-    private final AtomicInteger closed = new AtomicInteger();
+    private final CountDownLatch targetDisconnected = new CountDownLatch(1);
+    private final AtomicInteger disconnects = new AtomicInteger();
 
     @Test
-    void a_request_of_which_the_caller_sent_a_part_only_reaches_no_target() throws Exception {
+    void a_partially_received_request_reaches_no_target() throws Exception {
         ScriptedTarget target = answering("here", "");
         publish(RequestKind.IDEMPOTENT, 2, target);
         try (Socket socket = new Socket(callerAddress.host(), callerAddress.port())) {
@@ -44,31 +43,31 @@
     }
 
     @Test
-    void a_target_that_says_nothing_yet_is_told() throws Exception {
-        ScriptedTarget target = register(new ScriptedTarget((number, id, socket) -> untilClosed(socket)));
+    void a_target_that_has_not_responded_is_disconnected() throws Exception {
+        ScriptedTarget target = register(new ScriptedTarget((number, id, socket) -> awaitDisconnect(socket)));
         publish(RequestKind.IDEMPOTENT, 2, target);
-        leaveOnceAt(target);
-        assertThat(told.await(20, TimeUnit.SECONDS)).isTrue();
+        disconnectOnceReceivedBy(target);
+        assertThat(targetDisconnected.await(20, TimeUnit.SECONDS)).isTrue();
         assertThat(target.heads).hasSize(1);
     }
 
     @Test
-    void a_target_within_its_answer_is_told() throws Exception {
+    void a_target_that_is_sending_its_response_is_disconnected() throws Exception {
         ScriptedTarget target = register(new ScriptedTarget((number, id, socket) -> {
             ScriptedTarget.write(
                     socket, "HTTP/1.1 200 OK\r\nId: " + id + "\r\nContent-Length: 100\r\n\r\nthe first part");
-            return untilClosed(socket);
+            return awaitDisconnect(socket);
         }));
         publish(RequestKind.IDEMPOTENT, 2, target);
         try (Socket socket = new Socket(callerAddress.host(), callerAddress.port())) {
             ScriptedTarget.write(socket, REQUEST + "\r\n");
             assertThat(socket.getInputStream().read()).isPositive();
         }
-        assertThat(told.await(20, TimeUnit.SECONDS)).isTrue();
+        assertThat(targetDisconnected.await(20, TimeUnit.SECONDS)).isTrue();
     }
 
     @Test
-    void a_request_whose_target_breaks_off_after_the_caller_left_goes_to_no_other() throws Exception {
+    void a_request_that_fails_after_the_caller_disconnected_is_not_retried() throws Exception {
         CountDownLatch left = new CountDownLatch(1);
         ScriptedTarget one = register(new ScriptedTarget((number, id, socket) -> {
             await(left);
@@ -90,7 +89,7 @@
             }
         }
         left.countDown();
-        // what the gateway did with the first request shows before a later one is answered
+        // by the time a later request is answered, a retry of the first one would be visible
         call("GET", "after", "");
         assertThat(one.heads.size() + other.heads.size()).isLessThanOrEqualTo(3);
         assertThat(one.heads.stream().filter(head -> head.contains("Id: a1")).count()
@@ -100,9 +99,9 @@
                 .isEqualTo(1);
     }
 
-    /** The connection is given up after 0.4 s, and the request would then go to the other target. */
+    /** The connect timeout must not cause a retry at the other target. */
     @Test
-    void a_request_that_waits_for_a_connection_as_its_caller_leaves_reaches_no_target() throws Exception {
+    void a_request_whose_caller_disconnects_during_connect_reaches_no_target() throws Exception {
         ScriptedTarget other = answering("here", "");
         try (FullBacklogTarget deaf = FullBacklogTarget.start()) {
             publish(RequestKind.IDEMPOTENT, 2, 2_000, List.of(deaf.address()));
@@ -118,10 +117,10 @@
         assertThat(other.heads).hasSize(1).allMatch(head -> head.contains("after"));
     }
 
-    /** If the caller's end is seen only once the request has left, the engine is told. */
+    /** If the request was sent before the disconnect was noticed, the engine must be disconnected. */
     @Test
-    void a_request_that_waits_for_news_of_load_as_its_caller_leaves_keeps_no_engine_at_work() throws Exception {
-        ScriptedTarget engine = register(new ScriptedTarget((number, id, socket) -> untilClosed(socket)));
+    void a_request_whose_caller_disconnects_during_load_polling_occupies_no_engine() throws Exception {
+        ScriptedTarget engine = register(new ScriptedTarget((number, id, socket) -> awaitDisconnect(socket)));
         try (ServerSocket silentProcess =
                 new ServerSocket(nodeAddress.port(), 50, InetAddress.getByName(nodeAddress.host()))) {
             publishEngine(engine);
@@ -134,10 +133,10 @@
             await(new CountDownLatch(1), 500);
             assertThat(silentProcess.isBound()).isTrue();
         }
-        for (int look = 0; look < MOST_LOOKS && closed.get() < engine.heads.size(); look++) {
+        for (int poll = 0; poll < MAX_POLLS && disconnects.get() < engine.heads.size(); poll++) {
             pause();
         }
-        assertThat(closed.get()).isEqualTo(engine.heads.size());
+        assertThat(disconnects.get()).isEqualTo(engine.heads.size());
     }
 
     private void publishEngine(ScriptedTarget engine) {
@@ -155,7 +154,7 @@
                 clock.millis());
     }
 
-    private void leaveOnceAt(ScriptedTarget target) throws IOException {
+    private void disconnectOnceReceivedBy(ScriptedTarget target) throws IOException {
         try (Socket socket = new Socket(callerAddress.host(), callerAddress.port())) {
             ScriptedTarget.write(socket, REQUEST + "\r\n");
             while (target.heads.isEmpty()) {
@@ -164,10 +163,10 @@
         }
     }
 
-    private boolean untilClosed(Socket socket) throws IOException {
+    private boolean awaitDisconnect(Socket socket) throws IOException {
         if (socket.getInputStream().read() < 0) {
-            closed.incrementAndGet();
-            told.countDown();
+            disconnects.incrementAndGet();
+            targetDisconnected.countDown();
         }
         return false;
     }
--- a/daemon/src/test/java/org/bankturn/daemon/gateway/CrashingRequestTest.java
+++ b/daemon/src/test/java/org/bankturn/daemon/gateway/CrashingRequestTest.java
@@ -8,51 +8,49 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * A request that ends every target that begins to run it, and comes again and again.
- *
- * <p>One such request came back under new ids with the same path, account and body. Each time it was sent to two targets,
- * which ended; after 20 calls 40 targets had ended, and the last call was sent on as the first had been. The log had, for
- * each of them, "retried ... CLOSED, sends 1" and "failed ... attempts used up, sends 2": a gateway counted the attempts of
- * a request and the retries of a service, and remembered nothing of what had been retried.
+ * Guards against a repeated request, sent under new ids with the same path, account and body, that crashes every target
+ * that runs it.
  */
 class CrashingRequestTest extends GatewayFixture {
     private static final int CALLS = 20;
-    private static final int SENDS_OF_ONE_CALL = 2;
-    private static final int ENDS_THAT_CONDEMN = 3;
-    private static final String DEADLY = "deadly";
+    private static final int SENDS_PER_CALL = 2;
+    private static final int CRASHES_TO_CONDEMN = 3;
+    private static final String CRASHING_BODY = "deadly";
 
-    private final AtomicInteger ended = new AtomicInteger();
+    private final AtomicInteger crashedTargets = new AtomicInteger();
 
     @Test
-    void a_request_under_which_three_targets_ended_is_sent_to_no_other() throws Exception {
-        publish(RequestKind.IDEMPOTENT, SENDS_OF_ONE_CALL, fragile(SENDS_OF_ONE_CALL * CALLS));
+    void a_request_that_crashed_three_targets_is_sent_to_no_other() throws Exception {
+        publish(RequestKind.IDEMPOTENT, SENDS_PER_CALL, crashingTargets(SENDS_PER_CALL * CALLS));
         for (int call = 0; call < CALLS; call++) {
-            call("POST", "r" + call, DEADLY);
+            call("POST", "r" + call, CRASHING_BODY);
         }
-        assertThat(ended.get()).isEqualTo(ENDS_THAT_CONDEMN);
-        assertThat(call("POST", "last", DEADLY)).startsWith("HTTP/1.1 429").contains("Come-Back: ");
+        assertThat(crashedTargets.get()).isEqualTo(CRASHES_TO_CONDEMN);
+        assertThat(call("POST", "last", CRASHING_BODY))
+                .startsWith("HTTP/1.1 429")
+                .contains("Come-Back: ");
         assertThat(call("POST", "sound", "other")).startsWith("HTTP/1.1 200");
     }
 
     @Test
-    void targets_that_break_off_and_live_on_do_not_condemn_a_request() throws Exception {
-        ScriptedTarget[] targets = new ScriptedTarget[SENDS_OF_ONE_CALL * CALLS];
+    void targets_that_reset_connections_but_stay_up_do_not_condemn_a_request() throws Exception {
+        ScriptedTarget[] targets = new ScriptedTarget[SENDS_PER_CALL * CALLS];
         for (int index = 0; index < targets.length; index++) {
             targets[index] = register(new ScriptedTarget((number, id, socket) -> {
                 ScriptedTarget.reset(socket);
                 return false;
             }));
         }
-        publish(RequestKind.IDEMPOTENT, SENDS_OF_ONE_CALL, targets);
+        publish(RequestKind.IDEMPOTENT, SENDS_PER_CALL, targets);
         for (int call = 0; call < CALLS; call++) {
             assertThat(call("POST", "r" + call, "body")).startsWith("HTTP/1.1 502");
         }
     }
 
-    private ScriptedTarget[] fragile(int count) throws IOException {
+    private ScriptedTarget[] crashingTargets(int count) throws IOException {
         ScriptedTarget[] targets = new ScriptedTarget[count];
         for (int index = 0; index < count; index++) {
-            targets[index] = register(CrashingTarget.crashingOn(DEADLY, ended));
+            targets[index] = register(CrashingTarget.crashingOn(CRASHING_BODY, crashedTargets));
         }
         return targets;
     }
--- a/daemon/src/test/java/org/bankturn/daemon/gateway/CrashingTarget.java
+++ b/daemon/src/test/java/org/bankturn/daemon/gateway/CrashingTarget.java
@@ -3,21 +3,21 @@
 import java.io.IOException;
 import java.util.concurrent.atomic.AtomicInteger;
 
-/** Makes targets that end as soon as they begin a request with one body, and answer all others. */
+/** Creates targets that crash on requests with a given body and answer all others. */
 public final class CrashingTarget {
     private CrashingTarget() {}
 
     /**
      * Returns a target on loopback, not null.
      *
-     * @param deadly the body of requests that end it, not null
-     * @param ended counts it when it ends, not null
+     * @param crashingBody the body of requests that crash it, not null
+     * @param crashes incremented when it crashes, not null
      */
-    public static ScriptedTarget crashingOn(String deadly, AtomicInteger ended) throws IOException {
+    public static ScriptedTarget crashingOn(String crashingBody, AtomicInteger crashes) throws IOException {
         ScriptedTarget[] self = new ScriptedTarget[1];
         self[0] = new ScriptedTarget((number, id, socket) -> {
-            if (self[0].bodies.get(number - 1).equals(deadly)) {
-                ended.incrementAndGet();
+            if (self[0].bodies.get(number - 1).equals(crashingBody)) {
+                crashes.incrementAndGet();
                 self[0].crash();
                 return false;
             }
--- a/daemon/src/test/java/org/bankturn/daemon/gateway/EventSplitterTest.java
+++ b/daemon/src/test/java/org/bankturn/daemon/gateway/EventSplitterTest.java
@@ -12,7 +12,7 @@
     private final EventSplitter splitter = new EventSplitter();
 
     @Test
-    void events_come_out_whole_however_the_bytes_arrive() {
+    void events_are_complete_however_the_bytes_arrive() {
         String series = "id: 1\ndata: a\n\nid: 2\r\ndata: b\r\n\r\nid: 3\nda";
         List<Event> events = new ArrayList<>();
         for (byte each : series.getBytes(StandardCharsets.ISO_8859_1)) {
--- a/daemon/src/test/java/org/bankturn/daemon/gateway/FullBacklogTarget.java
+++ b/daemon/src/test/java/org/bankturn/daemon/gateway/FullBacklogTarget.java
@@ -9,10 +9,10 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A target whose queue of new connections is full, so that connections to it are neither made nor refused. */
+/** A target with a full accept backlog, so that connection attempts time out. */
 final class FullBacklogTarget implements AutoCloseable {
-    private static final int MOST_QUEUED = 16;
-    private static final int CONNECT_MILLIS = 200;
+    private static final int MAX_QUEUED = 16;
+    private static final int CONNECT_TIMEOUT_MILLIS = 200;
 
     private final ServerSocket server;
     private final List<Socket> queued = new ArrayList<>();
@@ -23,17 +23,18 @@
 
     private FullBacklogTarget() throws IOException {
         server = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
-        while (queued.size() < MOST_QUEUED) {
+        while (queued.size() < MAX_QUEUED) {
             Socket socket = new Socket();
             try {
-                socket.connect(new InetSocketAddress(server.getInetAddress(), server.getLocalPort()), CONNECT_MILLIS);
+                socket.connect(
+                        new InetSocketAddress(server.getInetAddress(), server.getLocalPort()), CONNECT_TIMEOUT_MILLIS);
                 queued.add(socket);
             } catch (SocketTimeoutException e) {
                 socket.close();
                 return;
             }
         }
-        throw new IOException("the queue is not full with " + MOST_QUEUED + " connections");
+        throw new IOException("the accept backlog is not full with " + MAX_QUEUED + " connections");
     }
 
     String address() {
--- a/daemon/src/test/java/org/bankturn/daemon/gateway/GatewayFixture.java
+++ b/daemon/src/test/java/org/bankturn/daemon/gateway/GatewayFixture.java
@@ -42,15 +42,15 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Timeout;
 
-/** A gateway on loopback before targets that misbehave as each test says; tests extend it. */
+/** Base of tests that run a gateway on loopback in front of scripted targets. */
 @Timeout(30)
 abstract class GatewayFixture {
     static final long LONG_AGO = Long.MIN_VALUE / 2;
 
-    /** Earned within a millisecond of the start; what limits retries has tests of its own. */
+    /** A retry budget that is never exhausted. */
     private static final RetryLimits UNLIMITED_RETRIES = new RetryLimits(0.5, 96_000_000, 10_000);
 
-    /** What was thrown on the reactor's thread and would be lost: a request that it happens to is not taken care of. */
+    /** Exceptions thrown on the reactor's thread, checked after each test. */
     private final List<Throwable> thrown = new CopyOnWriteArrayList<>();
 
     final Eventloop reactor = Eventloop.builder()
@@ -61,18 +61,18 @@
     final List<ScriptedTarget> targets = new ArrayList<>();
     Gateway gateway;
 
-    /** What the gateway had the control group agree on. */
+    /** Commands that the gateway sent to the control group. */
     final List<PublicationCommand> publicationCommands = new CopyOnWriteArrayList<>();
 
     ServingMetrics metrics;
 
-    /** Whether what is published is confirmed by a control process in touch with a majority. */
+    /** Whether the published state is confirmed by a control process connected to a majority. */
     boolean confirmed = true;
 
     Address callerAddress;
     Address readyAddress;
 
-    /** Where the gateway is known as one of the gateways; nothing listens there. */
+    /** The published node address of the gateway; nothing listens on it. */
     Address nodeAddress;
 
     @BeforeEach
@@ -201,7 +201,7 @@
         try (InputStream buffered = new BufferedInputStream(input)) {
             buffered.transferTo(all);
         } catch (IOException e) {
-            // a reset ends what can be read
+            // a connection reset ends the response
         }
         return all.toString(StandardCharsets.ISO_8859_1);
     }
--- a/daemon/src/test/java/org/bankturn/daemon/gateway/GatewayGroup.java
+++ b/daemon/src/test/java/org/bankturn/daemon/gateway/GatewayGroup.java
@@ -26,17 +26,17 @@
 import org.bankturn.service.Service;
 import org.bankturn.time.Clock;
 
-/** Some gateways on loopback that know the same targets and each other. */
+/** A group of gateways on loopback with the same published targets. */
 final class GatewayGroup implements AutoCloseable {
     private static final RetryLimits UNLIMITED_RETRIES = new RetryLimits(0.5, 96_000_000, 10_000);
     private static final long TIMEOUT_MILLIS = 2_000;
 
-    /** The callers of one gateway. */
+    /** Concurrent callers per gateway. */
     private static final int CALLERS = 3;
 
     final Clock clock = Clock.system();
 
-    /** What was thrown on the reactor's thread and would be lost. */
+    /** Exceptions thrown on the reactor's thread or by callers. */
     final List<Throwable> thrown = new CopyOnWriteArrayList<>();
 
     private final Eventloop reactor = Eventloop.builder()
@@ -44,10 +44,10 @@
             .withFatalErrorHandler((error, context) -> thrown.add(error))
             .build();
     private final String name;
-    private final List<Started> started = new ArrayList<>();
+    private final List<Member> members = new ArrayList<>();
 
-    /** A gateway, where callers reach it and where other processes do. */
-    private record Started(Gateway gateway, Address callers, Address node) {}
+    /** A gateway with its addresses for callers and for other processes. */
+    private record Member(Gateway gateway, Address callers, Address node) {}
 
     private GatewayGroup(String name) {
         this.name = name;
@@ -73,7 +73,7 @@
                 new PlainDialect(),
                 reactor,
                 NodeClients.on(reactor, clock, ConnectionObserver.NONE),
-                told -> {},
+                command -> {},
                 clock,
                 log,
                 ServingMetrics.of(log));
@@ -82,19 +82,19 @@
                     NodeServer.create(
                                     reactor,
                                     node,
-                                    asked -> Promise.of(gateway.handlePermitRequest((NodeRequest.AskPermit) asked)))
+                                    request -> Promise.of(gateway.handlePermitRequest((NodeRequest.AskPermit) request)))
                             .listen();
                     return Promise.complete();
                 })
                 .join();
-        started.add(new Started(gateway, callers, node));
+        members.add(new Member(gateway, callers, node));
     }
 
-    /** Has all gateways know these targets, and each other. */
+    /** Publishes the targets and the gateways themselves to all gateways. */
     void publish(ScriptedTarget... targets) {
         Service service = new Service("chat", "/health", 100, null, null, null, null);
         Map<String, TargetSighting> sightings = new HashMap<>();
-        for (Started each : started) {
+        for (Member each : members) {
             String id = "relay-" + each.node();
             sightings.put(
                     id, new TargetSighting(id, WeightsRelay.SERVICE, each.node().toString(), "north", 0, false, -1, 1));
@@ -111,17 +111,17 @@
                 List.of(),
                 true);
         reactor.submit(() -> {
-                    started.forEach(each -> each.gateway().update(published, clock.millis()));
+                    members.forEach(each -> each.gateway().update(published, clock.millis()));
                     return Promise.complete();
                 })
                 .join();
     }
 
-    /** Has callers ask at all gateways at once, each again as soon as it has its answer, until time is up. */
+    /** Runs closed-loop callers against all gateways for the given time. */
     void callFor(long millis) throws InterruptedException {
         long end = clock.millis() + millis;
         List<Thread> callers = new ArrayList<>();
-        for (Started each : started) {
+        for (Member each : members) {
             for (int number = 0; number < CALLERS; number++) {
                 Thread caller = new Thread(() -> callUntil(end, each.callers()), "caller");
                 caller.start();
@@ -146,9 +146,9 @@
         }
     }
 
-    /** Has a caller ask at one gateway, and returns what it gets. */
+    /** Sends a request to one gateway and returns the response. */
     String call(int gateway, String id) throws IOException {
-        return call(started.get(gateway).callers(), id);
+        return call(members.get(gateway).callers(), id);
     }
 
     private static String call(Address gateway, String id) throws IOException {
--- a/daemon/src/test/java/org/bankturn/daemon/gateway/GatewayStateTest.java
+++ b/daemon/src/test/java/org/bankturn/daemon/gateway/GatewayStateTest.java
@@ -15,10 +15,10 @@
 import org.bankturn.service.WeightsLayout;
 import org.junit.jupiter.api.Test;
 
-/** What a gateway does by what it knows of the configuration, of versions, and of its own stop. */
+/** Tests behaviour that depends on the configuration, on weights versions and on graceful shutdown. */
 class GatewayStateTest extends GatewayFixture {
     @Test
-    void unknown_keys_and_paths_are_told_apart_from_knowing_nothing() throws Exception {
+    void unknown_keys_and_paths_are_distinguished_from_a_missing_configuration() throws Exception {
         assertThat(call("GET", "a1", "")).startsWith("HTTP/1.1 503");
         publish(RequestKind.IDEMPOTENT, 1, answering("x", ""));
         assertThat(exchange("GET /x/1 HTTP/1.1\r\nHost: h\r\nId: a2\r\nKey: other\r\nConnection: close\r\n\r\n"))
@@ -27,9 +27,9 @@
                 .startsWith("HTTP/1.1 404");
     }
 
-    /** A restarted gateway may have learned only of a configuration that is older than what is in force. */
+    /** A restarted gateway may know only an outdated configuration. */
     @Test
-    void what_a_configuration_that_is_not_confirmed_does_not_know_is_not_denied_for_good() throws Exception {
+    void an_unconfirmed_configuration_yields_503_instead_of_401_or_404() throws Exception {
         confirmed = false;
         publish(RequestKind.IDEMPOTENT, 2, answering("ok", ""));
         String unknownKey = "GET /x/1 HTTP/1.1\r\nHost: h\r\nId: a1\r\nKey: other\r\nConnection: close\r\n\r\n";
@@ -43,10 +43,9 @@
         assertThat(exchange(unknownRoute)).startsWith("HTTP/1.1 404");
     }
 
-    /** The first publication after a start may lack what was named long ago or just now; which of the two is not known. */
+    /** The first publication after a start may lack versions, so the age of one that follows is unknown. */
     @Test
-    void a_version_that_comes_with_the_second_publication_after_a_start_is_not_taken_for_one_named_long_ago()
-            throws Exception {
+    void a_version_first_published_after_a_start_is_not_overdue_at_once() throws Exception {
         ScriptedTarget target = answering("ok", "");
         Service engines = new Service("chat", "/health", 100, null, new WeightsLayout("m", 1, 4, 10), null, null);
         Map<String, TargetSighting> sightings =
@@ -59,7 +58,7 @@
     }
 
     @Test
-    void a_planned_stop_lets_a_request_end_and_tells_the_platform_at_once() throws Exception {
+    void a_graceful_shutdown_completes_requests_and_fails_the_readiness_check_at_once() throws Exception {
         CountDownLatch release = new CountDownLatch(1);
         ScriptedTarget target = new ScriptedTarget((number, id, socket) -> {
             await(release);
@@ -83,9 +82,9 @@
         }
     }
 
-    /** A request that came late into a stop was taken, and cut when the time for the stop was over. */
+    /** Guards against accepting a request that the end of the shutdown would interrupt. */
     @Test
-    void late_in_a_planned_stop_a_new_request_is_refused_and_the_old_one_still_ends_whole() throws Exception {
+    void late_in_a_graceful_shutdown_new_requests_are_refused_and_earlier_ones_complete() throws Exception {
         CountDownLatch release = new CountDownLatch(1);
         ScriptedTarget target = register(new ScriptedTarget((number, id, socket) -> {
             await(release);
--- a/daemon/src/test/java/org/bankturn/daemon/gateway/GatewayTest.java
+++ b/daemon/src/test/java/org/bankturn/daemon/gateway/GatewayTest.java
@@ -12,17 +12,17 @@
 import org.bankturn.service.RequestKind;
 import org.junit.jupiter.api.Test;
 
-/** What a gateway does with one request whose targets answer, fail, or fall silent. */
+/** Tests the handling of single requests whose targets respond, fail or stall. */
 class GatewayTest extends GatewayFixture {
     @Test
-    void an_answer_comes_back_whole_with_its_fields() throws Exception {
+    void a_response_is_forwarded_with_its_headers_and_body() throws Exception {
         publish(RequestKind.IDEMPOTENT, 2, answering("hello", "Seal: s1\r\n"));
         String answer = call("GET", "a1", "");
         assertThat(answer).startsWith("HTTP/1.1 200").contains("Seal: s1").endsWith("\r\n\r\nhello");
     }
 
     @Test
-    void the_body_travels_unchanged_and_the_deadline_shrinks() throws Exception {
+    void the_body_is_forwarded_unchanged_and_the_deadline_is_reduced() throws Exception {
         ScriptedTarget target = answering("ok", "");
         publish(RequestKind.UNSAFE, 1, target);
         call("POST", "a1", "some body");
@@ -32,7 +32,7 @@
     }
 
     @Test
-    void an_unsafe_request_whose_connection_is_reset_is_not_sent_again() throws Exception {
+    void an_unsafe_request_is_not_retried_after_a_connection_reset() throws Exception {
         ScriptedTarget one = resetting();
         ScriptedTarget other = resetting();
         publish(RequestKind.UNSAFE, 2, one, other);
@@ -41,8 +41,8 @@
     }
 
     @Test
-    void an_unsafe_request_that_was_not_run_goes_to_another_target() throws Exception {
-        ScriptedTarget one = refusingFirst();
+    void an_unsafe_request_that_was_not_run_is_retried_at_another_target() throws Exception {
+        ScriptedTarget one = refusingFirstRequest();
         ScriptedTarget other = answering("done", "");
         publish(RequestKind.UNSAFE, 2, one, other);
         for (int number = 0; number < 4; number++) {
@@ -51,13 +51,13 @@
     }
 
     @Test
-    void a_request_that_every_target_refused_is_refused_with_when_to_come_back() throws Exception {
-        publish(RequestKind.UNSAFE, 2, alwaysRefusing(), alwaysRefusing());
+    void a_request_refused_by_every_target_is_refused_with_a_retry_delay() throws Exception {
+        publish(RequestKind.UNSAFE, 2, refusing(), refusing());
         assertThat(call("POST", "a1", "x")).startsWith("HTTP/1.1 503").contains("Come-Back: ");
     }
 
     @Test
-    void after_a_reset_a_later_refusal_does_not_make_it_not_run() throws Exception {
+    void a_refusal_after_a_reset_does_not_count_as_not_run() throws Exception {
         ScriptedTarget one = new ScriptedTarget((number, id, socket) -> {
             if (number % 2 == 1) {
                 ScriptedTarget.reset(socket);
@@ -67,7 +67,7 @@
             return true;
         });
         targets.add(one);
-        publish(RequestKind.IDEMPOTENT, 2, one, alwaysRefusing());
+        publish(RequestKind.IDEMPOTENT, 2, one, refusing());
         String answer = call("GET", "a1", "");
         assertThat(answer).doesNotContain("200 OK");
         if (!one.heads.isEmpty()) {
@@ -76,7 +76,7 @@
     }
 
     @Test
-    void an_answer_to_another_request_is_passed_over() throws Exception {
+    void a_response_to_another_request_is_ignored() throws Exception {
         ScriptedTarget target = new ScriptedTarget((number, id, socket) -> {
             ScriptedTarget.write(socket, "HTTP/1.1 200 OK\r\nId: late\r\nContent-Length: 5\r\n\r\nwrong");
             ScriptedTarget.write(socket, "HTTP/1.1 200 OK\r\nId: " + id + "\r\nContent-Length: 5\r\n\r\nright");
@@ -89,7 +89,7 @@
     }
 
     @Test
-    void an_answer_cut_short_does_not_look_whole() throws Exception {
+    void a_truncated_response_is_not_forwarded_as_complete() throws Exception {
         ScriptedTarget target = new ScriptedTarget((number, id, socket) -> {
             ScriptedTarget.write(socket, "HTTP/1.1 200 OK\r\nId: " + id + "\r\nContent-Length: 50\r\n\r\npart");
             return false;
@@ -100,7 +100,7 @@
     }
 
     @Test
-    void an_answer_without_a_length_ends_with_its_connection() throws Exception {
+    void a_response_without_content_length_ends_when_the_connection_closes() throws Exception {
         ScriptedTarget target = new ScriptedTarget((number, id, socket) -> {
             ScriptedTarget.write(socket, "HTTP/1.1 200 OK\r\nId: " + id + "\r\n\r\nall of it");
             return false;
@@ -111,7 +111,7 @@
     }
 
     @Test
-    void chunk_lines_that_come_in_two_parts_are_read() throws Exception {
+    void chunk_headers_split_across_reads_are_parsed() throws Exception {
         ScriptedTarget target = new ScriptedTarget((number, id, socket) -> {
             ScriptedTarget.write(
                     socket, "HTTP/1.1 200 OK\r\nId: " + id + "\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhel");
@@ -127,36 +127,36 @@
     }
 
     @Test
-    void a_stream_goes_on_at_another_target_after_its_last_whole_event() throws Exception {
+    void a_stream_resumes_at_another_target_after_the_last_complete_event() throws Exception {
         ScriptedTarget one = streaming();
         ScriptedTarget other = streaming();
         publish(RequestKind.RESUMABLE_STREAM, 2, one, other);
         String answer = call("POST", "a1", "x");
-        assertThat(eventsOf(answer)).containsExactly("1", "2", "3", "4");
+        assertThat(eventIds(answer)).containsExactly("1", "2", "3", "4");
         assertThat(answer).endsWith("0\r\n\r\n");
     }
 
     @Test
-    void a_stream_that_may_not_be_taken_up_ends_without_looking_whole() throws Exception {
+    void a_non_resumable_stream_that_breaks_is_aborted() throws Exception {
         publish(RequestKind.STREAM, 2, streaming(), streaming());
         String answer = call("POST", "a1", "x");
-        assertThat(eventsOf(answer)).containsExactly("1", "2");
+        assertThat(eventIds(answer)).containsExactly("1", "2");
         assertThat(answer).doesNotEndWith("0\r\n\r\n");
     }
 
     @Test
-    void a_stream_that_ends_in_the_middle_of_an_event_is_not_whole() throws Exception {
-        ScriptedTarget one = endingInAnEvent();
-        ScriptedTarget other = endingInAnEvent();
+    void a_stream_that_ends_within_an_event_is_incomplete() throws Exception {
+        ScriptedTarget one = endingWithinEvent();
+        ScriptedTarget other = endingWithinEvent();
         publish(RequestKind.RESUMABLE_STREAM, 2, one, other);
         String answer = call("POST", "a1", "x");
-        assertThat(eventsOf(answer)).containsExactly("1", "2");
+        assertThat(eventIds(answer)).containsExactly("1", "2");
         assertThat(answer).doesNotEndWith("0\r\n\r\n");
         assertThat(one.heads.size() + other.heads.size()).isEqualTo(2);
     }
 
     @Test
-    void a_request_that_may_be_repeated_leaves_a_silent_target() throws Exception {
+    void an_idempotent_request_moves_away_from_a_stalled_target() throws Exception {
         CountDownLatch never = new CountDownLatch(1);
         ScriptedTarget silent = register(new ScriptedTarget((number, id, socket) -> {
             await(never);
@@ -169,7 +169,7 @@
     }
 
     @Test
-    void a_target_is_told_within_half_a_second_when_the_caller_leaves() throws Exception {
+    void a_target_is_disconnected_when_the_caller_disconnects() throws Exception {
         CountDownLatch ended = new CountDownLatch(1);
         ScriptedTarget target = new ScriptedTarget((number, id, socket) -> {
             if (socket.getInputStream().read() < 0) {
@@ -197,7 +197,7 @@
         }));
     }
 
-    private ScriptedTarget refusingFirst() throws IOException {
+    private ScriptedTarget refusingFirstRequest() throws IOException {
         return register(new ScriptedTarget((number, id, socket) -> {
             ScriptedTarget.write(
                     socket,
@@ -208,14 +208,14 @@
         }));
     }
 
-    private ScriptedTarget alwaysRefusing() throws IOException {
+    private ScriptedTarget refusing() throws IOException {
         return register(new ScriptedTarget((number, id, socket) -> {
             ScriptedTarget.write(socket, "HTTP/1.1 503 Full\r\nNot-Run: 1\r\nContent-Length: 0\r\n\r\n");
             return true;
         }));
     }
 
-    /** Breaks off in the middle of the third event, unless it is asked to go on after the second. */
+    /** Returns a target that breaks off within the third event, unless asked to resume after the second. */
     private ScriptedTarget streaming() throws IOException {
         Map<String, ScriptedTarget> self = new HashMap<>();
         ScriptedTarget target = new ScriptedTarget((number, id, socket) -> {
@@ -236,8 +236,8 @@
         return register(target);
     }
 
-    /** Gives one event more than before, then half of the next, and closes an answer without a length. */
-    private ScriptedTarget endingInAnEvent() throws IOException {
+    /** Returns a target that sends one complete event and half of the next, then closes a response without a length. */
+    private ScriptedTarget endingWithinEvent() throws IOException {
         Map<String, ScriptedTarget> self = new HashMap<>();
         ScriptedTarget target = new ScriptedTarget((number, id, socket) -> {
             String last = ScriptedTarget.field(self.get("target").heads.get(number - 1), "last-event");
@@ -256,7 +256,7 @@
         return Integer.toHexString(text.length()) + "\r\n" + text + "\r\n";
     }
 
-    private static List<String> eventsOf(String answer) {
+    private static List<String> eventIds(String answer) {
         return answer.lines()
                 .filter(line -> line.startsWith("id: "))
                 .map(line -> line.substring(4))
--- a/daemon/src/test/java/org/bankturn/daemon/gateway/PlainDialect.java
+++ b/daemon/src/test/java/org/bankturn/daemon/gateway/PlainDialect.java
@@ -8,7 +8,7 @@
 import org.bankturn.daemon.http.HttpHead;
 import org.bankturn.routing.TargetNotice;
 
-/** A dialect with short names, for tests. */
+/** A dialect with short field names, for tests. */
 public final class PlainDialect implements RequestDialect {
     @Override
     public RequestMetadata parseRequest(HttpHead head) {
@@ -54,9 +54,11 @@
     }
 
     @Override
-    public HttpHead buildResponse(int status, RequestMetadata terms, long comeBackMillis) {
+    public HttpHead buildResponse(int status, RequestMetadata metadata, long retryAfterMillis) {
         return HttpHead.answer(
                 status,
-                comeBackMillis > 0 ? List.of(new HttpField("Come-Back", Long.toString(comeBackMillis))) : List.of());
+                retryAfterMillis > 0
+                        ? List.of(new HttpField("Come-Back", Long.toString(retryAfterMillis)))
+                        : List.of());
     }
 }
--- a/daemon/src/test/java/org/bankturn/daemon/gateway/ResetTargetsTest.java
+++ b/daemon/src/test/java/org/bankturn/daemon/gateway/ResetTargetsTest.java
@@ -13,41 +13,37 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * A gateway whose connections to several targets are reset at the same moment.
- *
- * <p>A gateway lost its connections to two targets at once. It noticed the first, sent that request again on the connection
- * that it had kept to the second, and that connection failed while the request was being written, before its watch had been
- * set: "NullPointerException: Cannot invoke StallDetector.end() because this.watch is null". The request was sent again
- * only when its silence was noticed, 1.4 s later. What a test's reactor throws is looked at after it.
+ * Guards against an exception on the reactor's thread when a retry is written to a connection that was reset at the same
+ * time as the first one.
  */
 class ResetTargetsTest extends GatewayFixture {
-    /** Which of two connections a gateway looks at first is not ours to choose; in half of the rounds it is the fault's. */
+    /** Several rounds, because the order in which the gateway notices the two resets is random. */
     private static final int ROUNDS = 10;
 
     private final Map<String, Socket> sockets = new ConcurrentHashMap<>();
-    private final CountDownLatch over = new CountDownLatch(1);
+    private final CountDownLatch finished = new CountDownLatch(1);
 
     @Test
-    void a_request_goes_on_although_the_next_connection_fails_while_it_is_written() throws Exception {
+    void a_request_is_retried_when_the_next_connection_fails_during_the_write() throws Exception {
         publish(RequestKind.IDEMPOTENT, 4, 20_000, target(), target(), target(), target());
         for (int round = 0; round < ROUNDS; round++) {
             String held = "held" + round;
             String kept = "kept" + round;
-            CompletableFuture<String> answer = called(held);
+            CompletableFuture<String> answer = callAsync(held);
             awaitSocket(held);
-            assertThat(called(kept).get()).startsWith("HTTP/1.1 200");
+            assertThat(callAsync(kept).get()).startsWith("HTTP/1.1 200");
             resetTogether(held, kept);
             assertThat(answer.get()).startsWith("HTTP/1.1 200");
         }
-        over.countDown();
+        finished.countDown();
     }
 
-    /** Holds the first answer to requests whose name says so, and answers all others. */
+    /** Returns a target that holds the first response to requests whose id starts with "held". */
     private ScriptedTarget target() throws IOException {
         return register(new ScriptedTarget((number, id, socket) -> {
             boolean first = sockets.putIfAbsent(id, socket) == null;
             if (first && id.startsWith("held")) {
-                await(over);
+                await(finished);
                 return false;
             }
             ScriptedTarget.write(socket, "HTTP/1.1 200 OK\r\nId: " + id + "\r\nContent-Length: 2\r\n\r\nok");
@@ -55,7 +51,7 @@
         }));
     }
 
-    /** Resets the connections of two requests while the gateway looks at nothing. */
+    /** Resets the connections of two requests while the reactor is blocked. */
     private void resetTogether(String one, String other) {
         CountDownLatch stopped = new CountDownLatch(1);
         CountDownLatch reset = new CountDownLatch(1);
@@ -81,7 +77,7 @@
         }
     }
 
-    private CompletableFuture<String> called(String id) {
+    private CompletableFuture<String> callAsync(String id) {
         return CompletableFuture.supplyAsync(() -> {
             try {
                 return call("GET", id, "");
--- a/daemon/src/test/java/org/bankturn/daemon/gateway/ScriptedTarget.java
+++ b/daemon/src/test/java/org/bankturn/daemon/gateway/ScriptedTarget.java
@@ -13,7 +13,7 @@
 import java.util.Locale;
 import java.util.concurrent.CopyOnWriteArrayList;
 
-/** A target on loopback that answers each request as a test says. */
+/** A target on loopback that answers each request with a script given by the test. */
 public final class ScriptedTarget implements AutoCloseable {
     private final ServerSocket server;
     private final Script script;
@@ -24,7 +24,7 @@
     /** Answers one request on its connection. */
     @FunctionalInterface
     public interface Script {
-        /** Writes what it likes; returns false to close the connection. */
+        /** Writes a response; returns false to close the connection. */
         boolean answer(int number, String id, Socket socket) throws IOException;
     }
 
@@ -40,7 +40,7 @@
         return "127.0.0.1:" + server.getLocalPort();
     }
 
-    /** Ends as a process that crashes does: its connections are closed, and its address refuses further ones. */
+    /** Simulates a process crash: closes all connections and refuses new ones. */
     public void crash() throws IOException {
         server.close();
         for (Socket socket : open) {
@@ -91,7 +91,7 @@
                 }
             }
         } catch (IOException e) {
-            // the connection ended; the test sees it from the other side
+            // connection closed; tests observe this from the client side
         }
     }
 
--- a/daemon/src/test/java/org/bankturn/daemon/gateway/SilentConnectionFixture.java
+++ b/daemon/src/test/java/org/bankturn/daemon/gateway/SilentConnectionFixture.java
@@ -21,10 +21,10 @@
 import org.bankturn.service.WeightsLayout;
 import org.junit.jupiter.api.AfterEach;
 
-/** A gateway whose connections to targets, and to the processes beside them, can go silent; tests extend it. */
+/** Base of tests in which connections to targets, and to the processes beside them, stop carrying data. */
 abstract class SilentConnectionFixture extends GatewayFixture {
     private static final EngineModel ENGINE = new EngineModel(16, 1_000_000, 10, 0.02, 0.03, 20, 2_048, 5, 40);
-    private static final EngineLoad COMFORTABLE = new EngineLoad(3, 0, 0, 1_000_000, 1, false);
+    private static final EngineLoad LIGHT_LOAD = new EngineLoad(3, 0, 0, 1_000_000, 1, false);
     private static final long TIMEOUT_MILLIS = 6_000;
     private static final int ATTEMPTS = 2;
 
@@ -41,9 +41,9 @@
         }
     }
 
-    /** Publishes targets that are engines, each with a process beside it that tells its load. */
+    /** Publishes engines, each with a process beside it that reports its load. */
     void publishEngines(RequestKind kind, List<ScriptedTarget> engines) throws IOException {
-        Address loads = listenForQuestions();
+        Address loads = startLoadServer();
         Service service = new Service("chat", "/health", 100, ENGINE, new WeightsLayout("m", 1, 4, 10), null, null);
         publishTargets(kind, service, engines, 1);
         for (SilencingRelay relay : targetRelays) {
@@ -51,7 +51,7 @@
         }
     }
 
-    /** Publishes targets that are plain services. */
+    /** Publishes targets without load reports. */
     void publishPlain(RequestKind kind, List<ScriptedTarget> plain) throws IOException {
         publishTargets(kind, new Service("chat", "/health", 100, null, null, null, null), plain, -1);
     }
@@ -87,10 +87,10 @@
                 clock.millis());
     }
 
-    /** Answers questions for the load of every engine, as the processes beside them do. */
-    private Address listenForQuestions() {
+    /** Starts a server that reports the load of every engine. */
+    private Address startLoadServer() {
         Address address = FreeAddresses.next();
-        NodeReply load = new NodeReply.Load(COMFORTABLE, 0, 0);
+        NodeReply load = new NodeReply.Load(LIGHT_LOAD, 0, 0);
         reactor.submit(() -> {
                     NodeServer.create(reactor, address, question -> Promise.of(load))
                             .listen();
--- a/daemon/src/test/java/org/bankturn/daemon/gateway/SilentTargetsTest.java
+++ b/daemon/src/test/java/org/bankturn/daemon/gateway/SilentTargetsTest.java
@@ -18,27 +18,27 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
-/** A gateway before targets whose open connections all go silent at one moment. */
+/** Tests recovery after all open connections to targets stop carrying data at once. */
 class SilentTargetsTest extends SilentConnectionFixture {
     private static final int TARGETS = 8;
     private static final int REQUESTS_BEFORE = 120;
     private static final int REQUESTS_AFTER = 360;
-    private static final long BETWEEN_REQUESTS_MILLIS = 12;
-    private static final long BETWEEN_EVENTS_MILLIS = 40;
+    private static final long REQUEST_INTERVAL_MILLIS = 12;
+    private static final long EVENT_INTERVAL_MILLIS = 40;
     private static final int EVENTS = 8;
     private static final long WINDOW_MILLIS = 500;
 
-    private final ExecutorService callersThere = Executors.newCachedThreadPool();
+    private final ExecutorService callerThreads = Executors.newCachedThreadPool();
 
     private record Outcome(long sentMillis, long tookMillis, boolean whole, boolean refused) {}
 
     @AfterEach
     void stopCallers() {
-        callersThere.shutdownNow();
+        callerThreads.shutdownNow();
     }
 
     @Test
-    void streams_are_answered_whole_again_after_all_open_connections_went_silent() throws Exception {
+    void streams_complete_again_after_all_open_connections_went_silent() throws Exception {
         publishEngines(RequestKind.RESUMABLE_STREAM, streamingTargets());
         ConcurrentLinkedQueue<Outcome> outcomes = new ConcurrentLinkedQueue<>();
         List<Future<?>> calls = new ArrayList<>();
@@ -57,12 +57,12 @@
     private void send(int requests, String name, ConcurrentLinkedQueue<Outcome> outcomes, List<Future<?>> calls) {
         for (int number = 0; number < requests; number++) {
             String id = name + number;
-            calls.add(callersThere.submit(() -> outcomes.add(timed(id))));
-            LockSupport.parkNanos(TimeUnit.MILLISECONDS.toNanos(BETWEEN_REQUESTS_MILLIS));
+            calls.add(callerThreads.submit(() -> outcomes.add(timedCall(id))));
+            LockSupport.parkNanos(TimeUnit.MILLISECONDS.toNanos(REQUEST_INTERVAL_MILLIS));
         }
     }
 
-    private Outcome timed(String id) throws IOException {
+    private Outcome timedCall(String id) throws IOException {
         long sent = clock.millis();
         String answer = call("POST", id, "x");
         return new Outcome(
@@ -80,10 +80,10 @@
                     .toList();
             long whole = sent.stream().filter(Outcome::whole).count();
             long prompt = sent.stream()
-                    .filter(each -> each.whole() && each.tookMillis() < 2 * EVENTS * BETWEEN_EVENTS_MILLIS)
+                    .filter(each -> each.whole() && each.tookMillis() < 2 * EVENTS * EVENT_INTERVAL_MILLIS)
                     .count();
             System.out.printf(
-                    "sent from %d ms: %d requests, %d answered whole, %d of them promptly, %d refused%n",
+                    "sent from %d ms: %d requests, %d completed, %d of them promptly, %d refused%n",
                     window * WINDOW_MILLIS,
                     sent.size(),
                     whole,
@@ -91,7 +91,7 @@
                     sent.stream().filter(Outcome::refused).count());
         }
         System.out.printf(
-                "silent connections that were used: %d, opened in all: %d%n",
+                "silent connections used: %d, connections opened: %d%n",
                 targetRelays.stream().mapToInt(SilencingRelay::usedWhenSilent).sum(),
                 targetRelays.stream().mapToInt(SilencingRelay::opened).sum());
     }
@@ -113,7 +113,7 @@
             head.append("\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n");
             ScriptedTarget.write(socket, head.toString());
             for (int event = next; event <= EVENTS; event++) {
-                LockSupport.parkNanos(TimeUnit.MILLISECONDS.toNanos(BETWEEN_EVENTS_MILLIS));
+                LockSupport.parkNanos(TimeUnit.MILLISECONDS.toNanos(EVENT_INTERVAL_MILLIS));
                 String text = "id: " + event + "\ndata: a\n\n";
                 ScriptedTarget.write(socket, Integer.toHexString(text.length()) + "\r\n" + text + "\r\n");
             }
--- a/daemon/src/test/java/org/bankturn/daemon/gateway/TargetBackOffTest.java
+++ b/daemon/src/test/java/org/bankturn/daemon/gateway/TargetBackOffTest.java
@@ -11,14 +11,14 @@
 import org.bankturn.service.RequestKind;
 import org.junit.jupiter.api.Test;
 
-/** A target that asked a gateway to wait, or that is about to end, gets nothing more from it. */
+/** Tests that gateways respect the back-off and leaving notices of targets. */
 class TargetBackOffTest extends GatewayFixture {
     private static final long BACK_OFF_MILLIS = 3_000;
-    private static final long UNTIL_IN_FORCE_MILLIS = 500;
+    private static final long SETTLING_MILLIS = 500;
     private static final long SLOW_MILLIS = 120;
-    private static final int MOST_WHILE_WAITING = 2;
+    private static final int MAX_ARRIVALS_DURING_BACK_OFF = 2;
 
-    /** When requests arrived at a target. */
+    /** Arrival times of requests at a target. */
     private final List<Long> arrivals = new CopyOnWriteArrayList<>();
 
     private ScriptedTarget rejecting(long backOffMillis) throws IOException {
@@ -41,7 +41,7 @@
         }));
     }
 
-    /** A target that looks worse than one that rejects everything. */
+    /** Returns a target whose latency makes it less attractive than one that rejects every request. */
     private ScriptedTarget slow() throws IOException {
         return register(new ScriptedTarget((number, id, socket) -> {
             await(new CountDownLatch(1), SLOW_MILLIS);
@@ -62,35 +62,35 @@
     }
 
     @Test
-    void a_target_that_asked_a_gateway_to_wait_gets_nothing_from_it_meanwhile() throws Exception {
+    void a_target_receives_no_requests_during_its_back_off() throws Exception {
         publish(RequestKind.IDEMPOTENT, 2, rejecting(BACK_OFF_MILLIS), slow());
         callUntil(clock.millis() + BACK_OFF_MILLIS);
         long first = arrivals.get(0);
-        assertThat(arrivalsBetween(first + UNTIL_IN_FORCE_MILLIS, first + BACK_OFF_MILLIS))
-                .isLessThanOrEqualTo(MOST_WHILE_WAITING);
+        assertThat(arrivalsBetween(first + SETTLING_MILLIS, first + BACK_OFF_MILLIS))
+                .isLessThanOrEqualTo(MAX_ARRIVALS_DURING_BACK_OFF);
     }
 
     @Test
-    void while_all_targets_wait_requests_are_refused_at_once_and_told_when_to_come_back() throws Exception {
+    void requests_are_refused_at_once_with_a_retry_delay_while_all_targets_back_off() throws Exception {
         publish(RequestKind.IDEMPOTENT, 2, rejecting(BACK_OFF_MILLIS), rejecting(BACK_OFF_MILLIS));
-        String both = call("POST", "first", "");
-        assertThat(both).startsWith("HTTP/1.1 503");
+        String first = call("POST", "first", "");
+        assertThat(first).startsWith("HTTP/1.1 503");
         assertThat(arrivals).hasSize(2);
         String refused = call("POST", "second", "");
         assertThat(refused).startsWith("HTTP/1.1 503");
         assertThat(arrivals).hasSize(2);
-        long comeBackMillis = Long.parseLong(ScriptedTarget.field(refused, "come-back"));
+        long retryAfterMillis = Long.parseLong(ScriptedTarget.field(refused, "come-back"));
         assertThat(new String(reactor.submit(() -> Promise.of(metrics.text())).join(), StandardCharsets.UTF_8))
                 .contains("bankturn_targets_held_back{reason=\"backing_off\"} 2.0");
-        assertThat(comeBackMillis).isBetween(arrivals.get(0) + BACK_OFF_MILLIS - clock.millis(), 2 * BACK_OFF_MILLIS);
+        assertThat(retryAfterMillis).isBetween(arrivals.get(0) + BACK_OFF_MILLIS - clock.millis(), 2 * BACK_OFF_MILLIS);
     }
 
     @Test
-    void a_target_that_says_that_it_leaves_gets_nothing_more() throws Exception {
+    void a_leaving_target_receives_no_further_requests() throws Exception {
         publish(RequestKind.IDEMPOTENT, 2, leaving(), slow());
         callUntil(clock.millis() + BACK_OFF_MILLIS);
         assertThat(arrivals).isNotEmpty();
-        assertThat(arrivalsBetween(arrivals.get(0) + UNTIL_IN_FORCE_MILLIS, Long.MAX_VALUE))
+        assertThat(arrivalsBetween(arrivals.get(0) + SETTLING_MILLIS, Long.MAX_VALUE))
                 .isZero();
     }
 }
--- a/daemon/src/test/java/org/bankturn/daemon/gateway/TargetRateLimitTest.java
+++ b/daemon/src/test/java/org/bankturn/daemon/gateway/TargetRateLimitTest.java
@@ -13,27 +13,27 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** All gateways together send a target no more than the rate that its answers name. */
+/** Tests that all gateways together respect the rate limit that a target announces. */
 @Timeout(60)
 class TargetRateLimitTest {
     private static final long WINDOW_MILLIS = 4_000;
-    private static final long UNTIL_IN_FORCE_MILLIS = 3_000;
+    private static final long SETTLING_MILLIS = 3_000;
     private static final double TOLERANCE = 1.5;
     private static final int ALLOWANCE = 5;
     private static final long ANSWER_MILLIS = 100;
-    private static final int SELDOM_CALLS = 10;
-    private static final long SELDOM_MILLIS = 900;
+    private static final int SPACED_CALLS = 10;
+    private static final long CALL_INTERVAL_MILLIS = 900;
 
     private final List<ScriptedTarget> targets = new ArrayList<>();
     private GatewayGroup gateways;
 
-    /** When requests arrived at a target that names a limit, and the limit that it names then, null for none. */
-    private static final class Limited {
+    /** Records the arrivals at a target and holds the rate limit that it announces, null for none. */
+    private static final class RateLimitedTarget {
         private final Clock clock;
         private final List<Long> arrivals = new CopyOnWriteArrayList<>();
         private final AtomicReference<String> limit;
 
-        Limited(Clock clock, String limit) {
+        RateLimitedTarget(Clock clock, String limit) {
             this.clock = clock;
             this.limit = new AtomicReference<>(limit);
         }
@@ -43,7 +43,7 @@
                 arrivals.add(clock.millis());
                 String named = limit.get();
                 if (named == null) {
-                    // as slow as gateways expect of a target, or all requests would go to whichever they tried first
+                    // matches the expected latency; otherwise all requests would go to the target tried first
                     GatewayFixture.await(new CountDownLatch(1), ANSWER_MILLIS);
                 }
                 ScriptedTarget.write(
@@ -54,9 +54,9 @@
             });
         }
 
-        /** Returns the most arrivals of any window from the moment on at which the limit is in force. */
-        int mostInWindow() {
-            long inForce = arrivals.get(0) + UNTIL_IN_FORCE_MILLIS;
+        /** Returns the maximum number of arrivals in any window after the settling time. */
+        int maxArrivalsInWindow() {
+            long inForce = arrivals.get(0) + SETTLING_MILLIS;
             List<Long> counted =
                     arrivals.stream().filter(at -> at >= inForce).sorted().toList();
             int most = 0;
@@ -69,7 +69,7 @@
             return most;
         }
 
-        long countAfter(long millis) {
+        long arrivalsAfter(long millis) {
             return arrivals.stream().filter(at -> at > millis).count();
         }
     }
@@ -83,7 +83,7 @@
         assertThat(gateways.thrown).isEmpty();
     }
 
-    private ScriptedTarget keep(ScriptedTarget target) {
+    private ScriptedTarget register(ScriptedTarget target) {
         targets.add(target);
         return target;
     }
@@ -93,49 +93,49 @@
     }
 
     @Test
-    void one_gateway_keeps_the_rate_that_a_target_takes() throws Exception {
+    void one_gateway_respects_the_rate_limit_of_a_target() throws Exception {
         gateways = GatewayGroup.start("TargetRateLimitTest", 1);
-        Limited limited = new Limited(gateways.clock, "1.5");
-        gateways.publish(keep(limited.start()), keep(new Limited(gateways.clock, null).start()));
+        RateLimitedTarget limited = new RateLimitedTarget(gateways.clock, "1.5");
+        gateways.publish(register(limited.start()), register(new RateLimitedTarget(gateways.clock, null).start()));
         gateways.callFor(8_000);
-        assertThat(limited.mostInWindow()).isLessThanOrEqualTo(allowed(1.5));
+        assertThat(limited.maxArrivalsInWindow()).isLessThanOrEqualTo(allowed(1.5));
     }
 
     @Test
-    void seven_gateways_together_keep_the_rate_that_a_target_takes() throws Exception {
+    void seven_gateways_together_respect_the_rate_limit_of_a_target() throws Exception {
         gateways = GatewayGroup.start("TargetRateLimitTest", 7);
-        Limited limited = new Limited(gateways.clock, "1");
-        gateways.publish(keep(limited.start()), keep(new Limited(gateways.clock, null).start()));
+        RateLimitedTarget limited = new RateLimitedTarget(gateways.clock, "1");
+        gateways.publish(register(limited.start()), register(new RateLimitedTarget(gateways.clock, null).start()));
         gateways.callFor(9_000);
-        assertThat(limited.mostInWindow()).isLessThanOrEqualTo(allowed(1));
+        assertThat(limited.maxArrivalsInWindow()).isLessThanOrEqualTo(allowed(1));
     }
 
-    /** Each gateway learns of the end by its next permit, one of them by the target's answer. */
+    /** One gateway learns of the end from the target's response, the others from their next permit. */
     @Test
-    void a_target_whose_limit_has_ended_is_used_as_before_by_all() throws Exception {
+    void all_gateways_resume_sending_after_a_rate_limit_ends() throws Exception {
         gateways = GatewayGroup.start("TargetRateLimitTest", 3);
-        Limited limited = new Limited(gateways.clock, "1");
-        gateways.publish(keep(limited.start()), keep(new Limited(gateways.clock, null).start()));
+        RateLimitedTarget limited = new RateLimitedTarget(gateways.clock, "1");
+        gateways.publish(register(limited.start()), register(new RateLimitedTarget(gateways.clock, null).start()));
         gateways.callFor(1_000);
         limited.limit.set(null);
         long endedMillis = gateways.clock.millis();
-        for (int span = 0; span < 30 && limited.countAfter(endedMillis) < 100; span++) {
+        for (int span = 0; span < 30 && limited.arrivalsAfter(endedMillis) < 100; span++) {
             gateways.callFor(500);
         }
-        assertThat(limited.countAfter(endedMillis)).isGreaterThanOrEqualTo(100);
+        assertThat(limited.arrivalsAfter(endedMillis)).isGreaterThanOrEqualTo(100);
     }
 
-    /** A permit that comes once the request that wanted it was refused is over before the next request. */
+    /** Guards against permits that are granted after their request was refused and expire unused. */
     @Test
-    void a_service_whose_only_target_takes_little_is_served_at_that_rate() throws Exception {
+    void a_service_with_a_single_rate_limited_target_is_served_at_that_rate() throws Exception {
         gateways = GatewayGroup.start("TargetRateLimitTest", 2);
-        Limited limited = new Limited(gateways.clock, "2");
-        gateways.publish(keep(limited.start()));
+        RateLimitedTarget limited = new RateLimitedTarget(gateways.clock, "2");
+        gateways.publish(register(limited.start()));
         int answered = 0;
-        for (int call = 0; call < SELDOM_CALLS; call++) {
+        for (int call = 0; call < SPACED_CALLS; call++) {
             answered += gateways.call(0, "seldom-" + call).startsWith("HTTP/1.1 200") ? 1 : 0;
-            GatewayFixture.await(new CountDownLatch(1), SELDOM_MILLIS);
+            GatewayFixture.await(new CountDownLatch(1), CALL_INTERVAL_MILLIS);
         }
-        assertThat(answered).isGreaterThanOrEqualTo(SELDOM_CALLS / 2);
+        assertThat(answered).isGreaterThanOrEqualTo(SPACED_CALLS / 2);
     }
 }
