--- a/daemon/src/main/java/org/bankturn/daemon/gateway/Attempt.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/Attempt.java
@@ -21,72 +21,72 @@
 import org.bankturn.service.Route;
 
 /**
- * One target's turn at a request: sends it, passes the answer on, and tells the request what came of it.
+ * One attempt at a request: sends it to a target, forwards the response and reports the outcome.
  *
  * <p>Attempt is confined to its reactor's thread.
  */
 final class Attempt implements AnswerListener {
     private static final long CONNECT_TIMEOUT_MILLIS = 400;
 
-    /** What may run only once gets a connection that was used just now: an older one may have been dropped silently. */
-    private static final long MOST_REST_UNREPEATABLE_MILLIS = 600;
+    /** Idle limit for non-repeatable requests; a connection idle for longer may have been dropped silently. */
+    private static final long MAX_IDLE_NOT_REPEATABLE_MILLIS = 600;
 
     private static final int SERVER_ERROR = 500;
 
     private final ForwardedRequest request;
     private final Gateway gateway;
-    private final CallerTerms terms;
+    private final RequestMetadata metadata;
     private final Route route;
     private final ServerExchange exchange;
     private final TargetState target;
     private final Candidate choice;
     private final int version;
-    private final long beganMillis;
+    private final long startedMillis;
     private final ByteArrayOutputStream content = new ByteArrayOutputStream();
     private final EventSplitter events = new EventSplitter();
     private TargetConnection connection;
-    private SilenceWatch watch;
-    private HttpHead head;
-    private TargetAnswer answer;
+    private StallDetector stallDetector;
+    private HttpHead responseHead;
+    private ResponseMetadata response;
     private boolean promptPending = true;
-    private boolean over;
+    private boolean finished;
     private long sentMillis;
     private long firstEventMillis;
 
     Attempt(ForwardedRequest request, Gateway gateway, Candidate choice, int version) {
         this.request = request;
         this.gateway = gateway;
-        this.terms = request.terms();
+        this.metadata = request.metadata();
         this.route = request.route();
         this.exchange = request.exchange();
-        this.beganMillis = gateway.clock().millis();
+        this.startedMillis = gateway.clock().millis();
         this.target = choice.target();
         this.choice = choice;
         this.version = version;
     }
 
-    void begin() {
-        target.requestStarted(terms.promptTokens(), beganMillis);
-        long mostRest = route.kind().mayRepeat() ? Long.MAX_VALUE : MOST_REST_UNREPEATABLE_MILLIS;
-        TargetConnection rested = gateway.connections().take(targetId(), now(), mostRest);
-        Promise<TargetConnection> connected = rested != null
-                ? Promise.of(rested)
+    void start() {
+        target.requestStarted(metadata.promptTokens(), startedMillis);
+        long maxIdleMillis = route.kind().mayRepeat() ? Long.MAX_VALUE : MAX_IDLE_NOT_REPEATABLE_MILLIS;
+        TargetConnection idleConnection = gateway.connections().acquire(targetId(), now(), maxIdleMillis);
+        Promise<TargetConnection> connected = idleConnection != null
+                ? Promise.of(idleConnection)
                 : TargetConnection.connect(
                         gateway.reactor(),
                         gateway.clock(),
                         Address.parse(target.sighting().address()).toSocketAddress(),
                         CONNECT_TIMEOUT_MILLIS);
-        connected.whenComplete(this::connected);
+        connected.whenComplete(this::onConnected);
     }
 
-    private void connected(TargetConnection opened, Exception failure) {
-        if (over) {
+    private void onConnected(TargetConnection opened, Exception failure) {
+        if (finished) {
             if (opened != null) {
-                gateway.connections().keep(targetId(), opened);
+                gateway.connections().release(targetId(), opened);
             }
             return;
         }
-        gateway.crashes().connected(target.sighting(), failure);
+        gateway.crashDetector().onConnectResult(target.sighting(), failure);
         if (failure != null) {
             onFailure(HopFailure.NOT_CONNECTED);
             return;
@@ -96,80 +96,82 @@
         }
         connection = opened;
         sentMillis = now();
-        request.sent();
+        request.markSent();
         if (request.service().engine() != null) {
-            gateway.sentToEngine();
+            gateway.recordEngineRequest();
         }
-        HttpHead sent = gateway.dialect()
-                .toTarget(
+        HttpHead forwarded = gateway.dialect()
+                .buildTargetRequest(
                         exchange.head(),
-                        new Forwarding(
+                        new ForwardingMetadata(
                                 request.remainingMillis(),
                                 target.sighting().name(),
                                 request.accountName(),
-                                request.lastEvent(),
+                                request.lastEventId(),
                                 version,
                                 request.urgency()));
         boolean hasBody = exchange.body().length > 0 || !exchange.head().first().equals("GET");
-        HttpHead framed = hasBody ? sent.with("Content-Length", Integer.toString(exchange.body().length)) : sent;
-        // first the watch: a write that fails at once ends the attempt before send returns
-        watch = SilenceWatch.start(gateway, request, choice, connection, this::takeAway);
-        connection.send(joined(framed, exchange.body()), exchange.head().first().equals("HEAD"), this);
+        HttpHead framed =
+                hasBody ? forwarded.with("Content-Length", Integer.toString(exchange.body().length)) : forwarded;
+        // started first: a write that fails immediately finishes the attempt before send returns
+        stallDetector = StallDetector.start(gateway, request, choice, connection, this::onStalled);
+        connection.send(
+                concatenate(framed, exchange.body()), exchange.head().first().equals("HEAD"), this);
     }
 
-    /** Gives the request back if the target wants none by now; what it asks for may have come while the connection was made. */
+    /** Hands the request back, and returns true, if the target stopped accepting requests during the connect. */
     private boolean isHeldBack(TargetConnection opened) {
         Optional<HoldReason> reason = target.acquire(now());
         if (reason.isEmpty()) {
             return false;
         }
         finish(false);
-        gateway.connections().keep(targetId(), opened);
-        request.heldBack(target.sighting(), reason.get());
+        gateway.connections().release(targetId(), opened);
+        request.onHeldBack(target.sighting(), reason.get());
         return true;
     }
 
-    /** Takes a request that may be repeated away from a target, or from a connection, that says nothing for long. */
-    private void takeAway() {
-        long silentMillis = watch.silentMillis();
+    /** Abandons the attempt because the target or the connection has stalled. */
+    private void onStalled() {
+        long silentMillis = stallDetector.silentMillis();
         finish(false);
-        if (watch.blamesTarget()) {
+        if (stallDetector.blamesTarget()) {
             targetFailed("silent");
         }
-        request.outcomeUnknown();
-        request.fellSilent(target.sighting(), "silent for " + silentMillis + " ms");
+        request.markOutcomeUnknown();
+        request.onStalled(target.sighting(), "silent for " + silentMillis + " ms");
     }
 
     @Override
     public boolean onHead(HttpHead received) {
-        TargetAnswer read = gateway.dialect().answer(received);
-        if (read.requestId() != null && !read.requestId().equals(terms.id())) {
+        ResponseMetadata parsed = gateway.dialect().parseResponse(received);
+        if (parsed.requestId() != null && !parsed.requestId().equals(metadata.id())) {
             return false;
         }
-        head = received;
-        answer = read;
-        if (read.weightsVersion() > 0) {
-            target.versionObserved(read.weightsVersion());
+        responseHead = received;
+        response = parsed;
+        if (parsed.weightsVersion() > 0) {
+            target.versionObserved(parsed.weightsVersion());
         }
-        if (!read.isMisdirected()) {
-            noticed(read);
+        if (!parsed.isMisdirected()) {
+            applyNotice(parsed);
         }
         return true;
     }
 
-    private void noticed(TargetAnswer read) {
-        for (String field : read.unreadable()) {
+    private void applyNotice(ResponseMetadata parsed) {
+        for (String field : parsed.unreadableFields()) {
             gateway.metrics().targetNoticed(ServingMetrics.NOTICE_UNREADABLE);
             noticeLine("unreadable").with(DecisionField.ERROR, field).write();
         }
-        for (NoticeChange change : target.applyNotice(read.notice(), read.isSuccess(), sentMillis, now())) {
+        for (NoticeChange change : target.applyNotice(parsed.notice(), parsed.isSuccess(), sentMillis, now())) {
             gateway.metrics().targetNoticed(change.label());
             noticeLine(change.label())
                     .with(DecisionField.PER_SECOND, target.rateLimit().perSecond())
-                    .with(DecisionField.BACK_OFF_MS, read.notice().backOffMillis())
+                    .with(DecisionField.BACK_OFF_MS, parsed.notice().backOffMillis())
                     .write();
             if (change.isOfLimit()) {
-                gateway.limitChanged(target);
+                gateway.reportRateLimit(target);
             }
         }
     }
@@ -179,40 +181,40 @@
                 .line(DecisionKind.NOTICE)
                 .with(DecisionField.EVENT, event)
                 .with(DecisionField.TARGET, targetId())
-                .with(DecisionField.REQUEST, terms.id())
-                .with(DecisionField.STATUS, answer.status());
+                .with(DecisionField.REQUEST, metadata.id())
+                .with(DecisionField.STATUS, response.status());
     }
 
     @Override
     public void onPart(byte[] bytes) {
-        watch.heard();
-        if (!streams()) {
+        stallDetector.onData();
+        if (!isStreamed()) {
             content.writeBytes(bytes);
             return;
         }
         for (Event event : events.add(bytes)) {
-            pass(event);
+            forward(event);
         }
     }
 
-    private boolean streams() {
-        return route.kind().isStream() && answer.isSuccess();
+    private boolean isStreamed() {
+        return route.kind().isStream() && response.isSuccess();
     }
 
-    private void pass(Event event) {
-        if (isRepeated(event)) {
+    private void forward(Event event) {
+        if (isDuplicate(event)) {
             return;
         }
-        firstAnswerCame();
+        recordFirstEvent();
         if (!exchange.hasBegun()) {
-            exchange.beginParts(head.withoutConnectionFields());
+            exchange.beginParts(responseHead.withoutConnectionFields());
         }
         exchange.part(event.bytes());
-        request.passed(event.id());
+        request.recordEvent(event.id());
     }
 
-    private boolean isRepeated(Event event) {
-        String last = request.lastEvent();
+    private boolean isDuplicate(Event event) {
+        String last = request.lastEventId();
         if (last == null || event.id() == null) {
             return false;
         }
@@ -223,12 +225,12 @@
         }
     }
 
-    private void firstAnswerCame() {
+    private void recordFirstEvent() {
         if (promptPending) {
             promptPending = false;
-            target.promptRead(terms.promptTokens());
+            target.promptRead(metadata.promptTokens());
             gateway.metrics().firstEvent(request.service().name(), now() - exchange.receivedMillis());
-            firstEventMillis = now() - beganMillis;
+            firstEventMillis = now() - startedMillis;
             double predicted = choice.predictedMillis();
             gateway.policy().correction(request.service()).observed(predicted, (double) firstEventMillis);
             gateway.metrics().firstEventPredicted(request.service().name(), predicted, firstEventMillis);
@@ -238,39 +240,39 @@
 
     @Override
     public void onEnd() {
-        if (over) {
+        if (finished) {
             return;
         }
-        boolean cutInEvent = streams() && events.rest().length > 0;
-        if (cutInEvent) {
+        boolean endsWithinEvent = isStreamed() && events.remainder().length > 0;
+        if (endsWithinEvent) {
             onFailure(HopFailure.CLOSED);
             return;
         }
         finish(true);
-        if (answer.notRun()) {
+        if (response.notRun()) {
             target.markFull(now());
-            request.notRun();
-            request.retry("target did not run it: " + answer.status());
-        } else if (answer.status() >= SERVER_ERROR) {
-            targetFailed("status " + answer.status());
-            request.outcomeUnknown();
-            request.failedBy(this);
-        } else if (streams()) {
+            request.markNotRun();
+            request.retry("target did not run the request: status " + response.status());
+        } else if (response.status() >= SERVER_ERROR) {
+            targetFailed("status " + response.status());
+            request.markOutcomeUnknown();
+            request.onFailureResponse(this);
+        } else if (isStreamed()) {
             endStream();
         } else {
-            target.responseReceived(now() - beganMillis);
-            passAnswer();
+            target.responseReceived(now() - startedMillis);
+            forwardResponse();
         }
     }
 
-    /** Avoids the target for a while and says so. */
+    /** Records a failure of the target, which is then avoided for a while. */
     private void targetFailed(String reason) {
         long avoidedMillis = target.requestFailed(now());
         gateway.metrics().targetFailed(request.service().name());
         gateway.log()
                 .line(DecisionKind.HEALTH)
                 .with(DecisionField.TARGET, targetId())
-                .with(DecisionField.REQUEST, terms.id())
+                .with(DecisionField.REQUEST, metadata.id())
                 .with(DecisionField.FINGERPRINT, request.fingerprint())
                 .with(DecisionField.REASON, reason)
                 .with(DecisionField.FAILURES, target.consecutiveFailures())
@@ -282,72 +284,72 @@
         return target.sighting().id();
     }
 
-    /** Returns how long the first event was predicted to take. */
+    /** Returns the predicted time to the first event, in milliseconds. */
     long predictedMillis() {
         return Math.round(choice.predictedMillis());
     }
 
-    /** Returns how long the first event took, 0 if none came. */
+    /** Returns the time to the first event, in milliseconds, 0 if there was none. */
     long firstEventMillis() {
         return firstEventMillis;
     }
 
     int status() {
-        return answer.status();
+        return response.status();
     }
 
-    /** Passes the target's answer on as it is; a stream that has begun cannot take it up. */
-    void passAnswer() {
+    /** Forwards the response unchanged; gives up if part of a stream was already forwarded. */
+    void forwardResponse() {
         if (exchange.hasBegun()) {
-            request.giveUp("a stream went on with status " + answer.status());
+            request.giveUp("resumed stream failed with status " + response.status());
         } else {
-            exchange.answer(head.withoutConnectionFields(), content.toByteArray());
-            request.answered(answer.status());
+            exchange.answer(responseHead.withoutConnectionFields(), content.toByteArray());
+            request.onAnswered(response.status());
         }
     }
 
     private void endStream() {
         if (!exchange.hasBegun()) {
-            exchange.beginParts(head.withoutConnectionFields());
+            exchange.beginParts(responseHead.withoutConnectionFields());
         }
         exchange.endParts();
-        request.answered(answer.status());
+        request.onAnswered(response.status());
     }
 
     @Override
     public void onFailure(HopFailure failure) {
-        if (over) {
+        if (finished) {
             return;
         }
         finish(false);
         targetFailed(failure.name());
         if (failure.isSurelyNotSent()) {
-            request.notConnected();
+            request.onConnectFailure();
             return;
         }
-        request.outcomeUnknown();
-        request.brokeOff(target.sighting(), failure.name());
+        request.markOutcomeUnknown();
+        request.onConnectionLost(target.sighting(), failure.name());
     }
 
-    void drop() {
-        if (!over) {
+    void cancel() {
+        if (!finished) {
             finish(false);
         }
     }
 
     private void finish(boolean whole) {
-        over = true;
-        target.requestEnded(beganMillis, now());
+        finished = true;
+        target.requestEnded(startedMillis, now());
         if (promptPending) {
             promptPending = false;
-            target.promptRead(terms.promptTokens());
+            target.promptRead(metadata.promptTokens());
         }
         if (connection == null) {
             return;
         }
-        watch.end();
+        stallDetector.stop();
         if (whole) {
-            gateway.connections().keep(targetId(), connection);
+            gateway.connections().release(targetId(), connection);
         } else {
             connection.close();
         }
@@ -357,7 +359,7 @@
         return gateway.clock().millis();
     }
 
-    private static byte[] joined(HttpHead head, byte[] body) {
+    private static byte[] concatenate(HttpHead head, byte[] body) {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream(body.length + 512);
         bytes.writeBytes(head.encode());
         bytes.writeBytes(body);
--- /dev/null
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/CrashDetector.java
@@ -0,0 +1,301 @@
+package org.bankturn.daemon.gateway;
+
+import io.activej.eventloop.Eventloop;
+import io.activej.promise.Promise;
+import io.activej.promise.Promises;
+import java.net.ConnectException;
+import java.util.Collection;
+import java.util.HashMap;
+import java.util.HashSet;
+import java.util.LinkedHashMap;
+import java.util.LinkedHashSet;
+import java.util.List;
+import java.util.Map;
+import java.util.Objects;
+import java.util.Set;
+import java.util.function.Consumer;
+import org.bankturn.crash.BrokenRuns;
+import org.bankturn.crash.EndedTarget;
+import org.bankturn.crash.KnownSuspects;
+import org.bankturn.crash.RequestFingerprint;
+import org.bankturn.crash.Suspect;
+import org.bankturn.daemon.http.TargetConnection;
+import org.bankturn.daemon.observe.DecisionField;
+import org.bankturn.daemon.observe.DecisionKind;
+import org.bankturn.daemon.observe.DecisionLog;
+import org.bankturn.daemon.observe.ServingMetrics;
+import org.bankturn.daemon.settings.Address;
+import org.bankturn.publication.PublicationCommand;
+import org.bankturn.registry.TargetSighting;
+import org.bankturn.time.Clock;
+
+/**
+ * Detects targets that crash while running a request and reports them to the control group, so that all gateways stop
+ * requests that crash their targets.
+ *
+ * <p>After a lost connection the target is probed: an address that refuses connections belongs to a crashed process.
+ * Completed requests are reported as well, which clears them of suspicion. CrashDetector is confined to its reactor's
+ * thread.
+ */
+final class CrashDetector {
+    /** Delay before the second probe; a crashing process may close its port after its connections. */
+    private static final long SECOND_PROBE_DELAY_MILLIS = 150;
+
+    /** Connect timeout of a probe, which bounds how long an interrupted request waits for the result. */
+    private static final long PROBE_TIMEOUT_MILLIS = 100;
+
+    /** Observations made within this time are sent to the control group together. */
+    private static final long REPORT_DELAY_MILLIS = 10;
+
+    private final String process;
+    private final Eventloop reactor;
+    private final Clock clock;
+    private final DecisionLog log;
+    private final ServingMetrics metrics;
+    private final TargetConnectionPool connections;
+    private final Consumer<PublicationCommand> controlGroup;
+    private final Runnable onCondemned;
+    private final BrokenRuns brokenRuns;
+    private final TrialRequester trialRequester;
+    private final KnownSuspects suspects = KnownSuspects.none();
+    private final Set<RequestFingerprint> condemned = new HashSet<>();
+    private final Map<String, Promise<Void>> pendingProbes = new HashMap<>();
+    private final Map<String, Set<RequestFingerprint>> unreportedCrashes = new LinkedHashMap<>();
+    private final Set<RequestFingerprint> unreportedCompletions = new LinkedHashSet<>();
+    private List<Suspect> lastPublished = List.of();
+    private boolean reportScheduled;
+
+    /**
+     * Returns a detector without observations, not null.
+     *
+     * @param process the name of this gateway, not null
+     * @param reactor the event loop, not null
+     * @param clock the clock, not null
+     * @param log the decision log, not null
+     * @param metrics the metrics, not null
+     * @param connections the pool that receives connections opened by probes, not null
+     * @param controlGroup receives commands for the control group, not null
+     * @param onCondemned runs when further requests are condemned, not null
+     */
+    static CrashDetector of(
+            String process,
+            Eventloop reactor,
+            Clock clock,
+            DecisionLog log,
+            ServingMetrics metrics,
+            TargetConnectionPool connections,
+            Consumer<PublicationCommand> controlGroup,
+            Runnable onCondemned) {
+        return new CrashDetector(process, reactor, clock, log, metrics, connections, controlGroup, onCondemned);
+    }
+
+    private CrashDetector(
+            String process,
+            Eventloop reactor,
+            Clock clock,
+            DecisionLog log,
+            ServingMetrics metrics,
+            TargetConnectionPool connections,
+            Consumer<PublicationCommand> controlGroup,
+            Runnable onCondemned) {
+        this.process = process;
+        this.reactor = reactor;
+        this.clock = clock;
+        this.log = log;
+        this.metrics = metrics;
+        this.connections = connections;
+        this.controlGroup = controlGroup;
+        this.onCondemned = onCondemned;
+        this.brokenRuns = BrokenRuns.of(clock);
+        this.trialRequester = TrialRequester.of(reactor, clock, log, controlGroup, suspects);
+    }
+
+    // ---- queries
+
+    /** Returns true if the request must not be sent to any target. */
+    boolean isCondemned(ForwardedRequest request) {
+        return !condemned.isEmpty() && !request.isTrial() && condemned.contains(request.fingerprint());
+    }
+
+    /** Returns the number of targets known to have crashed while running the request. */
+    int endedTargetCount(ForwardedRequest request) {
+        return suspects.endedUnder(request.fingerprint()).size();
+    }
+
+    /**
+     * Requests a trial of a condemned request, if one is due.
+     *
+     * @return a promise of true if the request may be sent, false if it must be refused, not null
+     */
+    Promise<Boolean> requestTrial(ForwardedRequest request) {
+        return trialRequester.requestTrial(
+                request.fingerprint(), process + "/" + request.metadata().id());
+    }
+
+    // ---- events
+
+    /** Applies the published suspects and targets. */
+    void update(List<Suspect> published, Collection<TargetSighting> targets) {
+        brokenRuns.succeededBy(targets).forEach(this::onTargetEnded);
+        // most publications change targets only, and processing many suspects is expensive
+        if (!Objects.equals(published, lastPublished)) {
+            lastPublished = published;
+            suspects.published(published);
+            refreshCondemned();
+        }
+    }
+
+    private void refreshCondemned() {
+        Set<RequestFingerprint> current = suspects.condemned();
+        metrics.condemned(current.size());
+        Set<RequestFingerprint> previous = Set.copyOf(condemned);
+        condemned.clear();
+        condemned.addAll(current);
+        trialRequester.update(condemned);
+        Set<RequestFingerprint> newlyCondemned = new HashSet<>(current);
+        newlyCondemned.removeAll(previous);
+        for (RequestFingerprint request : newlyCondemned) {
+            log.line(DecisionKind.SUSPECT)
+                    .with(DecisionField.EVENT, "sent to no target any more")
+                    .with(DecisionField.FINGERPRINT, request)
+                    .with(DecisionField.ENDS, suspects.endedUnder(request).size())
+                    .write();
+        }
+        if (!newlyCondemned.isEmpty()) {
+            onCondemned.run();
+        }
+    }
+
+    /**
+     * Handles a connection lost while a target ran a request.
+     *
+     * @return a promise that completes once it is known, or cannot be known soon, whether the target has crashed, not
+     *     null
+     */
+    Promise<Void> onConnectionLost(TargetSighting target, ForwardedRequest request) {
+        if (target.draining()) {
+            // a connection closed by a planned shutdown is not held against the request
+            return Promise.complete();
+        }
+        brokenRuns.brokeOff(target, request.fingerprint());
+        if (brokenRuns.hasEnded(target.id())) {
+            onTargetEnded(target.id());
+            return Promise.complete();
+        }
+        return probeOnce(target).then(() -> awaitCertainty(request));
+    }
+
+    private Promise<Void> probeOnce(TargetSighting target) {
+        Promise<Void> pending = pendingProbes.get(target.id());
+        if (pending != null) {
+            return pending;
+        }
+        Promise<Void> probe = probe(target);
+        if (!probe.isComplete()) {
+            pendingProbes.put(target.id(), probe);
+        }
+        return probe;
+    }
+
+    /** Delays a request that one more crash would condemn until the undecided probes have finished. */
+    private Promise<Void> awaitCertainty(ForwardedRequest request) {
+        Set<String> possiblyCrashed = suspects.endedUnder(request.fingerprint());
+        possiblyCrashed.addAll(brokenRuns.undecidedUnder(request.fingerprint()));
+        boolean certain = isCondemned(request) || possiblyCrashed.size() < Suspect.ENDS_THAT_CONDEMN;
+        return certain ? Promise.complete() : Promises.delay(SECOND_PROBE_DELAY_MILLIS + PROBE_TIMEOUT_MILLIS);
+    }
+
+    /** Probes whether a target accepts connections, and if so once more after a delay. */
+    private Promise<Void> probe(TargetSighting target) {
+        return connect(target).then(failure -> {
+            pendingProbes.remove(target.id());
+            if (failure == null) {
+                reactor.delayBackground(SECOND_PROBE_DELAY_MILLIS, () -> probeAgain(target));
+            }
+            return Promise.complete();
+        });
+    }
+
+    private void probeAgain(TargetSighting target) {
+        connect(target).whenResult(failure -> {
+            if (failure == null) {
+                brokenRuns.livesOn(target.id());
+            }
+        });
+    }
+
+    /** Returns a promise of the connect failure, null if the target accepts the connection. */
+    private Promise<Exception> connect(TargetSighting target) {
+        return TargetConnection.connect(
+                        reactor, clock, Address.parse(target.address()).toSocketAddress(), PROBE_TIMEOUT_MILLIS)
+                .then((opened, failure) -> {
+                    if (opened != null) {
+                        connections.release(target.id(), opened);
+                    }
+                    onConnectResult(target, failure);
+                    return Promise.of(failure);
+                });
+    }
+
+    /** Evaluates the outcome of connecting to a target; a refused connection means that it has crashed. */
+    void onConnectResult(TargetSighting target, Exception failure) {
+        if (failure instanceof ConnectException) {
+            onTargetEnded(target.id());
+        }
+    }
+
+    private void onTargetEnded(String target) {
+        List<RequestFingerprint> requests = brokenRuns.ended(target);
+        for (RequestFingerprint request : requests) {
+            suspects.ended(target, request);
+            metrics.suspected(ServingMetrics.SUSPECT_BLAMED);
+            log.line(DecisionKind.SUSPECT)
+                    .with(DecisionField.EVENT, "target ended")
+                    .with(DecisionField.TARGET, target)
+                    .with(DecisionField.FINGERPRINT, request)
+                    .with(DecisionField.ENDS, suspects.endedUnder(request).size())
+                    .write();
+        }
+        if (!requests.isEmpty()) {
+            unreportedCrashes
+                    .computeIfAbsent(target, key -> new LinkedHashSet<>())
+                    .addAll(requests);
+            scheduleReport();
+            refreshCondemned();
+        }
+    }
+
+    /** Records that a request ran to completion, which clears it of suspicion. */
+    void onCompleted(ForwardedRequest request) {
+        if (suspects.isEmpty() && brokenRuns.isEmpty()) {
+            return;
+        }
+        RequestFingerprint fingerprint = request.fingerprint();
+        brokenRuns.ranWhole(List.of(fingerprint));
+        if (endedTargetCount(request) == 0) {
+            return;
+        }
+        suspects.ranWhole(fingerprint);
+        refreshCondemned();
+        metrics.suspected(ServingMetrics.SUSPECT_CLEARED);
+        unreportedCompletions.add(fingerprint);
+        scheduleReport();
+    }
+
+    private void scheduleReport() {
+        if (!reportScheduled) {
+            reportScheduled = true;
+            reactor.delayBackground(REPORT_DELAY_MILLIS, this::report);
+        }
+    }
+
+    private void report() {
+        reportScheduled = false;
+        List<EndedTarget> ends = unreportedCrashes.entrySet().stream()
+                .map(each -> new EndedTarget(each.getKey(), List.copyOf(each.getValue())))
+                .toList();
+        controlGroup.accept(new PublicationCommand.NoteRuns(ends, List.copyOf(unreportedCompletions)));
+        unreportedCrashes.clear();
+        unreportedCompletions.clear();
+    }
+}
--- /dev/null
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/StallDetector.java
@@ -0,0 +1,155 @@
+package org.bankturn.daemon.gateway;
+
+import org.bankturn.daemon.http.TargetConnection;
+import org.bankturn.daemon.observe.DecisionField;
+import org.bankturn.daemon.observe.DecisionKind;
+import org.bankturn.daemon.observe.ServingMetrics;
+import org.bankturn.routing.ConnectionReusePolicy;
+import org.bankturn.routing.TargetState;
+import org.bankturn.routing.TargetTable.Candidate;
+
+/**
+ * Detects that no more data arrives for a request sent to a target.
+ *
+ * <p>A connection that worked before may be dead although its target is healthy. The target is therefore blamed only if
+ * the connection never carried data, or if the target meanwhile answered on others that were already open.
+ * StallDetector is confined to its reactor's thread.
+ */
+final class StallDetector {
+    /** How often to check again whether another target can take the request. */
+    private static final long RECHECK_INTERVAL_MILLIS = 200;
+
+    private final Gateway gateway;
+    private final ForwardedRequest request;
+    private final Candidate choice;
+    private final TargetConnection connection;
+    private final Runnable onStall;
+    private final ConnectionReusePolicy.PendingRequest wait;
+    private long lastDataMillis;
+    private boolean dataReceived;
+    private boolean stallRecorded;
+    private boolean blamesTarget;
+    private boolean stopped;
+
+    /**
+     * Starts monitoring a request.
+     *
+     * @param gateway the gateway, not null
+     * @param request the request, which is about to be sent, not null
+     * @param choice the selected target, not null
+     * @param connection the connection used for the request, not null
+     * @param onStall runs when the request may be repeated and should be sent to another target, not null
+     */
+    static StallDetector start(
+            Gateway gateway,
+            ForwardedRequest request,
+            Candidate choice,
+            TargetConnection connection,
+            Runnable onStall) {
+        StallDetector detector = new StallDetector(gateway, request, choice, connection, onStall);
+        detector.scheduleCheck(detector.silenceLimitMillis());
+        return detector;
+    }
+
+    private StallDetector(
+            Gateway gateway,
+            ForwardedRequest request,
+            Candidate choice,
+            TargetConnection connection,
+            Runnable onStall) {
+        this.gateway = gateway;
+        this.request = request;
+        this.choice = choice;
+        this.connection = connection;
+        this.onStall = onStall;
+        this.wait = gateway.connectionTrust().requestSent(targetId());
+        this.lastDataMillis = now();
+    }
+
+    // ---- queries
+
+    /** Returns the time since data last arrived, in milliseconds. */
+    long silentMillis() {
+        return now() - lastDataMillis;
+    }
+
+    /** Returns true if the recorded stall is attributed to the target and not only to the connection. */
+    boolean blamesTarget() {
+        return blamesTarget;
+    }
+
+    // ---- events
+
+    /** Records that a part of the response arrived. */
+    void onData() {
+        lastDataMillis = now();
+        dataReceived = true;
+        gateway.connectionTrust().dataReceived(connection.openedMillis());
+        choice.target().dataReceived(lastDataMillis, connection.openedMillis());
+    }
+
+    /** Stops monitoring the request. */
+    void stop() {
+        stopped = true;
+        gateway.connectionTrust().requestEnded(wait);
+    }
+
+    private void scheduleCheck(long millis) {
+        gateway.reactor().delayBackground(Math.max(1, millis), this::check);
+    }
+
+    private void check() {
+        if (stopped) {
+            return;
+        }
+        long remainingMillis = silenceLimitMillis() - silentMillis();
+        if (remainingMillis > 0) {
+            scheduleCheck(remainingMillis);
+            return;
+        }
+        recordStall();
+        if (!request.route().kind().mayRepeat()) {
+            return;
+        }
+        if (request.hasAlternativeTarget()) {
+            onStall.run();
+        } else {
+            scheduleCheck(RECHECK_INTERVAL_MILLIS);
+        }
+    }
+
+    private void recordStall() {
+        if (stallRecorded) {
+            return;
+        }
+        stallRecorded = true;
+        TargetState target = choice.target();
+        boolean connectionWorked = connection.hasCarried() || dataReceived;
+        boolean targetResponsive = target.hasRecentActivity(now(), lastDataMillis);
+        blamesTarget = !connectionWorked || targetResponsive;
+        if (!blamesTarget) {
+            gateway.connectionTrust().timedOut(now() - silentMillis() / 2);
+        }
+        gateway.metrics().connectionSilent(ServingMetrics.PEER_TARGET);
+        gateway.log()
+                .line(DecisionKind.LOST)
+                .with(DecisionField.DEPENDENCY, "connection")
+                .with(DecisionField.TARGET, targetId())
+                .with(DecisionField.REQUEST, request.metadata().id())
+                .with(DecisionField.KEPT, connection.hasCarried())
+                .with(DecisionField.SILENT_MS, now() - connection.heardMillis())
+                .write();
+    }
+
+    private long silenceLimitMillis() {
+        return gateway.policy().silenceTimeoutMillis(request.progress(), choice, lastDataMillis);
+    }
+
+    private String targetId() {
+        return choice.target().sighting().id();
+    }
+
+    private long now() {
+        return gateway.clock().millis();
+    }
+}
--- a/daemon/src/test/java/org/bankturn/daemon/gateway/EventSplitterTest.java
+++ b/daemon/src/test/java/org/bankturn/daemon/gateway/EventSplitterTest.java
@@ -12,7 +12,7 @@
     private final EventSplitter splitter = new EventSplitter();
 
     @Test
-    void events_come_out_whole_however_the_bytes_arrive() {
+    void events_are_complete_however_the_bytes_arrive() {
         String series = "id: 1\ndata: a\n\nid: 2\r\ndata: b\r\n\r\nid: 3\nda";
         List<Event> events = new ArrayList<>();
         for (byte each : series.getBytes(StandardCharsets.ISO_8859_1)) {
@@ -21,7 +21,8 @@
         assertThat(events).extracting(Event::id).containsExactly("1", "2");
         assertThat(new String(events.get(0).bytes(), StandardCharsets.ISO_8859_1))
                 .isEqualTo("id: 1\ndata: a\n\n");
-        assertThat(new String(splitter.rest(), StandardCharsets.ISO_8859_1)).isEqualTo("id: 3\nda");
+        assertThat(new String(splitter.remainder(), StandardCharsets.ISO_8859_1))
+                .isEqualTo("id: 3\nda");
     }
 
     @Test
--- a/daemon/src/test/java/org/bankturn/daemon/gateway/GatewayFixture.java
+++ b/daemon/src/test/java/org/bankturn/daemon/gateway/GatewayFixture.java
@@ -42,15 +42,15 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Timeout;
 
-/** A gateway on loopback before targets that misbehave as each test says; tests extend it. */
+/** Base of tests that run a gateway on loopback in front of scripted targets. */
 @Timeout(30)
 abstract class GatewayFixture {
     static final long LONG_AGO = Long.MIN_VALUE / 2;
 
-    /** Earned within a millisecond of the start; what limits retries has tests of its own. */
+    /** A retry budget that is never exhausted. */
     private static final RetryLimits UNLIMITED_RETRIES = new RetryLimits(0.5, 96_000_000, 10_000);
 
-    /** What was thrown on the reactor's thread and would be lost: a request that it happens to is not taken care of. */
+    /** Exceptions thrown on the reactor's thread, checked after each test. */
     private final List<Throwable> thrown = new CopyOnWriteArrayList<>();
 
     final Eventloop reactor = Eventloop.builder()
@@ -61,33 +61,34 @@
     final List<ScriptedTarget> targets = new ArrayList<>();
     Gateway gateway;
 
-    /** What the gateway had the control group agree on. */
-    final List<PublicationCommand> toldControlGroup = new CopyOnWriteArrayList<>();
+    /** Commands that the gateway sent to the control group. */
+    final List<PublicationCommand> publicationCommands = new CopyOnWriteArrayList<>();
 
     ServingMetrics metrics;
 
-    /** Whether what is published is confirmed by a control process in touch with a majority. */
+    /** Whether the published state is confirmed by a control process connected to a majority. */
     boolean confirmed = true;
 
-    Address callers;
-    Address ready;
+    Address callerAddress;
+    Address readyAddress;
 
-    /** Where the gateway is known as one of the gateways; nothing listens there. */
-    Address node;
+    /** The published node address of the gateway; nothing listens on it. */
+    Address nodeAddress;
 
     @BeforeEach
     void startGateway() throws Exception {
-        callers = FreeAddresses.next();
-        ready = FreeAddresses.next();
-        node = FreeAddresses.next();
+        callerAddress = FreeAddresses.next();
+        readyAddress = FreeAddresses.next();
+        nodeAddress = FreeAddresses.next();
         DecisionLog log = DecisionLog.startTo(LogFile.of(getClass().getSimpleName()), "test", clock);
         metrics = ServingMetrics.of(log);
         gateway = Gateway.of(
-                new GatewaySettings("test", "north", callers, ready, node, UNLIMITED_RETRIES, 1_000, 20_000),
+                new GatewaySettings(
+                        "test", "north", callerAddress, readyAddress, nodeAddress, UNLIMITED_RETRIES, 1_000, 20_000),
                 new PlainDialect(),
                 reactor,
                 NodeClients.on(reactor, clock, ConnectionObserver.NONE),
-                toldControlGroup::add,
+                publicationCommands::add,
                 clock,
                 log,
                 metrics);
@@ -113,7 +114,7 @@
     // ---- targets
 
     ScriptedTarget answering(String body, String fields) throws IOException {
-        return keep(new ScriptedTarget((number, id, socket) -> {
+        return register(new ScriptedTarget((number, id, socket) -> {
             ScriptedTarget.write(
                     socket,
                     "HTTP/1.1 200 OK\r\nId: " + id + "\r\n" + fields + "Content-Length: " + body.length() + "\r\n\r\n"
@@ -122,7 +123,7 @@
         }));
     }
 
-    ScriptedTarget keep(ScriptedTarget target) {
+    ScriptedTarget register(ScriptedTarget target) {
         targets.add(target);
         return target;
     }
@@ -147,7 +148,8 @@
         Map<String, TargetSighting> sightings = new HashMap<>();
         sightings.put(
                 "relay-test",
-                new TargetSighting("relay-test", WeightsRelay.SERVICE, node.toString(), "north", 0, false, -1, 1));
+                new TargetSighting(
+                        "relay-test", WeightsRelay.SERVICE, nodeAddress.toString(), "north", 0, false, -1, 1));
         for (String address : addresses) {
             String id = "t-" + address;
             sightings.put(id, new TargetSighting(id, "chat", address, "north", 4, false, -1, 1));
@@ -181,14 +183,14 @@
     }
 
     String exchange(String request) throws IOException {
-        try (Socket socket = new Socket(callers.host(), callers.port())) {
+        try (Socket socket = new Socket(callerAddress.host(), callerAddress.port())) {
             ScriptedTarget.write(socket, request);
             return readAll(socket.getInputStream());
         }
     }
 
-    String askReady() throws IOException {
-        try (Socket socket = new Socket(ready.host(), ready.port())) {
+    String getReadiness() throws IOException {
+        try (Socket socket = new Socket(readyAddress.host(), readyAddress.port())) {
             ScriptedTarget.write(socket, "GET /ready HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n");
             return readAll(socket.getInputStream());
         }
@@ -199,7 +201,7 @@
         try (InputStream buffered = new BufferedInputStream(input)) {
             buffered.transferTo(all);
         } catch (IOException e) {
-            // a reset ends what can be read
+            // a connection reset ends the response
         }
         return all.toString(StandardCharsets.ISO_8859_1);
     }
--- a/daemon/src/test/java/org/bankturn/daemon/gateway/PlainDialect.java
+++ b/daemon/src/test/java/org/bankturn/daemon/gateway/PlainDialect.java
@@ -8,11 +8,11 @@
 import org.bankturn.daemon.http.HttpHead;
 import org.bankturn.routing.TargetNotice;
 
-/** A dialect with short names, for tests. */
+/** A dialect with short field names, for tests. */
 public final class PlainDialect implements RequestDialect {
     @Override
-    public CallerTerms terms(HttpHead head) {
-        return new CallerTerms(
+    public RequestMetadata parseRequest(HttpHead head) {
+        return new RequestMetadata(
                 head.field("Id").orElse(""),
                 head.field("Host").orElse(""),
                 head.second(),
@@ -24,20 +24,20 @@
     }
 
     @Override
-    public HttpHead toTarget(HttpHead head, Forwarding forwarding) {
+    public HttpHead buildTargetRequest(HttpHead head, ForwardingMetadata forwarding) {
         HttpHead plain = head.withoutConnectionFields().without(Set.of("deadline", "key", "content-length"));
         List<HttpField> fields = new ArrayList<>(plain.fields());
         fields.add(new HttpField("Deadline", Long.toString(forwarding.remainingMillis())));
         fields.add(new HttpField("Target", forwarding.targetName()));
-        if (forwarding.lastEvent() != null) {
-            fields.add(new HttpField("Last-Event", forwarding.lastEvent()));
+        if (forwarding.lastEventId() != null) {
+            fields.add(new HttpField("Last-Event", forwarding.lastEventId()));
         }
         return HttpHead.request(head.first(), head.second(), fields);
     }
 
     @Override
-    public TargetAnswer answer(HttpHead head) {
-        return new TargetAnswer(
+    public ResponseMetadata parseResponse(HttpHead head) {
+        return new ResponseMetadata(
                 head.status(),
                 head.field("Id").orElse(null),
                 head.field("Not-Run").isPresent(),
@@ -54,9 +54,11 @@
     }
 
     @Override
-    public HttpHead ownAnswer(int status, CallerTerms terms, long comeBackMillis) {
+    public HttpHead buildResponse(int status, RequestMetadata metadata, long retryAfterMillis) {
         return HttpHead.answer(
                 status,
-                comeBackMillis > 0 ? List.of(new HttpField("Come-Back", Long.toString(comeBackMillis))) : List.of());
+                retryAfterMillis > 0
+                        ? List.of(new HttpField("Come-Back", Long.toString(retryAfterMillis)))
+                        : List.of());
     }
 }
