--- a/daemon/src/main/java/org/bankturn/daemon/weights/AnsweredException.java
+++ b/daemon/src/main/java/org/bankturn/daemon/weights/HttpStatusException.java
@@ -3,10 +3,10 @@
 import java.io.IOException;
 
 /** A call was answered, but with a status that is no success. */
-final class AnsweredException extends IOException {
+final class HttpStatusException extends IOException {
     private static final long serialVersionUID = 1L;
 
-    AnsweredException(int status) {
+    HttpStatusException(int status) {
         super("answered " + status);
     }
 }
--- a/daemon/src/main/java/org/bankturn/daemon/weights/PieceFetcher.java
+++ b/daemon/src/main/java/org/bankturn/daemon/weights/PieceFetcher.java
@@ -377,7 +377,7 @@
                 .map(HttpCalls.Answer::body)
                 .whenComplete((bytes, failure) -> {
                     originCalls--;
-                    answersInVain += failure == null || failure instanceof AnsweredException ? 1 : 0;
+                    answersInVain += failure == null || failure instanceof HttpStatusException ? 1 : 0;
                     if (isNeeded(piece)) {
                         takeFromOrigin(piece, failure == null ? bytes : null);
                     }
--- a/daemon/src/main/java/org/bankturn/daemon/weights/ProcessSurroundings.java
+++ b/daemon/src/main/java/org/bankturn/daemon/weights/ProcessSurroundings.java
@@ -149,7 +149,7 @@
     private static Promise<HttpCalls.Answer> succeeding(Promise<HttpCalls.Answer> call) {
         return call.then(answer -> answer.isSuccess()
                 ? Promise.of(answer)
-                : Promise.ofException(new AnsweredException(answer.head().status())));
+                : Promise.ofException(new HttpStatusException(answer.head().status())));
     }
 
     @Override
--- a/daemon/src/test/java/org/bankturn/daemon/weights/FetchTurnsTest.java
+++ b/daemon/src/test/java/org/bankturn/daemon/weights/FetchTurnsTest.java
@@ -66,7 +66,7 @@
         answer(PIECES / 2);
         fetch(3);
         for (int refused = 0; refused < 5; refused++) {
-            open.poll().setException(new AnsweredException(410));
+            open.poll().setException(new HttpStatusException(410));
         }
         assertThat(asked).contains("3/0");
     }
