--- a/daemon/src/test/java/org/bankturn/daemon/weights/FetchTurnsTest.java
+++ b/daemon/src/test/java/org/bankturn/daemon/weights/FetchSchedulerTest.java
@@ -28,7 +28,7 @@
  * then fetched side by side, each at half of the origin's rate, so that neither was there when the first was due, and nothing
  * served for seconds.
  */
-class FetchTurnsTest {
+class FetchSchedulerTest {
     private static final int PIECES = 10;
 
     private final ManualClock clock = ManualClock.startingAt(1_000_000);
