--- a/daemon/src/main/java/org/bankturn/daemon/weights/FetchTurns.java
+++ b/daemon/src/main/java/org/bankturn/daemon/weights/FetchScheduler.java
@@ -7,9 +7,9 @@
 /**
  * The versions that one process fetches at a time, and which of them goes first on its links and at the origin.
  *
- * <p>FetchTurns is confined to its reactor's thread.
+ * <p>FetchScheduler is confined to its reactor's thread.
  */
-final class FetchTurns {
+final class FetchScheduler {
     private final List<PieceFetcher> fetchers = new ArrayList<>();
 
     /** A version is fetched from now on. */
--- a/daemon/src/main/java/org/bankturn/daemon/weights/PieceFetcher.java
+++ b/daemon/src/main/java/org/bankturn/daemon/weights/PieceFetcher.java
@@ -58,7 +58,7 @@
     private final String model;
     private final int version;
     private final PieceTaker taker;
-    private final FetchTurns turns;
+    private final FetchScheduler turns;
     private final Neighbours neighbours;
     private final PieceTally tally = new PieceTally();
     private final Map<Integer, Set<PieceSource>> failed = new HashMap<>();
@@ -77,7 +77,7 @@
     /** A piece that may be transferred from a neighbour. */
     private record Turn(int piece, Neighbour from) {}
 
-    PieceFetcher(WeightsSurroundings around, String model, int version, PieceTaker taker, FetchTurns turns) {
+    PieceFetcher(WeightsSurroundings around, String model, int version, PieceTaker taker, FetchScheduler turns) {
         this.around = around;
         this.model = model;
         this.version = version;
--- a/daemon/src/main/java/org/bankturn/daemon/weights/WeightsAgent.java
+++ b/daemon/src/main/java/org/bankturn/daemon/weights/WeightsAgent.java
@@ -43,7 +43,7 @@
     private final WeightsSettings settings;
     private final ProcessSurroundings around;
     private final PieceSender sender;
-    private final FetchTurns turns = new FetchTurns();
+    private final FetchScheduler turns = new FetchScheduler();
     private Published published = Published.NOTHING;
     private WeightsCopy copy;
 
--- a/daemon/src/main/java/org/bankturn/daemon/weights/WeightsCopy.java
+++ b/daemon/src/main/java/org/bankturn/daemon/weights/WeightsCopy.java
@@ -56,10 +56,10 @@
     private record Waiter(int piece, SettablePromise<Boolean> here) {}
 
     WeightsCopy(WeightsSurroundings around, WeightsLayout layout, int version) {
-        this(around, layout, version, new FetchTurns());
+        this(around, layout, version, new FetchScheduler());
     }
 
-    WeightsCopy(WeightsSurroundings around, WeightsLayout layout, int version, FetchTurns turns) {
+    WeightsCopy(WeightsSurroundings around, WeightsLayout layout, int version, FetchScheduler turns) {
         this.around = around;
         this.layout = layout;
         this.version = version;
--- a/daemon/src/main/java/org/bankturn/daemon/weights/WeightsRelay.java
+++ b/daemon/src/main/java/org/bankturn/daemon/weights/WeightsRelay.java
@@ -50,7 +50,7 @@
     private final WeightsWiring wiring;
     private final PieceSender sender;
     private final Map<String, TreeMap<Integer, WeightsCopy>> copies = new HashMap<>();
-    private final Map<String, FetchTurns> turns = new HashMap<>();
+    private final Map<String, FetchScheduler> turns = new HashMap<>();
     private Published published = Published.NOTHING;
 
     /**
@@ -146,7 +146,7 @@
                 around,
                 service.weights(),
                 version,
-                turns.computeIfAbsent(service.weights().model(), key -> new FetchTurns()));
+                turns.computeIfAbsent(service.weights().model(), key -> new FetchScheduler()));
         begun.begin();
         return begun;
     }
--- a/daemon/src/test/java/org/bankturn/daemon/weights/FetchSchedulerTest.java
+++ b/daemon/src/test/java/org/bankturn/daemon/weights/FetchSchedulerTest.java
@@ -33,7 +33,7 @@
 
     private final ManualClock clock = ManualClock.startingAt(1_000_000);
     private final Eventloop reactor = Eventloop.create();
-    private final FetchTurns turns = new FetchTurns();
+    private final FetchScheduler turns = new FetchScheduler();
     private final List<String> asked = new ArrayList<>();
     private final Deque<SettablePromise<HttpCalls.Answer>> open = new ArrayDeque<>();
 
