--- a/daemon/src/main/java/org/bankturn/daemon/weights/Neighbours.java
+++ b/daemon/src/main/java/org/bankturn/daemon/weights/NeighbourTracker.java
@@ -11,9 +11,9 @@
  * What a copy of weights has learned about the boxes it fetches from: which do not answer, which hold nothing after all,
  * and how many transfers run from each.
  *
- * <p>Neighbours is mutable and confined to one thread.
+ * <p>NeighbourTracker is mutable and confined to one thread.
  */
-final class Neighbours {
+final class NeighbourTracker {
     /** How long a box that did not answer is passed over. */
     private static final long AVOIDED_MILLIS = 2_000;
 
@@ -25,7 +25,7 @@
     private final Map<String, Integer> transfers = new HashMap<>();
     private final Set<String> empty = new HashSet<>();
 
-    Neighbours(Clock clock) {
+    NeighbourTracker(Clock clock) {
         this.clock = clock;
     }
 
--- a/daemon/src/main/java/org/bankturn/daemon/weights/PieceFetcher.java
+++ b/daemon/src/main/java/org/bankturn/daemon/weights/PieceFetcher.java
@@ -22,7 +22,7 @@
 /**
  * Fetches the pieces of one version from neighbours and from the origin, each from the source whose turn it is.
  *
- * <p>Neighbours that do not hold the version yet say when they have a piece; now and then another box of the hall is
+ * <p>NeighbourTracker that do not hold the version yet say when they have a piece; now and then another box of the hall is
  * asked, so that a slow box holds nobody up for long. A few pieces at a time are then transferred, at most two from one
  * box, and fewer where requests to an engine share the link. Few pieces at a time are asked of the origin, so that its few
  * connections suffice for all boxes.
@@ -59,7 +59,7 @@
     private final int version;
     private final PieceTaker taker;
     private final FetchScheduler turns;
-    private final Neighbours neighbours;
+    private final NeighbourTracker neighbours;
     private final PieceTally tally = new PieceTally();
     private final Map<Integer, Set<PieceSource>> failed = new HashMap<>();
     private final Deque<Turn> ready = new ArrayDeque<>();
@@ -83,7 +83,7 @@
         this.version = version;
         this.taker = taker;
         this.turns = turns;
-        this.neighbours = new Neighbours(around.clock());
+        this.neighbours = new NeighbourTracker(around.clock());
         turns.began(this);
     }
 
