--- a/daemon/src/main/java/org/bankturn/daemon/weights/PieceFetcher.java
+++ b/daemon/src/main/java/org/bankturn/daemon/weights/PieceFetcher.java
@@ -57,7 +57,7 @@
     private final WeightsSurroundings around;
     private final String model;
     private final int version;
-    private final PieceTaker taker;
+    private final PieceSink taker;
     private final FetchScheduler turns;
     private final NeighbourTracker neighbours;
     private final PieceTally tally = new PieceTally();
@@ -77,7 +77,7 @@
     /** A piece that may be transferred from a neighbour. */
     private record Turn(int piece, Neighbour from) {}
 
-    PieceFetcher(WeightsSurroundings around, String model, int version, PieceTaker taker, FetchScheduler turns) {
+    PieceFetcher(WeightsSurroundings around, String model, int version, PieceSink taker, FetchScheduler turns) {
         this.around = around;
         this.model = model;
         this.version = version;
--- a/daemon/src/main/java/org/bankturn/daemon/weights/PieceTaker.java
+++ b/daemon/src/main/java/org/bankturn/daemon/weights/PieceSink.java
@@ -1,7 +1,7 @@
 package org.bankturn.daemon.weights;
 
 /** Takes in the pieces that a {@link PieceFetcher} brings. */
-interface PieceTaker {
+interface PieceSink {
     /** Returns true while a piece is missing. */
     boolean isMissing(int piece);
 
--- a/daemon/src/main/java/org/bankturn/daemon/weights/WeightsCopy.java
+++ b/daemon/src/main/java/org/bankturn/daemon/weights/WeightsCopy.java
@@ -29,7 +29,7 @@
  * origin are asked for before the manifest is here; they are checked and handed on once it is. WeightsCopy is confined to
  * its reactor's thread.
  */
-final class WeightsCopy implements PieceTaker {
+final class WeightsCopy implements PieceSink {
     /** The number under which the manifest travels between neighbours. */
     static final int MANIFEST = PieceRouting.MANIFEST;
 
--- a/daemon/src/test/java/org/bankturn/daemon/weights/FetchSchedulerTest.java
+++ b/daemon/src/test/java/org/bankturn/daemon/weights/FetchSchedulerTest.java
@@ -98,7 +98,7 @@
     }
 
     /** Takes each piece once, whatever its bytes. */
-    private static final class AnyPiece implements PieceTaker {
+    private static final class AnyPiece implements PieceSink {
         private final Set<Integer> here = new HashSet<>();
 
         @Override
