--- a/daemon/src/test/java/org/bankturn/daemon/weights/PieceTallyTest.java
+++ b/daemon/src/test/java/org/bankturn/daemon/weights/PieceSourceCountsTest.java
@@ -4,7 +4,7 @@
 
 import org.junit.jupiter.api.Test;
 
-class PieceTallyTest {
+class PieceSourceCountsTest {
     private final PieceTally tally = new PieceTally();
 
     @Test
