--- a/daemon/src/main/java/org/bankturn/daemon/weights/PieceFetcher.java
+++ b/daemon/src/main/java/org/bankturn/daemon/weights/PieceFetcher.java
@@ -60,7 +60,7 @@
     private final PieceSink taker;
     private final FetchScheduler turns;
     private final NeighbourTracker neighbours;
-    private final PieceTally tally = new PieceTally();
+    private final PieceSourceCounts tally = new PieceSourceCounts();
     private final Map<Integer, Set<PieceSource>> failed = new HashMap<>();
     private final Deque<Turn> ready = new ArrayDeque<>();
     private final Deque<Integer> fromOrigin = new ArrayDeque<>();
@@ -148,7 +148,7 @@
     }
 
     /** Returns where the pieces that are here came from, not null. */
-    PieceTally tally() {
+    PieceSourceCounts tally() {
         return tally;
     }
 
--- a/daemon/src/main/java/org/bankturn/daemon/weights/PieceTally.java
+++ b/daemon/src/main/java/org/bankturn/daemon/weights/PieceSourceCounts.java
@@ -8,9 +8,9 @@
  * Counts the pieces of one copy by the source that gave them.
  *
  * <p>A copy that is slow although no source failed is often one whose pieces nearly all come from a single box, whose
- * link then is the bound. PieceTally is mutable and confined to its reactor's thread.
+ * link then is the bound. PieceSourceCounts is mutable and confined to its reactor's thread.
  */
-final class PieceTally {
+final class PieceSourceCounts {
     private final Map<String, Integer> pieces = new TreeMap<>();
 
     /** Counts one piece that was taken from a source. */
@@ -39,6 +39,6 @@
 
     @Override
     public String toString() {
-        return "PieceTally" + pieces;
+        return "PieceSourceCounts" + pieces;
     }
 }
--- a/daemon/src/main/java/org/bankturn/daemon/weights/WeightsCopy.java
+++ b/daemon/src/main/java/org/bankturn/daemon/weights/WeightsCopy.java
@@ -281,7 +281,7 @@
         if (!isWhole() || abandoned) {
             return;
         }
-        PieceTally tally = fetcher.tally();
+        PieceSourceCounts tally = fetcher.tally();
         around.log()
                 .line(DecisionKind.WEIGHTS)
                 .with(DecisionField.EVENT, "copy whole")
--- a/daemon/src/test/java/org/bankturn/daemon/weights/PieceSourceCountsTest.java
+++ b/daemon/src/test/java/org/bankturn/daemon/weights/PieceSourceCountsTest.java
@@ -5,7 +5,7 @@
 import org.junit.jupiter.api.Test;
 
 class PieceSourceCountsTest {
-    private final PieceTally tally = new PieceTally();
+    private final PieceSourceCounts tally = new PieceSourceCounts();
 
     @Test
     void the_source_of_most_pieces_is_named() {
