--- a/daemon/src/main/java/org/bankturn/daemon/weights/WeightsAgent.java
+++ b/daemon/src/main/java/org/bankturn/daemon/weights/WeightsAgent.java
@@ -41,7 +41,7 @@
     private static final int VERSIONS_TIMED = 8;
 
     private final WeightsSettings settings;
-    private final ProcessSurroundings around;
+    private final ProcessCopyContext around;
     private final PieceSender sender;
     private final FetchScheduler turns = new FetchScheduler();
     private Published published = Published.NOTHING;
@@ -73,7 +73,7 @@
 
     private WeightsAgent(WeightsSettings settings, WeightsWiring wiring) {
         this.settings = settings;
-        this.around = new ProcessSurroundings(wiring, new EnginePlace());
+        this.around = new ProcessCopyContext(wiring, new EnginePlace());
         this.sender = new PieceSender(wiring.reactor(), wiring.clock(), settings.linkBytesPerSecond());
     }
 
@@ -314,7 +314,7 @@
     }
 
     /** The box of the engine among all boxes and relays. */
-    private final class EnginePlace implements ProcessSurroundings.Place {
+    private final class EnginePlace implements ProcessCopyContext.Place {
         @Override
         public WeightsPeers peers() {
             return WeightsAgent.this.peers();
--- a/daemon/src/main/java/org/bankturn/daemon/weights/WeightsRelay.java
+++ b/daemon/src/main/java/org/bankturn/daemon/weights/WeightsRelay.java
@@ -141,7 +141,7 @@
                 .with(DecisionField.EVENT, "relay begun")
                 .with(DecisionField.VERSION, version)
                 .write();
-        ProcessSurroundings around = new ProcessSurroundings(wiring, new RelayPlace(service.name()));
+        ProcessCopyContext around = new ProcessCopyContext(wiring, new RelayPlace(service.name()));
         WeightsCopy begun = new WeightsCopy(
                 around,
                 service.weights(),
@@ -156,7 +156,7 @@
     }
 
     /** A relay among the other relays; boxes that hold the version may be asked as well. */
-    private final class RelayPlace implements ProcessSurroundings.Place {
+    private final class RelayPlace implements ProcessCopyContext.Place {
         private final String service;
 
         RelayPlace(String service) {
