--- a/daemon/src/main/java/org/bankturn/daemon/weights/WeightsSurroundings.java
+++ b/daemon/src/main/java/org/bankturn/daemon/weights/CopyContext.java
@@ -11,7 +11,7 @@
 import org.bankturn.weights.PieceRouting;
 
 /** What a copy of weights needs from the process around it. */
-interface WeightsSurroundings {
+interface CopyContext {
     /** Returns the reactor whose thread all of this runs on. */
     Eventloop reactor();
 
--- a/daemon/src/main/java/org/bankturn/daemon/weights/PieceFetcher.java
+++ b/daemon/src/main/java/org/bankturn/daemon/weights/PieceFetcher.java
@@ -54,7 +54,7 @@
     /** A version that the origin answers for so often without a good piece keeps no other back: it may be gone there. */
     private static final int MOST_ANSWERS_IN_VAIN = 5;
 
-    private final WeightsSurroundings around;
+    private final CopyContext around;
     private final String model;
     private final int version;
     private final PieceSink taker;
@@ -77,7 +77,7 @@
     /** A piece that may be transferred from a neighbour. */
     private record Turn(int piece, Neighbour from) {}
 
-    PieceFetcher(WeightsSurroundings around, String model, int version, PieceSink taker, FetchScheduler turns) {
+    PieceFetcher(CopyContext around, String model, int version, PieceSink taker, FetchScheduler turns) {
         this.around = around;
         this.model = model;
         this.version = version;
--- a/daemon/src/main/java/org/bankturn/daemon/weights/ProcessCopyContext.java
+++ b/daemon/src/main/java/org/bankturn/daemon/weights/ProcessCopyContext.java
@@ -19,7 +19,7 @@
 import org.bankturn.weights.PieceRouting;
 
 /** The process around a copy of weights: its calls to the engine, the origin and neighbours, and the plan as of now. */
-final class ProcessCopyContext implements WeightsSurroundings {
+final class ProcessCopyContext implements CopyContext {
     private static final long LOCAL_CALL_MILLIS = 1_500;
     private static final long ORIGIN_CALL_MILLIS = 2_500;
     private static final long ORIGIN_CONNECT_MILLIS = 300;
--- a/daemon/src/main/java/org/bankturn/daemon/weights/WeightsCopy.java
+++ b/daemon/src/main/java/org/bankturn/daemon/weights/WeightsCopy.java
@@ -37,7 +37,7 @@
 
     private static final long PROGRESS_MILLIS = 1_000;
 
-    private final WeightsSurroundings around;
+    private final CopyContext around;
     private final WeightsLayout layout;
     private final int version;
     private final long beganMillis;
@@ -55,11 +55,11 @@
 
     private record Waiter(int piece, SettablePromise<Boolean> here) {}
 
-    WeightsCopy(WeightsSurroundings around, WeightsLayout layout, int version) {
+    WeightsCopy(CopyContext around, WeightsLayout layout, int version) {
         this(around, layout, version, new FetchScheduler());
     }
 
-    WeightsCopy(WeightsSurroundings around, WeightsLayout layout, int version, FetchScheduler turns) {
+    WeightsCopy(CopyContext around, WeightsLayout layout, int version, FetchScheduler turns) {
         this.around = around;
         this.layout = layout;
         this.version = version;
--- a/daemon/src/test/java/org/bankturn/daemon/weights/FetchSchedulerTest.java
+++ b/daemon/src/test/java/org/bankturn/daemon/weights/FetchSchedulerTest.java
@@ -113,7 +113,7 @@
     }
 
     /** A box without neighbours whose origin answers only when the test says. */
-    private final class SlowOrigin implements WeightsSurroundings {
+    private final class SlowOrigin implements CopyContext {
         private final int version;
         private final DecisionLog log = DecisionLog.startTo(OutputStream.nullOutputStream(), "box", clock);
         private final ServingMetrics metrics = ServingMetrics.of(log);
--- a/daemon/src/test/java/org/bankturn/daemon/weights/ScriptedBox.java
+++ b/daemon/src/test/java/org/bankturn/daemon/weights/ScriptedBox.java
@@ -22,7 +22,7 @@
 import org.bankturn.weights.PieceRouting;
 
 /** A box with an engine in memory and a copy on its way; its neighbours are boxes of the same test. */
-final class ScriptedBox implements WeightsSurroundings {
+final class ScriptedBox implements CopyContext {
     private static final int FETCHERS = 100;
 
     final PieceHolder self;
