--- a/daemon/src/main/java/org/bankturn/daemon/serving/ServingProcess.java
+++ b/daemon/src/main/java/org/bankturn/daemon/serving/ServingProcess.java
@@ -21,9 +21,9 @@
 import org.bankturn.daemon.publication.PublicationFollower;
 import org.bankturn.daemon.settings.Address;
 import org.bankturn.daemon.weights.WeightsAgent;
+import org.bankturn.daemon.weights.WeightsDependencies;
 import org.bankturn.daemon.weights.WeightsRelay;
 import org.bankturn.daemon.weights.WeightsSettings;
-import org.bankturn.daemon.weights.WeightsWiring;
 import org.bankturn.daemon.wire.NodeClients;
 import org.bankturn.daemon.wire.NodeReply;
 import org.bankturn.daemon.wire.NodeRequest;
@@ -187,8 +187,8 @@
                 sequence);
     }
 
-    private WeightsWiring weightsWiring(NodeClients clients) {
-        return new WeightsWiring(reactor, clients, dialects.weights(), clock, log, metrics);
+    private WeightsDependencies weightsWiring(NodeClients clients) {
+        return new WeightsDependencies(reactor, clients, dialects.weights(), clock, log, metrics);
     }
 
     private Promise<NodeReply> answer(WeightsRelay relay, NodeRequest request) {
--- a/daemon/src/main/java/org/bankturn/daemon/weights/ProcessCopyContext.java
+++ b/daemon/src/main/java/org/bankturn/daemon/weights/ProcessCopyContext.java
@@ -28,7 +28,7 @@
     private static final long TRANSFER_MILLIS = 2_500;
     private static final byte[] NOTHING = new byte[0];
 
-    private final WeightsWiring wiring;
+    private final WeightsDependencies wiring;
     private final Place place;
     private final HttpCalls calls;
     private PieceRouting routing;
@@ -59,7 +59,7 @@
         Optional<Address> engine();
     }
 
-    ProcessCopyContext(WeightsWiring wiring, Place place) {
+    ProcessCopyContext(WeightsDependencies wiring, Place place) {
         this.wiring = wiring;
         this.place = place;
         this.calls = HttpCalls.on(
--- a/daemon/src/main/java/org/bankturn/daemon/weights/WeightsAgent.java
+++ b/daemon/src/main/java/org/bankturn/daemon/weights/WeightsAgent.java
@@ -67,11 +67,11 @@
     private Promise<Void> looking;
 
     /** Returns an agent that does not run yet, not null. */
-    public static WeightsAgent of(WeightsSettings settings, WeightsWiring wiring) {
+    public static WeightsAgent of(WeightsSettings settings, WeightsDependencies wiring) {
         return new WeightsAgent(settings, wiring);
     }
 
-    private WeightsAgent(WeightsSettings settings, WeightsWiring wiring) {
+    private WeightsAgent(WeightsSettings settings, WeightsDependencies wiring) {
         this.settings = settings;
         this.around = new ProcessCopyContext(wiring, new EnginePlace());
         this.sender = new PieceSender(wiring.reactor(), wiring.clock(), settings.linkBytesPerSecond());
--- a/daemon/src/main/java/org/bankturn/daemon/weights/WeightsWiring.java
+++ b/daemon/src/main/java/org/bankturn/daemon/weights/WeightsDependencies.java
@@ -16,7 +16,7 @@
  * @param log the decision log, not null
  * @param metrics the metrics, not null
  */
-public record WeightsWiring(
+public record WeightsDependencies(
         Eventloop reactor,
         NodeClients clients,
         WeightsDialect dialect,
--- a/daemon/src/main/java/org/bankturn/daemon/weights/WeightsRelay.java
+++ b/daemon/src/main/java/org/bankturn/daemon/weights/WeightsRelay.java
@@ -47,7 +47,7 @@
     public static final int NO_ENGINE = -1;
 
     private final RelaySettings settings;
-    private final WeightsWiring wiring;
+    private final WeightsDependencies wiring;
     private final PieceSender sender;
     private final Map<String, TreeMap<Integer, WeightsCopy>> copies = new HashMap<>();
     private final Map<String, FetchScheduler> turns = new HashMap<>();
@@ -63,11 +63,11 @@
     public record RelaySettings(String dataHall, Address nodeAddress, long linkBytesPerSecond) {}
 
     /** Returns a relay that holds nothing yet, not null. */
-    public static WeightsRelay of(RelaySettings settings, WeightsWiring wiring) {
+    public static WeightsRelay of(RelaySettings settings, WeightsDependencies wiring) {
         return new WeightsRelay(settings, wiring);
     }
 
-    private WeightsRelay(RelaySettings settings, WeightsWiring wiring) {
+    private WeightsRelay(RelaySettings settings, WeightsDependencies wiring) {
         this.settings = settings;
         this.wiring = wiring;
         this.sender = new PieceSender(wiring.reactor(), wiring.clock(), settings.linkBytesPerSecond());
--- a/daemon/src/test/java/org/bankturn/daemon/weights/AgentFixture.java
+++ b/daemon/src/test/java/org/bankturn/daemon/weights/AgentFixture.java
@@ -54,7 +54,7 @@
                         "chat",
                         8_000,
                         1_000_000),
-                new WeightsWiring(
+                new WeightsDependencies(
                         reactor, NodeClients.on(reactor), new CountingDialect(), clock, log, ServingMetrics.of(log)));
     }
 
--- a/daemon/src/test/java/org/bankturn/daemon/weights/WeightsRelayTest.java
+++ b/daemon/src/test/java/org/bankturn/daemon/weights/WeightsRelayTest.java
@@ -43,7 +43,7 @@
         new Thread(reactor, "relay-test").start();
         relay = WeightsRelay.of(
                 new WeightsRelay.RelaySettings("north", FreeAddresses.next(), 1_000_000),
-                new WeightsWiring(
+                new WeightsDependencies(
                         reactor,
                         NodeClients.on(reactor),
                         new PlainWeightsDialect(),
