--- a/daemon/src/main/java/org/bankturn/daemon/weights/ProcessCopyContext.java
+++ b/daemon/src/main/java/org/bankturn/daemon/weights/ProcessCopyContext.java
@@ -29,14 +29,14 @@
     private static final byte[] NOTHING = new byte[0];
 
     private final WeightsDependencies wiring;
-    private final Place place;
+    private final Participant place;
     private final HttpCalls calls;
     private PieceRouting routing;
     private long routedIndex;
     private int routedVersion;
 
     /** What differs between a box with an engine and a relay. */
-    interface Place {
+    interface Participant {
         /** Returns the processes that take part, as of now. */
         WeightsPeers peers();
 
@@ -59,7 +59,7 @@
         Optional<Address> engine();
     }
 
-    ProcessCopyContext(WeightsDependencies wiring, Place place) {
+    ProcessCopyContext(WeightsDependencies wiring, Participant place) {
         this.wiring = wiring;
         this.place = place;
         this.calls = HttpCalls.on(
--- a/daemon/src/main/java/org/bankturn/daemon/weights/WeightsAgent.java
+++ b/daemon/src/main/java/org/bankturn/daemon/weights/WeightsAgent.java
@@ -314,7 +314,7 @@
     }
 
     /** The box of the engine among all boxes and relays. */
-    private final class EnginePlace implements ProcessCopyContext.Place {
+    private final class EnginePlace implements ProcessCopyContext.Participant {
         @Override
         public WeightsPeers peers() {
             return WeightsAgent.this.peers();
--- a/daemon/src/main/java/org/bankturn/daemon/weights/WeightsRelay.java
+++ b/daemon/src/main/java/org/bankturn/daemon/weights/WeightsRelay.java
@@ -156,7 +156,7 @@
     }
 
     /** A relay among the other relays; boxes that hold the version may be asked as well. */
-    private final class RelayPlace implements ProcessCopyContext.Place {
+    private final class RelayPlace implements ProcessCopyContext.Participant {
         private final String service;
 
         RelayPlace(String service) {
