--- a/daemon/src/main/java/org/bankturn/daemon/weights/FetchScheduler.java
+++ b/daemon/src/main/java/org/bankturn/daemon/weights/FetchScheduler.java
@@ -13,7 +13,7 @@
     private final List<PieceFetcher> fetchers = new ArrayList<>();
 
     /** A version is fetched from now on. */
-    void began(PieceFetcher fetcher) {
+    void add(PieceFetcher fetcher) {
         fetchers.add(fetcher);
     }
 
--- a/daemon/src/main/java/org/bankturn/daemon/weights/PieceFetcher.java
+++ b/daemon/src/main/java/org/bankturn/daemon/weights/PieceFetcher.java
@@ -84,7 +84,7 @@
         this.taker = taker;
         this.turns = turns;
         this.neighbours = new NeighbourTracker(around.clock());
-        turns.began(this);
+        turns.add(this);
     }
 
     /** Fetches a piece until it is here. */
