--- a/daemon/src/main/java/org/bankturn/daemon/weights/FetchScheduler.java
+++ b/daemon/src/main/java/org/bankturn/daemon/weights/FetchScheduler.java
@@ -18,7 +18,7 @@
     }
 
     /** A version is not fetched any longer. */
-    void ended(PieceFetcher fetcher) {
+    void remove(PieceFetcher fetcher) {
         fetchers.remove(fetcher);
         goOn(fetcher);
     }
--- a/daemon/src/main/java/org/bankturn/daemon/weights/PieceFetcher.java
+++ b/daemon/src/main/java/org/bankturn/daemon/weights/PieceFetcher.java
@@ -134,7 +134,7 @@
 
     void stop() {
         stopped = true;
-        turns.ended(this);
+        turns.remove(this);
     }
 
     /** Returns the pieces that wait for the origin. */
