--- a/daemon/src/main/java/org/bankturn/daemon/weights/FetchScheduler.java
+++ b/daemon/src/main/java/org/bankturn/daemon/weights/FetchScheduler.java
@@ -24,7 +24,7 @@
     }
 
     /** Returns true if no version that goes before asks the origin for anything. */
-    boolean mayAskOrigin(PieceFetcher fetcher) {
+    boolean mayFetchFromOrigin(PieceFetcher fetcher) {
         return fetchers.stream().noneMatch(other -> goesBefore(other, fetcher) && other.asksOrigin());
     }
 
--- a/daemon/src/main/java/org/bankturn/daemon/weights/PieceFetcher.java
+++ b/daemon/src/main/java/org/bankturn/daemon/weights/PieceFetcher.java
@@ -348,7 +348,7 @@
         while (!stopped
                 && !fromOrigin.isEmpty()
                 && originCalls < around.originCallsAtOnce()
-                && turns.mayAskOrigin(this)) {
+                && turns.mayFetchFromOrigin(this)) {
             int piece = fromOrigin.poll();
             if (isNeeded(piece)) {
                 callOrigin(piece);
