--- a/daemon/src/main/java/org/bankturn/daemon/weights/FetchScheduler.java
+++ b/daemon/src/main/java/org/bankturn/daemon/weights/FetchScheduler.java
@@ -20,7 +20,7 @@
     /** A version is not fetched any longer. */
     void remove(PieceFetcher fetcher) {
         fetchers.remove(fetcher);
-        goOn(fetcher);
+        resumeOthers(fetcher);
     }
 
     /** Returns true if no version that goes before asks the origin for anything. */
@@ -34,7 +34,7 @@
     }
 
     /** Lets the others make use of what a fetcher may have left to them. */
-    void goOn(PieceFetcher fetcher) {
+    void resumeOthers(PieceFetcher fetcher) {
         List.copyOf(fetchers).stream().filter(other -> other != fetcher).forEach(PieceFetcher::goOn);
     }
 
--- a/daemon/src/main/java/org/bankturn/daemon/weights/PieceFetcher.java
+++ b/daemon/src/main/java/org/bankturn/daemon/weights/PieceFetcher.java
@@ -295,7 +295,7 @@
         NodeRequest.GetPiece question = new NodeRequest.GetPiece(model, version, turn.piece());
         around.askNeighbour(box, question).whenComplete((bytes, failure) -> {
             neighbours.transferEnded(box);
-            turns.goOn(this);
+            turns.resumeOthers(this);
             if (failure != null) {
                 logFailure(turn.piece(), box, "no transfer: " + failure.getMessage());
                 neighbours.avoid(box);
@@ -382,7 +382,7 @@
                         takeFromOrigin(piece, failure == null ? bytes : null);
                     }
                     goOn();
-                    turns.goOn(this);
+                    turns.resumeOthers(this);
                 });
     }
 }
