--- a/daemon/src/main/java/org/bankturn/daemon/weights/NeighbourTracker.java
+++ b/daemon/src/main/java/org/bankturn/daemon/weights/NeighbourTracker.java
@@ -39,7 +39,7 @@
     }
 
     /** Notes that a box does not hold the version, whatever is published of it. */
-    void holdsNothing(String box) {
+    void markEmpty(String box) {
         empty.add(box);
     }
 
--- a/daemon/src/main/java/org/bankturn/daemon/weights/PieceFetcher.java
+++ b/daemon/src/main/java/org/bankturn/daemon/weights/PieceFetcher.java
@@ -302,7 +302,7 @@
                 fetch(turn.piece(), 0);
             } else if (bytes == null && turn.from().holds()) {
                 logFailure(turn.piece(), box, "holds nothing");
-                neighbours.holdsNothing(box);
+                neighbours.markEmpty(box);
                 fetch(turn.piece(), 0);
             } else if (isNeeded(turn.piece())) {
                 takeFromNeighbour(turn, bytes);
