--- a/daemon/src/main/java/org/bankturn/daemon/weights/NeighbourTracker.java
+++ b/daemon/src/main/java/org/bankturn/daemon/weights/NeighbourTracker.java
@@ -23,7 +23,7 @@
     private final Clock clock;
     private final Map<String, Long> avoidedUntilMillis = new HashMap<>();
     private final Map<String, Integer> transfers = new HashMap<>();
-    private final Set<String> empty = new HashSet<>();
+    private final Set<String> emptyNeighbours = new HashSet<>();
 
     NeighbourTracker(Clock clock) {
         this.clock = clock;
@@ -40,12 +40,12 @@
 
     /** Notes that a box does not hold the version, whatever is published of it. */
     void markEmpty(String box) {
-        empty.add(box);
+        emptyNeighbours.add(box);
     }
 
     /** Returns the boxes that turned out to hold nothing, not null. */
-    Set<String> empty() {
-        return empty;
+    Set<String> emptyNeighbours() {
+        return emptyNeighbours;
     }
 
     /** Returns the sources that it makes no sense to ask now, not null. */
--- a/daemon/src/main/java/org/bankturn/daemon/weights/PieceFetcher.java
+++ b/daemon/src/main/java/org/bankturn/daemon/weights/PieceFetcher.java
@@ -157,11 +157,11 @@
         PieceRouting newest = around.routing(version);
         boolean changed = published == null
                 || !published.equals(newest)
-                || emptyThen != neighbours.empty().size();
+                || emptyThen != neighbours.emptyNeighbours().size();
         if (changed) {
             published = newest;
-            emptyThen = neighbours.empty().size();
-            corrected = emptyThen == 0 ? newest : newest.withoutHolders(neighbours.empty());
+            emptyThen = neighbours.emptyNeighbours().size();
+            corrected = emptyThen == 0 ? newest : newest.withoutHolders(neighbours.emptyNeighbours());
         }
         return corrected;
     }
