--- a/daemon/src/main/java/org/bankturn/daemon/weights/NeighbourTracker.java
+++ b/daemon/src/main/java/org/bankturn/daemon/weights/NeighbourTracker.java
@@ -49,7 +49,7 @@
     }
 
     /** Returns the sources that it makes no sense to ask now, not null. */
-    Set<PieceSource> unfit() {
+    Set<PieceSource> excludedSources() {
         Set<PieceSource> unfit = new HashSet<>();
         avoidedUntilMillis.keySet().stream().filter(this::isAvoided).forEach(box -> {
             unfit.add(new PieceSource.Neighbour(box, true));
--- a/daemon/src/main/java/org/bankturn/daemon/weights/PieceFetcher.java
+++ b/daemon/src/main/java/org/bankturn/daemon/weights/PieceFetcher.java
@@ -192,7 +192,7 @@
     }
 
     private Set<PieceSource> unfitFor(int piece) {
-        Set<PieceSource> sources = neighbours.unfit();
+        Set<PieceSource> sources = neighbours.excludedSources();
         sources.addAll(failed.getOrDefault(piece, Set.of()));
         return sources;
     }
@@ -251,7 +251,7 @@
     private List<Turn> nextTransfers() {
         int atOnce = turns.mayTransfer(this) ? transfersAtOnce() : 0;
         List<Turn> next = new ArrayList<>();
-        Set<PieceSource> avoided = neighbours.unfit();
+        Set<PieceSource> avoided = neighbours.excludedSources();
         Iterator<Turn> turns = ready.iterator();
         while (turns.hasNext() && neighbours.transfersInAll() < atOnce) {
             Turn turn = turns.next();
