--- a/daemon/src/main/java/org/bankturn/daemon/weights/NeighbourTracker.java
+++ b/daemon/src/main/java/org/bankturn/daemon/weights/NeighbourTracker.java
@@ -71,7 +71,7 @@
     }
 
     /** Returns true if another transfer from that box may begin; a slow box then holds up few pieces. */
-    boolean hasRoom(String box) {
+    boolean hasTransferSlot(String box) {
         return transfersFrom(box) < TRANSFERS_FROM_ONE;
     }
 
--- a/daemon/src/main/java/org/bankturn/daemon/weights/PieceFetcher.java
+++ b/daemon/src/main/java/org/bankturn/daemon/weights/PieceFetcher.java
@@ -262,7 +262,7 @@
             } else if (unfit.contains(from)) {
                 turns.remove();
                 around.reactor().post(() -> fetch(turn.piece(), 0));
-            } else if (neighbours.hasRoom(from.box())) {
+            } else if (neighbours.hasTransferSlot(from.box())) {
                 turns.remove();
                 neighbours.transferBegan(from.box());
                 next.add(new Turn(turn.piece(), from));
