--- a/daemon/src/main/java/org/bankturn/daemon/weights/NeighbourTracker.java
+++ b/daemon/src/main/java/org/bankturn/daemon/weights/NeighbourTracker.java
@@ -58,7 +58,7 @@
         return unfit;
     }
 
-    void transferBegan(String box) {
+    void transferStarted(String box) {
         transfers.merge(box, 1, Integer::sum);
     }
 
--- a/daemon/src/main/java/org/bankturn/daemon/weights/PieceFetcher.java
+++ b/daemon/src/main/java/org/bankturn/daemon/weights/PieceFetcher.java
@@ -264,7 +264,7 @@
                 around.reactor().post(() -> fetch(turn.piece(), 0));
             } else if (neighbours.hasTransferSlot(from.box())) {
                 turns.remove();
-                neighbours.transferBegan(from.box());
+                neighbours.transferStarted(from.box());
                 next.add(new Turn(turn.piece(), from));
             }
         }
