--- a/daemon/src/main/java/org/bankturn/daemon/weights/NeighbourTracker.java
+++ b/daemon/src/main/java/org/bankturn/daemon/weights/NeighbourTracker.java
@@ -75,7 +75,7 @@
         return transfersFrom(box) < TRANSFERS_FROM_ONE;
     }
 
-    int transfersInAll() {
+    int totalTransfers() {
         return transfers.values().stream().mapToInt(Integer::intValue).sum();
     }
 }
--- a/daemon/src/main/java/org/bankturn/daemon/weights/PieceFetcher.java
+++ b/daemon/src/main/java/org/bankturn/daemon/weights/PieceFetcher.java
@@ -144,7 +144,7 @@
 
     /** Returns the pieces that neighbours have and that wait for their transfer. */
     int waitingForTransfer() {
-        return ready.size() + neighbours.transfersInAll();
+        return ready.size() + neighbours.totalTransfers();
     }
 
     /** Returns where the pieces that are here came from, not null. */
@@ -253,7 +253,7 @@
         List<Turn> next = new ArrayList<>();
         Set<PieceSource> avoided = neighbours.excludedSources();
         Iterator<Turn> turns = ready.iterator();
-        while (turns.hasNext() && neighbours.transfersInAll() < atOnce) {
+        while (turns.hasNext() && neighbours.totalTransfers() < atOnce) {
             Turn turn = turns.next();
             Set<PieceSource> unfit = failed.containsKey(turn.piece()) ? unfitFor(turn.piece()) : avoided;
             Neighbour from = turn.from().holds() ? leastLoadedHolder(turn, unfit) : turn.from();
