--- a/daemon/src/main/java/org/bankturn/daemon/weights/FetchScheduler.java
+++ b/daemon/src/main/java/org/bankturn/daemon/weights/FetchScheduler.java
@@ -43,7 +43,7 @@
             return false;
         }
         return one.version() < other.version()
-                ? VersionOrder.finishesOlder(one.shareHere())
-                : !VersionOrder.finishesOlder(other.shareHere());
+                ? VersionOrder.finishesOlder(one.fetchedShare())
+                : !VersionOrder.finishesOlder(other.fetchedShare());
     }
 }
--- a/daemon/src/main/java/org/bankturn/daemon/weights/PieceFetcher.java
+++ b/daemon/src/main/java/org/bankturn/daemon/weights/PieceFetcher.java
@@ -100,7 +100,7 @@
     }
 
     /** Returns the share that is here of what was to be fetched. */
-    double shareHere() {
+    double fetchedShare() {
         return (double) taken / Math.max(1, fetched);
     }
 
