--- a/daemon/src/main/java/org/bankturn/daemon/weights/FetchScheduler.java
+++ b/daemon/src/main/java/org/bankturn/daemon/weights/FetchScheduler.java
@@ -25,7 +25,7 @@
 
     /** Returns true if no version that goes before asks the origin for anything. */
     boolean mayFetchFromOrigin(PieceFetcher fetcher) {
-        return fetchers.stream().noneMatch(other -> goesBefore(other, fetcher) && other.asksOrigin());
+        return fetchers.stream().noneMatch(other -> goesBefore(other, fetcher) && other.hasOriginFetches());
     }
 
     /** Returns true if no version that goes before has a piece to transfer. */
--- a/daemon/src/main/java/org/bankturn/daemon/weights/PieceFetcher.java
+++ b/daemon/src/main/java/org/bankturn/daemon/weights/PieceFetcher.java
@@ -110,7 +110,7 @@
     }
 
     /** Returns true if pieces are to be fetched from the origin. */
-    boolean asksOrigin() {
+    boolean hasOriginFetches() {
         return waitingForOrigin() + originRetries > 0;
     }
 
