--- a/daemon/src/main/java/org/bankturn/daemon/weights/FetchScheduler.java
+++ b/daemon/src/main/java/org/bankturn/daemon/weights/FetchScheduler.java
@@ -35,7 +35,7 @@
 
     /** Lets the others make use of what a fetcher may have left to them. */
     void resumeOthers(PieceFetcher fetcher) {
-        List.copyOf(fetchers).stream().filter(other -> other != fetcher).forEach(PieceFetcher::goOn);
+        List.copyOf(fetchers).stream().filter(other -> other != fetcher).forEach(PieceFetcher::resume);
     }
 
     private static boolean goesBefore(PieceFetcher one, PieceFetcher other) {
--- a/daemon/src/main/java/org/bankturn/daemon/weights/PieceFetcher.java
+++ b/daemon/src/main/java/org/bankturn/daemon/weights/PieceFetcher.java
@@ -120,7 +120,7 @@
     }
 
     /** Makes use of what another version has left. */
-    void goOn() {
+    void resume() {
         fetchFromOrigin();
         transferMore();
     }
@@ -381,7 +381,7 @@
                     if (isNeeded(piece)) {
                         takeFromOrigin(piece, failure == null ? bytes : null);
                     }
-                    goOn();
+                    resume();
                     turns.resumeOthers(this);
                 });
     }
