--- a/daemon/src/main/java/org/bankturn/daemon/weights/PieceFetcher.java
+++ b/daemon/src/main/java/org/bankturn/daemon/weights/PieceFetcher.java
@@ -60,7 +60,7 @@
     private final PieceSink taker;
     private final FetchScheduler turns;
     private final NeighbourTracker neighbours;
-    private final PieceSourceCounts tally = new PieceSourceCounts();
+    private final PieceSourceCounts sourceCounts = new PieceSourceCounts();
     private final Map<Integer, Set<PieceSource>> failed = new HashMap<>();
     private final Deque<Turn> ready = new ArrayDeque<>();
     private final Deque<Integer> fromOrigin = new ArrayDeque<>();
@@ -148,8 +148,8 @@
     }
 
     /** Returns where the pieces that are here came from, not null. */
-    PieceSourceCounts tally() {
-        return tally;
+    PieceSourceCounts sourceCounts() {
+        return sourceCounts;
     }
 
     /** Returns the plan as of now, corrected by what was learned here. */
@@ -313,7 +313,7 @@
 
     private void takeFromNeighbour(Turn turn, byte[] bytes) {
         if (takes(turn.piece(), bytes, FROM_NEIGHBOUR)) {
-            tally.tookFrom(turn.from().box());
+            sourceCounts.tookFrom(turn.from().box());
         } else {
             tryNext(turn.piece(), turn.from());
         }
@@ -358,7 +358,7 @@
 
     private void takeFromOrigin(int piece, byte[] bytes) {
         if (takes(piece, bytes, FROM_ORIGIN)) {
-            tally.tookFrom(FROM_ORIGIN);
+            sourceCounts.tookFrom(FROM_ORIGIN);
         } else {
             originRetries++;
             around.reactor().delayBackground(RETRY_MILLIS, () -> {
--- a/daemon/src/main/java/org/bankturn/daemon/weights/WeightsCopy.java
+++ b/daemon/src/main/java/org/bankturn/daemon/weights/WeightsCopy.java
@@ -281,7 +281,7 @@
         if (!isWhole() || abandoned) {
             return;
         }
-        PieceSourceCounts tally = fetcher.tally();
+        PieceSourceCounts tally = fetcher.sourceCounts();
         around.log()
                 .line(DecisionKind.WEIGHTS)
                 .with(DecisionField.EVENT, "copy whole")
