--- a/daemon/src/main/java/org/bankturn/daemon/weights/PieceFetcher.java
+++ b/daemon/src/main/java/org/bankturn/daemon/weights/PieceFetcher.java
@@ -313,7 +313,7 @@
 
     private void takeFromNeighbour(Turn turn, byte[] bytes) {
         if (takes(turn.piece(), bytes, FROM_NEIGHBOUR)) {
-            sourceCounts.tookFrom(turn.from().box());
+            sourceCounts.add(turn.from().box());
         } else {
             tryNext(turn.piece(), turn.from());
         }
@@ -358,7 +358,7 @@
 
     private void takeFromOrigin(int piece, byte[] bytes) {
         if (takes(piece, bytes, FROM_ORIGIN)) {
-            sourceCounts.tookFrom(FROM_ORIGIN);
+            sourceCounts.add(FROM_ORIGIN);
         } else {
             originRetries++;
             around.reactor().delayBackground(RETRY_MILLIS, () -> {
--- a/daemon/src/main/java/org/bankturn/daemon/weights/PieceSourceCounts.java
+++ b/daemon/src/main/java/org/bankturn/daemon/weights/PieceSourceCounts.java
@@ -14,7 +14,7 @@
     private final Map<String, Integer> pieces = new TreeMap<>();
 
     /** Counts one piece that was taken from a source. */
-    void tookFrom(String source) {
+    void add(String source) {
         pieces.merge(source, 1, Integer::sum);
     }
 
--- a/daemon/src/test/java/org/bankturn/daemon/weights/PieceSourceCountsTest.java
+++ b/daemon/src/test/java/org/bankturn/daemon/weights/PieceSourceCountsTest.java
@@ -9,9 +9,9 @@
 
     @Test
     void the_source_of_most_pieces_is_named() {
-        tally.tookFrom("10.0.0.1:7");
-        tally.tookFrom("10.0.0.2:7");
-        tally.tookFrom("10.0.0.2:7");
+        tally.add("10.0.0.1:7");
+        tally.add("10.0.0.2:7");
+        tally.add("10.0.0.2:7");
         assertThat(tally.mostFrom()).isEqualTo("10.0.0.2:7");
         assertThat(tally.from("10.0.0.2:7")).isEqualTo(2);
         assertThat(tally.sources()).isEqualTo(2);
@@ -19,8 +19,8 @@
 
     @Test
     void of_equal_sources_the_first_by_name_is_named_so_that_logs_can_be_compared() {
-        tally.tookFrom("b");
-        tally.tookFrom("a");
+        tally.add("b");
+        tally.add("a");
         assertThat(tally.mostFrom()).isEqualTo("a");
     }
 
