--- a/daemon/src/main/java/org/bankturn/daemon/weights/PieceSourceCounts.java
+++ b/daemon/src/main/java/org/bankturn/daemon/weights/PieceSourceCounts.java
@@ -24,7 +24,7 @@
     }
 
     /** Returns how many pieces a source gave. */
-    int from(String source) {
+    int count(String source) {
         return pieces.getOrDefault(source, 0);
     }
 
--- a/daemon/src/main/java/org/bankturn/daemon/weights/WeightsCopy.java
+++ b/daemon/src/main/java/org/bankturn/daemon/weights/WeightsCopy.java
@@ -287,10 +287,10 @@
                 .with(DecisionField.EVENT, "copy whole")
                 .with(DecisionField.VERSION, version)
                 .with(DecisionField.TOOK_MS, around.clock().millis() - beganMillis)
-                .with(DecisionField.FROM_ORIGIN, tally.from(PieceFetcher.FROM_ORIGIN))
+                .with(DecisionField.FROM_ORIGIN, tally.count(PieceFetcher.FROM_ORIGIN))
                 .with(DecisionField.SOURCES, tally.sources())
                 .with(DecisionField.MOST_FROM, tally.mostFrom())
-                .with(DecisionField.MOST, tally.from(tally.mostFrom()))
+                .with(DecisionField.MOST, tally.count(tally.mostFrom()))
                 .write();
         whenWhole.run();
     }
--- a/daemon/src/test/java/org/bankturn/daemon/weights/PieceSourceCountsTest.java
+++ b/daemon/src/test/java/org/bankturn/daemon/weights/PieceSourceCountsTest.java
@@ -13,7 +13,7 @@
         tally.add("10.0.0.2:7");
         tally.add("10.0.0.2:7");
         assertThat(tally.mostFrom()).isEqualTo("10.0.0.2:7");
-        assertThat(tally.from("10.0.0.2:7")).isEqualTo(2);
+        assertThat(tally.count("10.0.0.2:7")).isEqualTo(2);
         assertThat(tally.sources()).isEqualTo(2);
     }
 
@@ -27,6 +27,6 @@
     @Test
     void nothing_taken_names_no_source() {
         assertThat(tally.mostFrom()).isEmpty();
-        assertThat(tally.from("a")).isZero();
+        assertThat(tally.count("a")).isZero();
     }
 }
