--- a/daemon/src/main/java/org/bankturn/daemon/weights/PieceSourceCounts.java
+++ b/daemon/src/main/java/org/bankturn/daemon/weights/PieceSourceCounts.java
@@ -29,7 +29,7 @@
     }
 
     /** Returns the source that gave most pieces, empty if none gave any; of several the first by name. */
-    String mostFrom() {
+    String topSource() {
         return pieces.entrySet().stream()
                 .max(Map.Entry.<String, Integer>comparingByValue()
                         .thenComparing(Map.Entry.comparingByKey(Comparator.reverseOrder())))
--- a/daemon/src/main/java/org/bankturn/daemon/weights/WeightsCopy.java
+++ b/daemon/src/main/java/org/bankturn/daemon/weights/WeightsCopy.java
@@ -289,8 +289,8 @@
                 .with(DecisionField.TOOK_MS, around.clock().millis() - beganMillis)
                 .with(DecisionField.FROM_ORIGIN, tally.count(PieceFetcher.FROM_ORIGIN))
                 .with(DecisionField.SOURCES, tally.sources())
-                .with(DecisionField.MOST_FROM, tally.mostFrom())
-                .with(DecisionField.MOST, tally.count(tally.mostFrom()))
+                .with(DecisionField.MOST_FROM, tally.topSource())
+                .with(DecisionField.MOST, tally.count(tally.topSource()))
                 .write();
         whenWhole.run();
     }
--- a/daemon/src/test/java/org/bankturn/daemon/weights/PieceSourceCountsTest.java
+++ b/daemon/src/test/java/org/bankturn/daemon/weights/PieceSourceCountsTest.java
@@ -12,7 +12,7 @@
         tally.add("10.0.0.1:7");
         tally.add("10.0.0.2:7");
         tally.add("10.0.0.2:7");
-        assertThat(tally.mostFrom()).isEqualTo("10.0.0.2:7");
+        assertThat(tally.topSource()).isEqualTo("10.0.0.2:7");
         assertThat(tally.count("10.0.0.2:7")).isEqualTo(2);
         assertThat(tally.sources()).isEqualTo(2);
     }
@@ -21,12 +21,12 @@
     void of_equal_sources_the_first_by_name_is_named_so_that_logs_can_be_compared() {
         tally.add("b");
         tally.add("a");
-        assertThat(tally.mostFrom()).isEqualTo("a");
+        assertThat(tally.topSource()).isEqualTo("a");
     }
 
     @Test
     void nothing_taken_names_no_source() {
-        assertThat(tally.mostFrom()).isEmpty();
+        assertThat(tally.topSource()).isEmpty();
         assertThat(tally.count("a")).isZero();
     }
 }
