--- a/daemon/src/main/java/org/bankturn/daemon/weights/PieceSourceCounts.java
+++ b/daemon/src/main/java/org/bankturn/daemon/weights/PieceSourceCounts.java
@@ -19,7 +19,7 @@
     }
 
     /** Returns how many sources gave pieces. */
-    int sources() {
+    int sourceCount() {
         return pieces.size();
     }
 
--- a/daemon/src/main/java/org/bankturn/daemon/weights/WeightsCopy.java
+++ b/daemon/src/main/java/org/bankturn/daemon/weights/WeightsCopy.java
@@ -288,7 +288,7 @@
                 .with(DecisionField.VERSION, version)
                 .with(DecisionField.TOOK_MS, around.clock().millis() - beganMillis)
                 .with(DecisionField.FROM_ORIGIN, tally.count(PieceFetcher.FROM_ORIGIN))
-                .with(DecisionField.SOURCES, tally.sources())
+                .with(DecisionField.SOURCES, tally.sourceCount())
                 .with(DecisionField.MOST_FROM, tally.topSource())
                 .with(DecisionField.MOST, tally.count(tally.topSource()))
                 .write();
--- a/daemon/src/test/java/org/bankturn/daemon/weights/PieceSourceCountsTest.java
+++ b/daemon/src/test/java/org/bankturn/daemon/weights/PieceSourceCountsTest.java
@@ -14,7 +14,7 @@
         tally.add("10.0.0.2:7");
         assertThat(tally.topSource()).isEqualTo("10.0.0.2:7");
         assertThat(tally.count("10.0.0.2:7")).isEqualTo(2);
-        assertThat(tally.sources()).isEqualTo(2);
+        assertThat(tally.sourceCount()).isEqualTo(2);
     }
 
     @Test
