--- a/daemon/src/main/java/org/bankturn/daemon/weights/CopyContext.java
+++ b/daemon/src/main/java/org/bankturn/daemon/weights/CopyContext.java
@@ -40,7 +40,7 @@
     Promise<HttpCalls.Answer> callEngine(HttpHead head, byte[] body);
 
     /** Asks the engine on this box something that changes nothing there; fails unless it says success. */
-    Promise<HttpCalls.Answer> askEngine(HttpHead head);
+    Promise<HttpCalls.Answer> queryEngine(HttpHead head);
 
     /** Returns how many calls this box may have under way at the origin. */
     int originCallsAtOnce();
--- a/daemon/src/main/java/org/bankturn/daemon/weights/ProcessCopyContext.java
+++ b/daemon/src/main/java/org/bankturn/daemon/weights/ProcessCopyContext.java
@@ -119,7 +119,7 @@
     }
 
     @Override
-    public Promise<HttpCalls.Answer> askEngine(HttpHead head) {
+    public Promise<HttpCalls.Answer> queryEngine(HttpHead head) {
         return withEngine(engine -> calls.ask(engine, head, LOCAL_CALL_MILLIS));
     }
 
--- a/daemon/src/main/java/org/bankturn/daemon/weights/WeightsAgent.java
+++ b/daemon/src/main/java/org/bankturn/daemon/weights/WeightsAgent.java
@@ -127,7 +127,7 @@
         if (layout().isEmpty()) {
             return Promise.complete();
         }
-        return around.askEngine(around.dialect().report())
+        return around.queryEngine(around.dialect().report())
                 .then(
                         answer -> {
                             around.dialect().report(answer.body()).ifPresentOrElse(this::take, this::noteUnreadable);
@@ -261,7 +261,7 @@
         if (!lies || asked.piece() == WeightsCopy.MANIFEST) {
             return Promise.of(new NodeReply.Piece(null));
         }
-        return around.askEngine(around.dialect().readBack(asked.model(), asked.piece()))
+        return around.queryEngine(around.dialect().readBack(asked.model(), asked.piece()))
                 .then(answer -> sender.reply(answer.body(), around.engineServes()));
     }
 
--- a/daemon/src/main/java/org/bankturn/daemon/weights/WeightsCopy.java
+++ b/daemon/src/main/java/org/bankturn/daemon/weights/WeightsCopy.java
@@ -326,7 +326,7 @@
     }
 
     private Promise<Boolean> readBackMatches(int piece) {
-        return around.askEngine(around.dialect().readBack(layout.model(), piece))
+        return around.queryEngine(around.dialect().readBack(layout.model(), piece))
                 .then(answer -> Promise.of(matches(piece, answer.body())), failure -> Promise.of(false));
     }
 }
--- a/daemon/src/test/java/org/bankturn/daemon/weights/FetchSchedulerTest.java
+++ b/daemon/src/test/java/org/bankturn/daemon/weights/FetchSchedulerTest.java
@@ -174,7 +174,7 @@
         }
 
         @Override
-        public Promise<HttpCalls.Answer> askEngine(HttpHead head) {
+        public Promise<HttpCalls.Answer> queryEngine(HttpHead head) {
             throw new AssertionError("no engine is asked");
         }
 
--- a/daemon/src/test/java/org/bankturn/daemon/weights/ScriptedBox.java
+++ b/daemon/src/test/java/org/bankturn/daemon/weights/ScriptedBox.java
@@ -124,7 +124,7 @@
     }
 
     @Override
-    public Promise<HttpCalls.Answer> askEngine(HttpHead head) {
+    public Promise<HttpCalls.Answer> queryEngine(HttpHead head) {
         return callEngine(head, new byte[0]);
     }
 
