--- a/daemon/src/main/java/org/bankturn/daemon/weights/CopyContext.java
+++ b/daemon/src/main/java/org/bankturn/daemon/weights/CopyContext.java
@@ -43,7 +43,7 @@
     Promise<HttpCalls.Answer> queryEngine(HttpHead head);
 
     /** Returns how many calls this box may have under way at the origin. */
-    int originCallsAtOnce();
+    int maxOriginCalls();
 
     /** Calls the origin of weights; fails unless it says success. */
     Promise<HttpCalls.Answer> callOrigin(HttpHead head);
--- a/daemon/src/main/java/org/bankturn/daemon/weights/PieceFetcher.java
+++ b/daemon/src/main/java/org/bankturn/daemon/weights/PieceFetcher.java
@@ -347,7 +347,7 @@
     private void fetchFromOrigin() {
         while (!stopped
                 && !fromOrigin.isEmpty()
-                && originCalls < around.originCallsAtOnce()
+                && originCalls < around.maxOriginCalls()
                 && turns.mayFetchFromOrigin(this)) {
             int piece = fromOrigin.poll();
             if (isNeeded(piece)) {
--- a/daemon/src/main/java/org/bankturn/daemon/weights/ProcessCopyContext.java
+++ b/daemon/src/main/java/org/bankturn/daemon/weights/ProcessCopyContext.java
@@ -130,7 +130,7 @@
     }
 
     @Override
-    public int originCallsAtOnce() {
+    public int maxOriginCalls() {
         int share = place.peers().originConnections() / Math.max(1, place.originSharers());
         return Math.max(1, Math.min(MOST_ORIGIN_CALLS, share));
     }
--- a/daemon/src/test/java/org/bankturn/daemon/weights/FetchSchedulerTest.java
+++ b/daemon/src/test/java/org/bankturn/daemon/weights/FetchSchedulerTest.java
@@ -159,7 +159,7 @@
         }
 
         @Override
-        public int originCallsAtOnce() {
+        public int maxOriginCalls() {
             return 1;
         }
 
--- a/daemon/src/test/java/org/bankturn/daemon/weights/ScriptedBox.java
+++ b/daemon/src/test/java/org/bankturn/daemon/weights/ScriptedBox.java
@@ -101,7 +101,7 @@
     }
 
     @Override
-    public int originCallsAtOnce() {
+    public int maxOriginCalls() {
         return 1;
     }
 
