--- a/daemon/src/main/java/org/bankturn/daemon/weights/CopyContext.java
+++ b/daemon/src/main/java/org/bankturn/daemon/weights/CopyContext.java
@@ -49,7 +49,7 @@
     Promise<HttpCalls.Answer> callOrigin(HttpHead head);
 
     /** Asks a neighbour for a piece; gives null if it has none, and fails if it does not answer. */
-    Promise<byte[]> askNeighbour(String box, NodeRequest.GetPiece request);
+    Promise<byte[]> requestPiece(String box, NodeRequest.GetPiece request);
 
     /** Waits until a neighbour has a piece; gives false if time ran out, and fails if it does not answer. */
     Promise<Boolean> awaitNeighbour(String box, NodeRequest.AwaitPiece request);
--- a/daemon/src/main/java/org/bankturn/daemon/weights/PieceFetcher.java
+++ b/daemon/src/main/java/org/bankturn/daemon/weights/PieceFetcher.java
@@ -293,7 +293,7 @@
     private void transfer(Turn turn) {
         String box = turn.from().box();
         NodeRequest.GetPiece question = new NodeRequest.GetPiece(model, version, turn.piece());
-        around.askNeighbour(box, question).whenComplete((bytes, failure) -> {
+        around.requestPiece(box, question).whenComplete((bytes, failure) -> {
             neighbours.transferEnded(box);
             turns.resumeOthers(this);
             if (failure != null) {
--- a/daemon/src/main/java/org/bankturn/daemon/weights/ProcessCopyContext.java
+++ b/daemon/src/main/java/org/bankturn/daemon/weights/ProcessCopyContext.java
@@ -153,7 +153,7 @@
     }
 
     @Override
-    public Promise<byte[]> askNeighbour(String box, NodeRequest.GetPiece request) {
+    public Promise<byte[]> requestPiece(String box, NodeRequest.GetPiece request) {
         return wiring.clients()
                 .ask(Address.parse(box), request, TRANSFER_MILLIS)
                 .map(reply -> reply instanceof NodeReply.Piece piece ? piece.bytes() : null);
--- a/daemon/src/test/java/org/bankturn/daemon/weights/FetchSchedulerTest.java
+++ b/daemon/src/test/java/org/bankturn/daemon/weights/FetchSchedulerTest.java
@@ -187,7 +187,7 @@
         }
 
         @Override
-        public Promise<byte[]> askNeighbour(String box, NodeRequest.GetPiece request) {
+        public Promise<byte[]> requestPiece(String box, NodeRequest.GetPiece request) {
             throw new AssertionError("there are no neighbours");
         }
 
--- a/daemon/src/test/java/org/bankturn/daemon/weights/ScriptedBox.java
+++ b/daemon/src/test/java/org/bankturn/daemon/weights/ScriptedBox.java
@@ -139,7 +139,7 @@
     }
 
     @Override
-    public Promise<byte[]> askNeighbour(String box, NodeRequest.GetPiece request) {
+    public Promise<byte[]> requestPiece(String box, NodeRequest.GetPiece request) {
         ScriptedBox asked = boxes.get(box);
         if (asked.frozen) {
             return Promise.ofException(new IOException("frozen"));
