--- a/daemon/src/main/java/org/bankturn/daemon/weights/PieceFetcher.java
+++ b/daemon/src/main/java/org/bankturn/daemon/weights/PieceFetcher.java
@@ -331,7 +331,7 @@
     }
 
     private boolean takes(int piece, byte[] bytes, String source) {
-        boolean good = bytes != null && taker.take(piece, bytes, source);
+        boolean good = bytes != null && taker.accept(piece, bytes, source);
         if (good) {
             taken++;
             answersInVain = 0;
--- a/daemon/src/main/java/org/bankturn/daemon/weights/PieceSink.java
+++ b/daemon/src/main/java/org/bankturn/daemon/weights/PieceSink.java
@@ -6,5 +6,5 @@
     boolean isMissing(int piece);
 
     /** Takes in a piece; returns false if it is spoilt and must come from elsewhere. */
-    boolean take(int piece, byte[] bytes, String source);
+    boolean accept(int piece, byte[] bytes, String source);
 }
--- a/daemon/src/main/java/org/bankturn/daemon/weights/WeightsCopy.java
+++ b/daemon/src/main/java/org/bankturn/daemon/weights/WeightsCopy.java
@@ -181,7 +181,7 @@
     }
 
     @Override
-    public boolean take(int piece, byte[] bytes, String source) {
+    public boolean accept(int piece, byte[] bytes, String source) {
         if (piece == MANIFEST) {
             return takeManifest(bytes);
         }
@@ -228,7 +228,7 @@
         Map<Integer, byte[]> came = Map.copyOf(unchecked);
         unchecked.clear();
         came.forEach((piece, bytes) -> {
-            if (isMissing(piece) && !take(piece, bytes, PieceFetcher.FROM_ORIGIN)) {
+            if (isMissing(piece) && !accept(piece, bytes, PieceFetcher.FROM_ORIGIN)) {
                 around.metrics().pieceRejected(PieceFetcher.FROM_ORIGIN);
                 fetcher.fetch(piece);
             }
--- a/daemon/src/test/java/org/bankturn/daemon/weights/FetchSchedulerTest.java
+++ b/daemon/src/test/java/org/bankturn/daemon/weights/FetchSchedulerTest.java
@@ -107,7 +107,7 @@
         }
 
         @Override
-        public boolean take(int piece, byte[] bytes, String source) {
+        public boolean accept(int piece, byte[] bytes, String source) {
             return here.add(piece);
         }
     }
