--- a/daemon/src/main/java/org/bankturn/daemon/weights/WeightsAgent.java
+++ b/daemon/src/main/java/org/bankturn/daemon/weights/WeightsAgent.java
@@ -154,7 +154,7 @@
             return;
         }
         fetchWanted(wanted, report);
-        if (!report.busy() && copy.isWhole()) {
+        if (!report.busy() && copy.isComplete()) {
             startInTurn();
         }
     }
@@ -281,7 +281,7 @@
     }
 
     private boolean holds(int version) {
-        return copyOf(version).filter(WeightsCopy::isWhole).isPresent()
+        return copyOf(version).filter(WeightsCopy::isComplete).isPresent()
                 || (lastReport != null && lastReport.heldVersion() == version);
     }
 
--- a/daemon/src/main/java/org/bankturn/daemon/weights/WeightsCopy.java
+++ b/daemon/src/main/java/org/bankturn/daemon/weights/WeightsCopy.java
@@ -72,7 +72,7 @@
     }
 
     /** Returns true if every piece lies beside the engine. */
-    boolean isWhole() {
+    boolean isComplete() {
         return manifest != null && staged == pieces.length;
     }
 
@@ -124,7 +124,7 @@
 
     private void logProgressLater() {
         around.reactor().delayBackground(PROGRESS_MILLIS, () -> {
-            if (!abandoned && !isWhole() && isWaiting()) {
+            if (!abandoned && !isComplete() && isWaiting()) {
                 logProgress();
                 logProgressLater();
             }
@@ -278,7 +278,7 @@
 
     private void countStaged() {
         staged++;
-        if (!isWhole() || abandoned) {
+        if (!isComplete() || abandoned) {
             return;
         }
         PieceSourceCounts tally = fetcher.sourceCounts();
--- a/daemon/src/test/java/org/bankturn/daemon/weights/WeightsCopyTest.java
+++ b/daemon/src/test/java/org/bankturn/daemon/weights/WeightsCopyTest.java
@@ -232,7 +232,7 @@
     private static Promise<Void> whole(ScriptedBox box) {
         SettablePromise<Void> whole = new SettablePromise<>();
         box.copy.whenWhole(() -> whole.set(null));
-        if (box.copy.isWhole()) {
+        if (box.copy.isComplete()) {
             whole.trySet(null);
         }
         return whole;
