--- a/daemon/src/main/java/org/bankturn/daemon/weights/WeightsAgent.java
+++ b/daemon/src/main/java/org/bankturn/daemon/weights/WeightsAgent.java
@@ -164,8 +164,8 @@
         if (copy != null && copy.version() >= wanted) {
             return;
         }
-        boolean finishes =
-                copy != null && (report.busy() || (copy.isWellUnderWay() && report.heldVersion() < copy.version()));
+        boolean finishes = copy != null
+                && (report.busy() || (copy.hasSubstantialProgress() && report.heldVersion() < copy.version()));
         if (following == null || following.version() < wanted) {
             abandon(following);
             following = beginCopy(wanted);
--- a/daemon/src/main/java/org/bankturn/daemon/weights/WeightsCopy.java
+++ b/daemon/src/main/java/org/bankturn/daemon/weights/WeightsCopy.java
@@ -77,7 +77,7 @@
     }
 
     /** Returns true if so much is here that the rest is likely to come, even if the origin fails now. */
-    boolean isWellUnderWay() {
+    boolean hasSubstantialProgress() {
         return manifest != null && VersionOrder.finishesOlder((double) here() / pieces.length);
     }
 
