--- a/daemon/src/main/java/org/bankturn/daemon/weights/WeightsAgent.java
+++ b/daemon/src/main/java/org/bankturn/daemon/weights/WeightsAgent.java
@@ -174,7 +174,7 @@
             abandon(copy);
             copy = following;
             following = null;
-            copy.whenWhole(this::startInTurn);
+            copy.onComplete(this::startInTurn);
             copy.letStage();
         }
     }
--- a/daemon/src/main/java/org/bankturn/daemon/weights/WeightsCopy.java
+++ b/daemon/src/main/java/org/bankturn/daemon/weights/WeightsCopy.java
@@ -51,7 +51,7 @@
     private int staged;
     private boolean mayStage;
     private boolean abandoned;
-    private Runnable whenWhole = () -> {};
+    private Runnable onComplete = () -> {};
 
     private record Waiter(int piece, SettablePromise<Boolean> here) {}
 
@@ -87,8 +87,8 @@
                 : (int) Arrays.stream(pieces).filter(Objects::nonNull).count();
     }
 
-    void whenWhole(Runnable action) {
-        whenWhole = action;
+    void onComplete(Runnable action) {
+        onComplete = action;
     }
 
     void begin() {
@@ -292,7 +292,7 @@
                 .with(DecisionField.MOST_FROM, tally.topSource())
                 .with(DecisionField.MOST, tally.count(tally.topSource()))
                 .write();
-        whenWhole.run();
+        onComplete.run();
     }
 
     private Promise<Void> put(int piece) {
--- a/daemon/src/test/java/org/bankturn/daemon/weights/WeightsCopyTest.java
+++ b/daemon/src/test/java/org/bankturn/daemon/weights/WeightsCopyTest.java
@@ -231,7 +231,7 @@
 
     private static Promise<Void> whole(ScriptedBox box) {
         SettablePromise<Void> whole = new SettablePromise<>();
-        box.copy.whenWhole(() -> whole.set(null));
+        box.copy.onComplete(() -> whole.set(null));
         if (box.copy.isComplete()) {
             whole.trySet(null);
         }
