--- a/daemon/src/main/java/org/bankturn/daemon/weights/WeightsAgent.java
+++ b/daemon/src/main/java/org/bankturn/daemon/weights/WeightsAgent.java
@@ -192,7 +192,7 @@
                 .with(DecisionField.VERSION, version)
                 .write();
         WeightsCopy begun = new WeightsCopy(around, layout().orElseThrow(), version, turns);
-        begun.begin();
+        begun.start();
         return begun;
     }
 
--- a/daemon/src/main/java/org/bankturn/daemon/weights/WeightsCopy.java
+++ b/daemon/src/main/java/org/bankturn/daemon/weights/WeightsCopy.java
@@ -91,7 +91,7 @@
         onComplete = action;
     }
 
-    void begin() {
+    void start() {
         fetcher.fetch(MANIFEST);
         for (int piece = 0; piece < layout.pieces(); piece++) {
             if (fetcher.isOriginFetcher(piece) && around.wants(version, piece)) {
--- a/daemon/src/main/java/org/bankturn/daemon/weights/WeightsRelay.java
+++ b/daemon/src/main/java/org/bankturn/daemon/weights/WeightsRelay.java
@@ -147,7 +147,7 @@
                 service.weights(),
                 version,
                 turns.computeIfAbsent(service.weights().model(), key -> new FetchScheduler()));
-        begun.begin();
+        begun.start();
         return begun;
     }
 
--- a/daemon/src/test/java/org/bankturn/daemon/weights/ScriptedBox.java
+++ b/daemon/src/test/java/org/bankturn/daemon/weights/ScriptedBox.java
@@ -52,7 +52,7 @@
     void begin(int pieces) {
         copy = new WeightsCopy(
                 this, new WeightsLayout(PlainWeightsDialect.MODEL, 1, pieces, 100), PlainWeightsDialect.VERSION);
-        copy.begin();
+        copy.start();
     }
 
     @Override
