--- a/daemon/src/main/java/org/bankturn/daemon/weights/WeightsAgent.java
+++ b/daemon/src/main/java/org/bankturn/daemon/weights/WeightsAgent.java
@@ -175,7 +175,7 @@
             copy = following;
             following = null;
             copy.onComplete(this::startInTurn);
-            copy.letStage();
+            copy.allowStaging();
         }
     }
 
--- a/daemon/src/main/java/org/bankturn/daemon/weights/WeightsCopy.java
+++ b/daemon/src/main/java/org/bankturn/daemon/weights/WeightsCopy.java
@@ -102,7 +102,7 @@
     }
 
     /** Lets the pieces be laid beside the engine, where they replace those of any other version. */
-    void letStage() {
+    void allowStaging() {
         if (mayStage) {
             return;
         }
--- a/daemon/src/test/java/org/bankturn/daemon/weights/WeightsCopyTest.java
+++ b/daemon/src/test/java/org/bankturn/daemon/weights/WeightsCopyTest.java
@@ -134,7 +134,7 @@
         origin.manifestDown = true;
         run(() -> {
             boxes.values().forEach(box -> box.begin(PIECES));
-            boxes.values().forEach(box -> box.copy.letStage());
+            boxes.values().forEach(box -> box.copy.allowStaging());
             return Promise.complete();
         });
         run(() -> {
@@ -156,7 +156,7 @@
         });
         assertThat(box.staged).isEmpty();
         run(() -> {
-            box.copy.letStage();
+            box.copy.allowStaging();
             return whole(box);
         });
         assertThat(box.staged).hasSize(PIECES);
@@ -215,7 +215,7 @@
         List<ScriptedBox> some = List.of(names).stream().map(boxes::get).toList();
         run(() -> {
             some.forEach(box -> box.begin(PIECES));
-            some.forEach(box -> box.copy.letStage());
+            some.forEach(box -> box.copy.allowStaging());
             return wholeAll(some);
         });
     }
