--- a/daemon/src/main/java/org/bankturn/daemon/weights/WeightsAgent.java
+++ b/daemon/src/main/java/org/bankturn/daemon/weights/WeightsAgent.java
@@ -268,7 +268,7 @@
     /** Answers a neighbour that waits for a piece. */
     public Promise<NodeReply> awaitPiece(NodeRequest.AwaitPiece asked) {
         Promise<Boolean> there = copyOf(asked.version())
-                .map(coming -> coming.whenHere(asked.piece(), asked.waitMillis()))
+                .map(coming -> coming.awaitPiece(asked.piece(), asked.waitMillis()))
                 .orElseGet(() -> notComing(asked));
         return there.map(NodeReply.PieceThere::new);
     }
--- a/daemon/src/main/java/org/bankturn/daemon/weights/WeightsCopy.java
+++ b/daemon/src/main/java/org/bankturn/daemon/weights/WeightsCopy.java
@@ -158,7 +158,7 @@
     }
 
     /** Gives true once a piece is here, false when {@code waitMillis} are over. */
-    Promise<Boolean> whenHere(int piece, long waitMillis) {
+    Promise<Boolean> awaitPiece(int piece, long waitMillis) {
         if (piece(piece) != null) {
             return Promise.of(true);
         }
--- a/daemon/src/main/java/org/bankturn/daemon/weights/WeightsRelay.java
+++ b/daemon/src/main/java/org/bankturn/daemon/weights/WeightsRelay.java
@@ -93,7 +93,7 @@
     public Promise<NodeReply> awaitPiece(NodeRequest.AwaitPiece asked) {
         Optional<WeightsCopy> copy = copy(asked.model(), asked.version());
         copy.ifPresent(each -> each.demand(asked.piece()));
-        return copy.map(each -> each.whenHere(asked.piece(), asked.waitMillis()))
+        return copy.map(each -> each.awaitPiece(asked.piece(), asked.waitMillis()))
                 .orElseGet(this::notComing)
                 .map(NodeReply.PieceThere::new);
     }
--- a/daemon/src/test/java/org/bankturn/daemon/weights/ScriptedBox.java
+++ b/daemon/src/test/java/org/bankturn/daemon/weights/ScriptedBox.java
@@ -160,6 +160,6 @@
         if (asked.relay) {
             asked.copy.demand(request.piece());
         }
-        return asked.copy.whenHere(request.piece(), request.waitMillis());
+        return asked.copy.awaitPiece(request.piece(), request.waitMillis());
     }
 }
--- a/daemon/src/test/java/org/bankturn/daemon/weights/WeightsCopyTest.java
+++ b/daemon/src/test/java/org/bankturn/daemon/weights/WeightsCopyTest.java
@@ -152,7 +152,7 @@
         ScriptedBox box = boxes.get("north-1");
         run(() -> {
             box.begin(PIECES);
-            return box.copy.whenHere(PIECES - 1, 10_000);
+            return box.copy.awaitPiece(PIECES - 1, 10_000);
         });
         assertThat(box.staged).isEmpty();
         run(() -> {
