--- a/daemon/src/main/java/org/bankturn/daemon/weights/WeightsCopy.java
+++ b/daemon/src/main/java/org/bankturn/daemon/weights/WeightsCopy.java
@@ -95,7 +95,7 @@
         fetcher.fetch(MANIFEST);
         for (int piece = 0; piece < layout.pieces(); piece++) {
             if (fetcher.isOriginFetcher(piece) && around.wants(version, piece)) {
-                demand(piece);
+                request(piece);
             }
         }
         logProgressLater();
@@ -209,14 +209,14 @@
         takeUnchecked();
         for (int piece = 0; piece < pieces.length; piece++) {
             if (around.wants(version, piece)) {
-                demand(piece);
+                request(piece);
             }
         }
         return true;
     }
 
     /** Fetches a piece, unless that was begun before. */
-    void demand(int piece) {
+    void request(int piece) {
         boolean exists = piece >= 0 && piece < layout.pieces();
         if (exists && demanded.add(piece)) {
             fetcher.fetch(piece);
--- a/daemon/src/main/java/org/bankturn/daemon/weights/WeightsRelay.java
+++ b/daemon/src/main/java/org/bankturn/daemon/weights/WeightsRelay.java
@@ -92,7 +92,7 @@
     /** Answers a box that waits for a piece, which is fetched if need be. */
     public Promise<NodeReply> awaitPiece(NodeRequest.AwaitPiece asked) {
         Optional<WeightsCopy> copy = copy(asked.model(), asked.version());
-        copy.ifPresent(each -> each.demand(asked.piece()));
+        copy.ifPresent(each -> each.request(asked.piece()));
         return copy.map(each -> each.awaitPiece(asked.piece(), asked.waitMillis()))
                 .orElseGet(this::notComing)
                 .map(NodeReply.PieceThere::new);
--- a/daemon/src/test/java/org/bankturn/daemon/weights/ScriptedBox.java
+++ b/daemon/src/test/java/org/bankturn/daemon/weights/ScriptedBox.java
@@ -158,7 +158,7 @@
         }
         waitsFor.merge(box, 1, Integer::sum);
         if (asked.relay) {
-            asked.copy.demand(request.piece());
+            asked.copy.request(request.piece());
         }
         return asked.copy.awaitPiece(request.piece(), request.waitMillis());
     }
