--- a/daemon/src/main/java/org/bankturn/daemon/weights/WeightsAgent.java
+++ b/daemon/src/main/java/org/bankturn/daemon/weights/WeightsAgent.java
@@ -181,7 +181,7 @@
 
     private static void abandon(WeightsCopy former) {
         if (former != null) {
-            former.abandon();
+            former.cancel();
         }
     }
 
--- a/daemon/src/main/java/org/bankturn/daemon/weights/WeightsCopy.java
+++ b/daemon/src/main/java/org/bankturn/daemon/weights/WeightsCopy.java
@@ -114,7 +114,7 @@
         }
     }
 
-    void abandon() {
+    void cancel() {
         abandoned = true;
         fetcher.stop();
         List<Waiter> told = List.copyOf(waiters);
--- a/daemon/src/main/java/org/bankturn/daemon/weights/WeightsRelay.java
+++ b/daemon/src/main/java/org/bankturn/daemon/weights/WeightsRelay.java
@@ -125,7 +125,7 @@
         WeightsCopy begun = begin(service.get(), version);
         versions.put(version, begun);
         if (versions.size() > VERSIONS_KEPT) {
-            versions.pollFirstEntry().getValue().abandon();
+            versions.pollFirstEntry().getValue().cancel();
         }
         return Optional.of(begun);
     }
