--- a/daemon/src/main/java/org/bankturn/daemon/serving/ServingProcess.java
+++ b/daemon/src/main/java/org/bankturn/daemon/serving/ServingProcess.java
@@ -247,7 +247,7 @@
 
     private static Promise<NodeReply> answer(WeightsAgent agent, NodeRequest request) {
         if (request instanceof NodeRequest.GetPiece asked) {
-            return agent.givePiece(asked);
+            return agent.sendPiece(asked);
         }
         if (request instanceof NodeRequest.AwaitPiece asked) {
             return agent.awaitPiece(asked);
--- a/daemon/src/main/java/org/bankturn/daemon/weights/WeightsAgent.java
+++ b/daemon/src/main/java/org/bankturn/daemon/weights/WeightsAgent.java
@@ -252,7 +252,7 @@
     // ---- neighbours
 
     /** Answers a neighbour that asks for a piece. */
-    public Promise<NodeReply> givePiece(NodeRequest.GetPiece asked) {
+    public Promise<NodeReply> sendPiece(NodeRequest.GetPiece asked) {
         Optional<WeightsCopy> coming = copyOf(asked.version());
         if (coming.isPresent()) {
             return sender.reply(coming.get().piece(asked.piece()), around.engineServes());
