--- a/daemon/src/main/java/org/bankturn/daemon/serving/ServingProcess.java
+++ b/daemon/src/main/java/org/bankturn/daemon/serving/ServingProcess.java
@@ -196,7 +196,7 @@
             return Promise.of(gateway.givePermit(asked));
         }
         if (request instanceof NodeRequest.GetPiece asked) {
-            return relay.givePiece(asked);
+            return relay.sendPiece(asked);
         }
         if (request instanceof NodeRequest.AwaitPiece asked) {
             return relay.awaitPiece(asked);
--- a/daemon/src/main/java/org/bankturn/daemon/weights/WeightsRelay.java
+++ b/daemon/src/main/java/org/bankturn/daemon/weights/WeightsRelay.java
@@ -82,7 +82,7 @@
     }
 
     /** Answers a box that asks for a piece. */
-    public Promise<NodeReply> givePiece(NodeRequest.GetPiece asked) {
+    public Promise<NodeReply> sendPiece(NodeRequest.GetPiece asked) {
         byte[] bytes = copy(asked.model(), asked.version())
                 .map(copy -> copy.piece(asked.piece()))
                 .orElse(null);
--- a/daemon/src/test/java/org/bankturn/daemon/weights/WeightsRelayTest.java
+++ b/daemon/src/test/java/org/bankturn/daemon/weights/WeightsRelayTest.java
@@ -68,7 +68,7 @@
 
     @Test
     void a_piece_that_is_not_here_is_answered_with_none() {
-        assertThat(run(() -> relay.givePiece(new NodeRequest.GetPiece(PlainWeightsDialect.MODEL, 1, 0))))
+        assertThat(run(() -> relay.sendPiece(new NodeRequest.GetPiece(PlainWeightsDialect.MODEL, 1, 0))))
                 .isEqualTo(new NodeReply.Piece(null));
     }
 
