--- a/daemon/src/main/java/org/bankturn/daemon/serving/ServingProcess.java
+++ b/daemon/src/main/java/org/bankturn/daemon/serving/ServingProcess.java
@@ -253,7 +253,7 @@
             return agent.awaitPiece(asked);
         }
         if (request instanceof NodeRequest.GetLoad) {
-            return agent.giveLoad();
+            return agent.reportLoad();
         }
         return Promise.of(new NodeReply.Failed("not for a weights process"));
     }
--- a/daemon/src/main/java/org/bankturn/daemon/weights/WeightsAgent.java
+++ b/daemon/src/main/java/org/bankturn/daemon/weights/WeightsAgent.java
@@ -286,7 +286,7 @@
     }
 
     /** Answers a gateway that asks for the engine's load, with what the engine says now. */
-    public Promise<NodeReply> giveLoad() {
+    public Promise<NodeReply> reportLoad() {
         return look().map(nothing -> loadAsKnown());
     }
 
--- a/daemon/src/test/java/org/bankturn/daemon/weights/AgentFixture.java
+++ b/daemon/src/test/java/org/bankturn/daemon/weights/AgentFixture.java
@@ -83,7 +83,7 @@
 
     /** Asks for the engine's load as gateways do; null if none is told. */
     EngineLoad askedLoad() {
-        NodeReply reply = reactor.submit(() -> agent.giveLoad()).join();
+        NodeReply reply = reactor.submit(() -> agent.reportLoad()).join();
         return ((NodeReply.Load) reply).load();
     }
 
