--- a/daemon/src/test/java/org/bankturn/daemon/weights/ScriptedBox.java
+++ b/daemon/src/test/java/org/bankturn/daemon/weights/ScriptedBox.java
@@ -28,7 +28,7 @@
     final PieceHolder self;
     final Map<Integer, byte[]> staged = new HashMap<>();
     final List<String> orders = new ArrayList<>();
-    final Set<Integer> rotsOnce = new HashSet<>();
+    final Set<Integer> corruptOnce = new HashSet<>();
     final Set<Integer> rotsAlways = new HashSet<>();
     boolean frozen;
     boolean relay;
@@ -129,7 +129,7 @@
     }
 
     private void put(int piece, byte[] body) {
-        boolean rots = rotsAlways.contains(piece) || rotsOnce.remove(piece);
+        boolean rots = rotsAlways.contains(piece) || corruptOnce.remove(piece);
         staged.put(piece, rots ? new byte[] {7} : body);
     }
 
--- a/daemon/src/test/java/org/bankturn/daemon/weights/WeightsCopyTest.java
+++ b/daemon/src/test/java/org/bankturn/daemon/weights/WeightsCopyTest.java
@@ -166,7 +166,7 @@
     void a_piece_that_turned_bad_beside_the_engine_is_laid_down_again_before_the_start() {
         addBoxes(0, "north-1");
         ScriptedBox box = boxes.get("north-1");
-        box.rotsOnce.add(3);
+        box.corruptOnce.add(3);
         copyEverywhere();
         assertThat(box.staged.get(3)).isNotEqualTo(origin.piece(3));
         run(() -> box.copy.verifyAndStart(ChangeMethod.AFTER_ANSWERS).toVoid());
