--- a/daemon/src/test/java/org/bankturn/daemon/weights/ScriptedBox.java
+++ b/daemon/src/test/java/org/bankturn/daemon/weights/ScriptedBox.java
@@ -29,7 +29,7 @@
     final Map<Integer, byte[]> staged = new HashMap<>();
     final List<String> orders = new ArrayList<>();
     final Set<Integer> corruptOnce = new HashSet<>();
-    final Set<Integer> rotsAlways = new HashSet<>();
+    final Set<Integer> alwaysCorrupt = new HashSet<>();
     boolean frozen;
     boolean relay;
     final Map<String, Integer> waitsFor = new HashMap<>();
@@ -129,7 +129,7 @@
     }
 
     private void put(int piece, byte[] body) {
-        boolean rots = rotsAlways.contains(piece) || corruptOnce.remove(piece);
+        boolean rots = alwaysCorrupt.contains(piece) || corruptOnce.remove(piece);
         staged.put(piece, rots ? new byte[] {7} : body);
     }
 
--- a/daemon/src/test/java/org/bankturn/daemon/weights/WeightsCopyTest.java
+++ b/daemon/src/test/java/org/bankturn/daemon/weights/WeightsCopyTest.java
@@ -178,7 +178,7 @@
     void nothing_is_started_while_a_piece_does_not_stay_good() {
         addBoxes(0, "north-1");
         ScriptedBox box = boxes.get("north-1");
-        box.rotsAlways.add(3);
+        box.alwaysCorrupt.add(3);
         copyEverywhere();
         assertThatThrownBy(() -> run(() ->
                         box.copy.verifyAndStart(ChangeMethod.AFTER_ANSWERS).toVoid()))
