--- a/daemon/src/test/java/org/bankturn/daemon/weights/ScriptedBox.java
+++ b/daemon/src/test/java/org/bankturn/daemon/weights/ScriptedBox.java
@@ -32,7 +32,7 @@
     final Set<Integer> alwaysCorrupt = new HashSet<>();
     boolean frozen;
     boolean relay;
-    final Map<String, Integer> waitsFor = new HashMap<>();
+    final Map<String, Integer> awaitCounts = new HashMap<>();
     WeightsCopy copy;
     private final Eventloop reactor;
     private final ScriptedOrigin origin;
@@ -156,7 +156,7 @@
         if (asked.copy == null) {
             return Promise.of(false);
         }
-        waitsFor.merge(box, 1, Integer::sum);
+        awaitCounts.merge(box, 1, Integer::sum);
         if (asked.relay) {
             asked.copy.request(request.piece());
         }
--- a/daemon/src/test/java/org/bankturn/daemon/weights/WeightsCopyTest.java
+++ b/daemon/src/test/java/org/bankturn/daemon/weights/WeightsCopyTest.java
@@ -86,7 +86,7 @@
         for (int piece = 0; piece < PIECES; piece++) {
             assertThat(origin.sends(piece)).isEqualTo(1);
         }
-        assertThat(boxes.get("north-1").waitsFor.keySet()).containsExactlyInAnyOrder("north-8", "north-9");
+        assertThat(boxes.get("north-1").awaitCounts.keySet()).containsExactlyInAnyOrder("north-8", "north-9");
     }
 
     @Test
