--- a/daemon/src/test/java/org/bankturn/daemon/weights/ScriptedBox.java
+++ b/daemon/src/test/java/org/bankturn/daemon/weights/ScriptedBox.java
@@ -49,7 +49,7 @@
         boxes.put(self.box(), this);
     }
 
-    void begin(int pieces) {
+    void startCopy(int pieces) {
         copy = new WeightsCopy(
                 this, new WeightsLayout(PlainWeightsDialect.MODEL, 1, pieces, 100), PlainWeightsDialect.VERSION);
         copy.start();
--- a/daemon/src/test/java/org/bankturn/daemon/weights/WeightsCopyTest.java
+++ b/daemon/src/test/java/org/bankturn/daemon/weights/WeightsCopyTest.java
@@ -115,8 +115,8 @@
     void a_relay_takes_pieces_from_boxes_that_hold_the_version_when_the_origin_is_down() {
         addBoxes(PlainWeightsDialect.VERSION, "north-1", "south-1");
         run(() -> {
-            boxes.get("north-1").begin(PIECES);
-            boxes.get("south-1").begin(PIECES);
+            boxes.get("north-1").startCopy(PIECES);
+            boxes.get("south-1").startCopy(PIECES);
             return Promise.complete();
         });
         copyTo("north-1", "south-1");
@@ -133,7 +133,7 @@
         origin.down = true;
         origin.manifestDown = true;
         run(() -> {
-            boxes.values().forEach(box -> box.begin(PIECES));
+            boxes.values().forEach(box -> box.startCopy(PIECES));
             boxes.values().forEach(box -> box.copy.allowStaging());
             return Promise.complete();
         });
@@ -151,7 +151,7 @@
         addBoxes(0, "north-1");
         ScriptedBox box = boxes.get("north-1");
         run(() -> {
-            box.begin(PIECES);
+            box.startCopy(PIECES);
             return box.copy.awaitPiece(PIECES - 1, 10_000);
         });
         assertThat(box.staged).isEmpty();
@@ -202,7 +202,7 @@
             boxes.get(name).relay = true;
         }
         run(() -> {
-            List.of(names).forEach(name -> boxes.get(name).begin(PIECES));
+            List.of(names).forEach(name -> boxes.get(name).startCopy(PIECES));
             return Promise.complete();
         });
     }
@@ -214,7 +214,7 @@
     private void copyTo(String... names) {
         List<ScriptedBox> some = List.of(names).stream().map(boxes::get).toList();
         run(() -> {
-            some.forEach(box -> box.begin(PIECES));
+            some.forEach(box -> box.startCopy(PIECES));
             some.forEach(box -> box.copy.allowStaging());
             return wholeAll(some);
         });
