--- a/daemon/src/test/java/org/bankturn/daemon/weights/ScriptedOrigin.java
+++ b/daemon/src/test/java/org/bankturn/daemon/weights/ScriptedOrigin.java
@@ -16,7 +16,7 @@
 /** An origin of weights in memory, which sends pieces spoilt or not at all as a test says. */
 final class ScriptedOrigin {
     final List<String> asked = new ArrayList<>();
-    final Map<Integer, Integer> spoiltSends = new HashMap<>();
+    final Map<Integer, Integer> corruptSends = new HashMap<>();
     boolean down;
     boolean manifestDown;
     private final byte[][] pieces;
@@ -51,7 +51,7 @@
     }
 
     private byte[] pieceOrSpoilt(int piece) {
-        boolean spoilt = spoiltSends.merge(piece, -1, Integer::sum) >= 0;
+        boolean spoilt = corruptSends.merge(piece, -1, Integer::sum) >= 0;
         return spoilt ? new byte[] {0} : pieces[piece];
     }
 
--- a/daemon/src/test/java/org/bankturn/daemon/weights/WeightsCopyTest.java
+++ b/daemon/src/test/java/org/bankturn/daemon/weights/WeightsCopyTest.java
@@ -52,7 +52,7 @@
     @Test
     void a_piece_that_comes_spoilt_from_the_origin_is_fetched_again() {
         addBoxes(0, "north-1", "north-2");
-        origin.spoiltSends.put(5, 2);
+        origin.corruptSends.put(5, 2);
         copyEverywhere();
         assertEverythingStaged();
     }
