--- a/daemon/src/test/java/org/bankturn/daemon/weights/AgentFixture.java
+++ b/daemon/src/test/java/org/bankturn/daemon/weights/AgentFixture.java
@@ -50,7 +50,7 @@
                         "agent",
                         "north",
                         FreeAddresses.next(),
-                        wayTo(new Address("127.0.0.1", engine.getLocalPort())),
+                        routeTo(new Address("127.0.0.1", engine.getLocalPort())),
                         "chat",
                         8_000,
                         1_000_000),
@@ -66,7 +66,7 @@
     }
 
     /** Returns where the agent reaches the engine. */
-    Address wayTo(Address engineAddress) throws IOException {
+    Address routeTo(Address engineAddress) throws IOException {
         return engineAddress;
     }
 
--- a/daemon/src/test/java/org/bankturn/daemon/weights/SilentEngineTest.java
+++ b/daemon/src/test/java/org/bankturn/daemon/weights/SilentEngineTest.java
@@ -21,7 +21,7 @@
     private SilencingRelay relay;
 
     @Override
-    Address wayTo(Address engineAddress) throws IOException {
+    Address routeTo(Address engineAddress) throws IOException {
         relay = SilencingRelay.before(engineAddress);
         return relay.address();
     }
