--- a/daemon/src/test/java/org/bankturn/daemon/weights/AgentFixture.java
+++ b/daemon/src/test/java/org/bankturn/daemon/weights/AgentFixture.java
@@ -82,7 +82,7 @@
     }
 
     /** Asks for the engine's load as gateways do; null if none is told. */
-    EngineLoad askedLoad() {
+    EngineLoad requestLoad() {
         NodeReply reply = reactor.submit(() -> agent.reportLoad()).join();
         return ((NodeReply.Load) reply).load();
     }
--- a/daemon/src/test/java/org/bankturn/daemon/weights/SilentEngineTest.java
+++ b/daemon/src/test/java/org/bankturn/daemon/weights/SilentEngineTest.java
@@ -34,17 +34,17 @@
     @Test
     void gateways_are_told_the_load_of_an_engine_whose_kept_connection_went_silent() {
         publishLayout();
-        assertThat(askedLoad().active()).isEqualTo(1);
+        assertThat(requestLoad().active()).isEqualTo(1);
         relay.silence();
-        assertThat(askedLoad()).isNotNull();
-        assertThat(askedLoad().active()).isEqualTo(reports.get());
+        assertThat(requestLoad()).isNotNull();
+        assertThat(requestLoad().active()).isEqualTo(reports.get());
     }
 
     @Test
     void a_connection_to_an_engine_that_answers_is_used_again() {
         publishLayout();
         for (int report = 1; report <= 10; report++) {
-            assertThat(askedLoad().active()).isEqualTo(report);
+            assertThat(requestLoad().active()).isEqualTo(report);
         }
         assertThat(relay.opened()).isLessThan(10);
     }
--- a/daemon/src/test/java/org/bankturn/daemon/weights/WeightsAgentTest.java
+++ b/daemon/src/test/java/org/bankturn/daemon/weights/WeightsAgentTest.java
@@ -11,14 +11,14 @@
     @Test
     void a_gateway_is_told_what_the_engine_says_when_it_asks() {
         publishLayout();
-        assertThat(askedLoad().active()).isEqualTo(1);
-        assertThat(askedLoad().active()).isEqualTo(2);
-        assertThat(askedLoad().active()).isEqualTo(3);
+        assertThat(requestLoad().active()).isEqualTo(1);
+        assertThat(requestLoad().active()).isEqualTo(2);
+        assertThat(requestLoad().active()).isEqualTo(3);
     }
 
     @Test
     void without_a_layout_nothing_is_known_and_the_engine_is_left_alone() {
-        assertThat(askedLoad()).isNull();
+        assertThat(requestLoad()).isNull();
         assertThat(reports).hasValue(0);
     }
 }
