--- a/daemon/src/main/java/org/bankturn/daemon/weights/WeightsCopy.java
+++ b/daemon/src/main/java/org/bankturn/daemon/weights/WeightsCopy.java
@@ -23,65 +23,65 @@
 import org.bankturn.weights.VersionOrder;
 
 /**
- * One version of a model's weights on its way to this box.
+ * Copies one version of a model's weights to this box and stages it at the engine.
  *
- * <p>A piece counts only once its digest matches and it lies beside the engine. Pieces that this box fetches from the
- * origin are asked for before the manifest is here; they are checked and handed on once it is. WeightsCopy is confined to
- * its reactor's thread.
+ * <p>The copy is complete once every piece was verified against its digest and staged. Pieces from the origin are requested
+ * before the manifest has arrived; they are verified and served to neighbours once it has.
+ *
+ * <p>This class is confined to its reactor's thread.
  */
 final class WeightsCopy implements PieceSink {
-    /** The number under which the manifest travels between neighbours. */
+    /** The piece number of the manifest in requests between neighbours. */
     static final int MANIFEST = PieceRouting.MANIFEST;
 
     private static final long RETRY_MILLIS = 150;
+    private static final long PROGRESS_LOG_MILLIS = 1_000;
 
-    private static final long PROGRESS_MILLIS = 1_000;
-
-    private final CopyContext around;
+    private final CopyContext context;
     private final WeightsLayout layout;
     private final int version;
-    private final long beganMillis;
+    private final long startMillis;
     private final PieceFetcher fetcher;
     private final List<Waiter> waiters = new ArrayList<>();
-    private final Set<Integer> demanded = new HashSet<>();
-    private final Map<Integer, byte[]> unchecked = new HashMap<>();
+    private final Set<Integer> requested = new HashSet<>();
+    private final Map<Integer, byte[]> unverified = new HashMap<>();
     private byte[] manifestBytes;
     private PieceManifest manifest;
     private byte[][] pieces;
     private int staged;
-    private boolean mayStage;
-    private boolean abandoned;
+    private boolean stagingAllowed;
+    private boolean cancelled;
     private Runnable onComplete = () -> {};
 
-    private record Waiter(int piece, SettablePromise<Boolean> here) {}
+    private record Waiter(int piece, SettablePromise<Boolean> available) {}
 
-    WeightsCopy(CopyContext around, WeightsLayout layout, int version) {
-        this(around, layout, version, new FetchScheduler());
+    WeightsCopy(CopyContext context, WeightsLayout layout, int version) {
+        this(context, layout, version, new FetchScheduler());
     }
 
-    WeightsCopy(CopyContext around, WeightsLayout layout, int version, FetchScheduler turns) {
-        this.around = around;
+    WeightsCopy(CopyContext context, WeightsLayout layout, int version, FetchScheduler scheduler) {
+        this.context = context;
         this.layout = layout;
         this.version = version;
-        this.beganMillis = around.clock().millis();
-        this.fetcher = new PieceFetcher(around, layout.model(), version, this, turns);
+        this.startMillis = context.clock().millis();
+        this.fetcher = new PieceFetcher(context, layout.model(), version, this, scheduler);
     }
 
     int version() {
         return version;
     }
 
-    /** Returns true if every piece lies beside the engine. */
+    /** Returns true if every piece was verified and staged. */
     boolean isComplete() {
         return manifest != null && staged == pieces.length;
     }
 
-    /** Returns true if so much is here that the rest is likely to come, even if the origin fails now. */
+    /** Returns true if enough pieces are available that a newer version should wait for this one. */
     boolean hasSubstantialProgress() {
-        return manifest != null && VersionOrder.finishesOlder((double) here() / pieces.length);
+        return manifest != null && VersionOrder.finishesOlder((double) availablePieces() / pieces.length);
     }
 
-    private int here() {
+    private int availablePieces() {
         return pieces == null
                 ? 0
                 : (int) Arrays.stream(pieces).filter(Objects::nonNull).count();
@@ -94,37 +94,37 @@
     void start() {
         fetcher.fetch(MANIFEST);
         for (int piece = 0; piece < layout.pieces(); piece++) {
-            if (fetcher.isOriginFetcher(piece) && around.wants(version, piece)) {
+            if (fetcher.isOriginFetcher(piece) && context.wants(version, piece)) {
                 request(piece);
             }
         }
         logProgressLater();
     }
 
-    /** Lets the pieces be laid beside the engine, where they replace those of any other version. */
+    /** Allows pieces to be staged, which overwrites the staged pieces of any other version. */
     void allowStaging() {
-        if (mayStage) {
+        if (stagingAllowed) {
             return;
         }
-        mayStage = true;
+        stagingAllowed = true;
         for (int piece = 0; pieces != null && piece < pieces.length; piece++) {
             if (pieces[piece] != null) {
-                stage(piece);
+                stageWithRetry(piece);
             }
         }
     }
 
     void cancel() {
-        abandoned = true;
+        cancelled = true;
         fetcher.stop();
-        List<Waiter> told = List.copyOf(waiters);
+        List<Waiter> notified = List.copyOf(waiters);
         waiters.clear();
-        told.forEach(waiter -> waiter.here().trySet(false));
+        notified.forEach(waiter -> waiter.available().trySet(false));
     }
 
     private void logProgressLater() {
-        around.reactor().delayBackground(PROGRESS_MILLIS, () -> {
-            if (!abandoned && !isComplete() && isWaiting()) {
+        context.reactor().delayBackground(PROGRESS_LOG_MILLIS, () -> {
+            if (!cancelled && !isComplete() && isWaiting()) {
                 logProgress();
                 logProgressLater();
             }
@@ -132,24 +132,24 @@
     }
 
     private boolean isWaiting() {
-        return manifest == null || demanded.stream().anyMatch(piece -> isMissing(piece)) || mayStage;
+        return manifest == null || requested.stream().anyMatch(piece -> isMissing(piece)) || stagingAllowed;
     }
 
     private void logProgress() {
-        around.log()
+        context.log()
                 .line(DecisionKind.WEIGHTS)
                 .with(DecisionField.EVENT, "copy under way")
                 .with(DecisionField.VERSION, version)
-                .with(DecisionField.PIECES, here())
+                .with(DecisionField.PIECES, availablePieces())
                 .with(DecisionField.AT_ORIGIN, fetcher.waitingForOrigin())
                 .with(DecisionField.AT_NEIGHBOURS, fetcher.waitingForTransfer())
-                .with(DecisionField.TOOK_MS, around.clock().millis() - beganMillis)
+                .with(DecisionField.TOOK_MS, context.clock().millis() - startMillis)
                 .write();
     }
 
-    // ---- handing on
+    // ---- serving neighbours
 
-    /** Gives a piece, null if it is not here. */
+    /** Returns a piece, null if it is not available. */
     byte[] piece(int piece) {
         if (piece == MANIFEST) {
             return manifestBytes;
@@ -157,97 +157,97 @@
         return pieces != null && piece < pieces.length ? pieces[piece] : null;
     }
 
-    /** Gives true once a piece is here, false when {@code waitMillis} are over. */
+    /** Completes with true once a piece is available, with false after {@code waitMillis}. */
     Promise<Boolean> awaitPiece(int piece, long waitMillis) {
         if (piece(piece) != null) {
             return Promise.of(true);
         }
         Waiter waiter = new Waiter(piece, new SettablePromise<>());
         waiters.add(waiter);
-        around.reactor().delayBackground(waitMillis, () -> {
+        context.reactor().delayBackground(waitMillis, () -> {
             if (waiters.remove(waiter)) {
-                waiter.here().trySet(false);
+                waiter.available().trySet(false);
             }
         });
-        return waiter.here();
+        return waiter.available();
     }
 
-    // ---- taking in
+    // ---- receiving
 
     @Override
     public boolean isMissing(int piece) {
         boolean exists = manifest == null || piece < pieces.length;
-        return !abandoned && exists && piece(piece) == null && !unchecked.containsKey(piece);
+        return !cancelled && exists && piece(piece) == null && !unverified.containsKey(piece);
     }
 
     @Override
     public boolean accept(int piece, byte[] bytes, String source) {
         if (piece == MANIFEST) {
-            return takeManifest(bytes);
+            return acceptManifest(bytes);
         }
         if (manifest == null) {
-            unchecked.put(piece, bytes);
+            unverified.put(piece, bytes);
             return true;
         }
         if (!matches(piece, bytes)) {
             return false;
         }
-        around.metrics().pieceTaken(source, bytes.length);
-        keep(piece, bytes);
+        context.metrics().pieceTaken(source, bytes.length);
+        store(piece, bytes);
         return true;
     }
 
-    private boolean takeManifest(byte[] bytes) {
-        PieceManifest read = around.dialect().manifest(bytes).orElse(null);
-        if (read == null || read.version() != version || read.digests().isEmpty()) {
+    private boolean acceptManifest(byte[] bytes) {
+        PieceManifest parsed = context.dialect().manifest(bytes).orElse(null);
+        if (parsed == null || parsed.version() != version || parsed.digests().isEmpty()) {
             return false;
         }
         manifestBytes = bytes;
-        manifest = read;
-        pieces = new byte[read.digests().size()][];
-        tellWaiters(MANIFEST);
-        takeUnchecked();
+        manifest = parsed;
+        pieces = new byte[parsed.digests().size()][];
+        notifyWaiters(MANIFEST);
+        verifyEarlyPieces();
         for (int piece = 0; piece < pieces.length; piece++) {
-            if (around.wants(version, piece)) {
+            if (context.wants(version, piece)) {
                 request(piece);
             }
         }
         return true;
     }
 
-    /** Fetches a piece, unless that was begun before. */
+    /** Fetches a piece unless it was requested before. */
     void request(int piece) {
         boolean exists = piece >= 0 && piece < layout.pieces();
-        if (exists && demanded.add(piece)) {
+        if (exists && requested.add(piece)) {
             fetcher.fetch(piece);
         }
     }
 
-    /** Checks the pieces that came before the manifest; what is spoilt is fetched again. */
-    private void takeUnchecked() {
-        Map<Integer, byte[]> came = Map.copyOf(unchecked);
-        unchecked.clear();
-        came.forEach((piece, bytes) -> {
+    /** Verifies the pieces that arrived before the manifest; corrupt ones are fetched again. */
+    private void verifyEarlyPieces() {
+        Map<Integer, byte[]> early = Map.copyOf(unverified);
+        unverified.clear();
+        early.forEach((piece, bytes) -> {
             if (isMissing(piece) && !accept(piece, bytes, PieceFetcher.FROM_ORIGIN)) {
-                around.metrics().pieceRejected(PieceFetcher.FROM_ORIGIN);
+                context.metrics().pieceRejected(PieceFetcher.FROM_ORIGIN);
                 fetcher.fetch(piece);
             }
         });
     }
 
-    private void keep(int piece, byte[] bytes) {
+    private void store(int piece, byte[] bytes) {
         pieces[piece] = bytes;
-        tellWaiters(piece);
-        if (mayStage) {
-            stage(piece);
+        notifyWaiters(piece);
+        if (stagingAllowed) {
+            stageWithRetry(piece);
         }
     }
 
-    private void tellWaiters(int piece) {
-        List<Waiter> told =
+    private void notifyWaiters(int piece) {
+        List<Waiter> notified =
                 waiters.stream().filter(waiter -> waiter.piece() == piece).toList();
-        waiters.removeAll(told);
-        told.forEach(waiter -> waiter.here().trySet(true));
+        waiters.removeAll(notified);
+        notified.forEach(waiter -> waiter.available().trySet(true));
     }
 
     private boolean matches(int piece, byte[] bytes) {
@@ -257,56 +257,56 @@
                     .formatHex(actual)
                     .equalsIgnoreCase(manifest.digests().get(piece));
         } catch (NoSuchAlgorithmException e) {
-            throw new IllegalStateException("SHA-256 is part of every Java", e);
+            throw new IllegalStateException("every Java platform must support SHA-256", e);
         }
     }
 
-    // ---- laying beside the engine
+    // ---- staging
 
-    private void stage(int piece) {
-        if (abandoned) {
+    private void stageWithRetry(int piece) {
+        if (cancelled) {
             return;
         }
-        put(piece).whenComplete((nothing, failure) -> {
+        stagePiece(piece).whenComplete((ignored, failure) -> {
             if (failure == null) {
                 countStaged();
             } else {
-                around.reactor().delayBackground(RETRY_MILLIS, () -> stage(piece));
+                context.reactor().delayBackground(RETRY_MILLIS, () -> stageWithRetry(piece));
             }
         });
     }
 
     private void countStaged() {
         staged++;
-        if (!isComplete() || abandoned) {
+        if (!isComplete() || cancelled) {
             return;
         }
-        PieceSourceCounts tally = fetcher.sourceCounts();
-        around.log()
+        PieceSourceCounts counts = fetcher.sourceCounts();
+        context.log()
                 .line(DecisionKind.WEIGHTS)
                 .with(DecisionField.EVENT, "copy whole")
                 .with(DecisionField.VERSION, version)
-                .with(DecisionField.TOOK_MS, around.clock().millis() - beganMillis)
-                .with(DecisionField.FROM_ORIGIN, tally.count(PieceFetcher.FROM_ORIGIN))
-                .with(DecisionField.SOURCES, tally.sourceCount())
-                .with(DecisionField.MOST_FROM, tally.topSource())
-                .with(DecisionField.MOST, tally.count(tally.topSource()))
+                .with(DecisionField.TOOK_MS, context.clock().millis() - startMillis)
+                .with(DecisionField.FROM_ORIGIN, counts.count(PieceFetcher.FROM_ORIGIN))
+                .with(DecisionField.SOURCES, counts.sourceCount())
+                .with(DecisionField.MOST_FROM, counts.topSource())
+                .with(DecisionField.MOST, counts.count(counts.topSource()))
                 .write();
         onComplete.run();
     }
 
-    private Promise<Void> put(int piece) {
-        return around.callEngine(around.dialect().stage(layout.model(), piece), pieces[piece])
+    private Promise<Void> stagePiece(int piece) {
+        return context.callEngine(context.dialect().stage(layout.model(), piece), pieces[piece])
                 .toVoid();
     }
 
-    // ---- checking again and starting
+    // ---- verification and start
 
-    /** Reads every piece back, lays down again what turned bad, then orders the engine to take the weights up. */
+    /** Reads every staged piece back, restages corrupt ones, then orders the engine to load the weights. */
     Promise<HttpCalls.Answer> verifyAndStart(ChangeMethod method) {
         return verify(0)
-                .then(() -> around.callEngine(
-                        around.dialect().order(), around.dialect().startOrder(layout.model(), version, method)));
+                .then(() -> context.callEngine(
+                        context.dialect().order(), context.dialect().startOrder(layout.model(), version, method)));
     }
 
     private Promise<Void> verify(int piece) {
@@ -314,19 +314,19 @@
             return Promise.complete();
         }
         return readBackMatches(piece)
-                .then(good -> good ? Promise.complete() : put(piece).then(() -> verifyOnce(piece)))
+                .then(valid -> valid ? Promise.complete() : stagePiece(piece).then(() -> requireMatch(piece)))
                 .then(() -> verify(piece + 1));
     }
 
-    private Promise<Void> verifyOnce(int piece) {
+    private Promise<Void> requireMatch(int piece) {
         return readBackMatches(piece)
-                .then(good -> good
+                .then(valid -> valid
                         ? Promise.complete()
-                        : Promise.ofException(new IOException("piece " + piece + " does not stay good")));
+                        : Promise.ofException(new IOException("piece " + piece + " is still corrupt after restaging")));
     }
 
     private Promise<Boolean> readBackMatches(int piece) {
-        return around.queryEngine(around.dialect().readBack(layout.model(), piece))
+        return context.queryEngine(context.dialect().readBack(layout.model(), piece))
                 .then(answer -> Promise.of(matches(piece, answer.body())), failure -> Promise.of(false));
     }
 }
--- a/daemon/src/test/java/org/bankturn/daemon/weights/WeightsCopyTest.java
+++ b/daemon/src/test/java/org/bankturn/daemon/weights/WeightsCopyTest.java
@@ -17,7 +17,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Copies of weights between boxes in memory, with neighbours, an origin and engines that misbehave. */
+/** Tests copies of weights between simulated boxes with failures of neighbours, the origin and engines. */
 @Timeout(60)
 class WeightsCopyTest {
     private static final int PIECES = 24;
@@ -40,25 +40,25 @@
     }
 
     @Test
-    void every_box_gets_the_version_whole_and_the_origin_sends_each_piece_once() {
+    void every_box_completes_and_origin_sends_each_piece_once() {
         addBoxes(0, "north-1", "north-2", "south-1", "south-2");
-        copyEverywhere();
-        assertEverythingStaged();
+        copyToAll();
+        assertAllStaged();
         for (int piece = 0; piece < PIECES; piece++) {
             assertThat(origin.sends(piece)).isEqualTo(1);
         }
     }
 
     @Test
-    void a_piece_that_comes_spoilt_from_the_origin_is_fetched_again() {
+    void corrupt_piece_from_origin_is_fetched_again() {
         addBoxes(0, "north-1", "north-2");
         origin.corruptSends.put(5, 2);
-        copyEverywhere();
-        assertEverythingStaged();
+        copyToAll();
+        assertAllStaged();
     }
 
     @Test
-    void a_frozen_neighbour_holds_nobody_up() {
+    void frozen_neighbour_does_not_block_others() {
         addBoxes(0, "north-1", "north-2", "north-3", "south-1", "south-2", "south-3");
         boxes.get("north-2").frozen = true;
         copyTo("north-1", "north-3", "south-1", "south-2", "south-3");
@@ -66,23 +66,23 @@
         assertThat(boxes.get("north-3").staged).hasSize(PIECES);
     }
 
-    /** After a loss of power boxes are still listed as holders, and hold nothing. */
+    /** Boxes that restarted empty may still be published as holders. */
     @Test
-    void boxes_that_hold_nothing_after_all_do_not_send_everyone_to_the_origin() {
+    void empty_published_holders_do_not_overload_origin() {
         addBoxes(PlainWeightsDialect.VERSION, "north-1", "north-2", "south-1", "south-2");
-        copyEverywhere();
-        assertEverythingStaged();
+        copyToAll();
+        assertAllStaged();
         for (int piece = 0; piece < PIECES; piece++) {
             assertThat(origin.sends(piece)).isLessThanOrEqualTo(2);
         }
     }
 
     @Test
-    void where_there_are_relays_boxes_ask_them_and_the_origin_sends_each_piece_once() {
+    void boxes_fetch_from_relays_and_origin_sends_each_piece_once() {
         addBoxes(0, "north-1", "north-2", "south-1", "south-2");
         addRelays("north-8", "north-9", "south-8", "south-9");
         copyTo("north-1", "north-2", "south-1", "south-2");
-        assertEverythingStaged("north-1", "north-2", "south-1", "south-2");
+        assertAllStaged("north-1", "north-2", "south-1", "south-2");
         for (int piece = 0; piece < PIECES; piece++) {
             assertThat(origin.sends(piece)).isEqualTo(1);
         }
@@ -90,29 +90,29 @@
     }
 
     @Test
-    void a_frozen_relay_is_passed_over_for_its_deputy() {
+    void frozen_relay_is_replaced_by_its_deputy() {
         addBoxes(0, "north-1", "south-1", "south-2");
         addRelays("north-8", "north-9", "south-8", "south-9");
         boxes.get("south-8").frozen = true;
         copyTo("north-1", "south-1", "south-2");
-        assertEverythingStaged("north-1", "south-1", "south-2");
+        assertAllStaged("north-1", "south-1", "south-2");
         for (int piece = 0; piece < PIECES; piece++) {
             assertThat(origin.sends(piece)).isLessThanOrEqualTo(2);
         }
     }
 
     @Test
-    void boxes_whose_relays_are_all_frozen_help_each_other() {
+    void boxes_exchange_pieces_when_all_relays_are_frozen() {
         addBoxes(0, "north-1", "north-2", "south-1");
         addRelays("north-8", "south-8");
         boxes.get("north-8").frozen = true;
         boxes.get("south-8").frozen = true;
         copyTo("north-1", "north-2", "south-1");
-        assertEverythingStaged("north-1", "north-2", "south-1");
+        assertAllStaged("north-1", "north-2", "south-1");
     }
 
     @Test
-    void a_relay_takes_pieces_from_boxes_that_hold_the_version_when_the_origin_is_down() {
+    void relay_fetches_from_holders_when_origin_is_down() {
         addBoxes(PlainWeightsDialect.VERSION, "north-1", "south-1");
         run(() -> {
             boxes.get("north-1").startCopy(PIECES);
@@ -124,11 +124,11 @@
         addRelays("north-8");
         addBoxes(0, "north-2");
         copyTo("north-2");
-        assertEverythingStaged("north-2");
+        assertAllStaged("north-2");
     }
 
     @Test
-    void a_copy_goes_on_once_the_origin_is_back() {
+    void copy_resumes_when_origin_recovers() {
         addBoxes(0, "north-1", "south-1");
         origin.down = true;
         origin.manifestDown = true;
@@ -142,12 +142,12 @@
             origin.manifestDown = false;
             return Promise.complete();
         });
-        run(() -> wholeAll(List.copyOf(boxes.values())));
-        assertEverythingStaged();
+        run(() -> completionOfAll(List.copyOf(boxes.values())));
+        assertAllStaged();
     }
 
     @Test
-    void a_following_version_is_fetched_but_not_laid_down_until_it_may() {
+    void next_version_is_fetched_but_not_staged_until_allowed() {
         addBoxes(0, "north-1");
         ScriptedBox box = boxes.get("north-1");
         run(() -> {
@@ -157,17 +157,17 @@
         assertThat(box.staged).isEmpty();
         run(() -> {
             box.copy.allowStaging();
-            return whole(box);
+            return completion(box);
         });
         assertThat(box.staged).hasSize(PIECES);
     }
 
     @Test
-    void a_piece_that_turned_bad_beside_the_engine_is_laid_down_again_before_the_start() {
+    void corrupt_staged_piece_is_restaged_before_start() {
         addBoxes(0, "north-1");
         ScriptedBox box = boxes.get("north-1");
         box.corruptOnce.add(3);
-        copyEverywhere();
+        copyToAll();
         assertThat(box.staged.get(3)).isNotEqualTo(origin.piece(3));
         run(() -> box.copy.verifyAndStart(ChangeMethod.AFTER_ANSWERS).toVoid());
         assertThat(box.staged.get(3)).isEqualTo(origin.piece(3));
@@ -175,18 +175,18 @@
     }
 
     @Test
-    void nothing_is_started_while_a_piece_does_not_stay_good() {
+    void start_fails_while_staged_piece_stays_corrupt() {
         addBoxes(0, "north-1");
         ScriptedBox box = boxes.get("north-1");
         box.alwaysCorrupt.add(3);
-        copyEverywhere();
+        copyToAll();
         assertThatThrownBy(() -> run(() ->
                         box.copy.verifyAndStart(ChangeMethod.AFTER_ANSWERS).toVoid()))
-                .hasMessageContaining("piece 3 does not stay good");
+                .hasMessageContaining("piece 3 is still corrupt after restaging");
         assertThat(box.orders).isEmpty();
     }
 
-    // ---- boxes
+    // ---- helpers
 
     private void addBoxes(int listedVersion, String... names) {
         for (String name : names) {
@@ -195,7 +195,7 @@
         }
     }
 
-    /** Adds relays whose copies have begun, as they do when a version is named. */
+    /** Adds relays whose copies have started, as after the publication of a version. */
     private void addRelays(String... names) {
         addBoxes(0, names);
         for (String name : names) {
@@ -207,7 +207,7 @@
         });
     }
 
-    private void copyEverywhere() {
+    private void copyToAll() {
         copyTo(boxes.keySet().toArray(String[]::new));
     }
 
@@ -216,33 +216,33 @@
         run(() -> {
             some.forEach(box -> box.startCopy(PIECES));
             some.forEach(box -> box.copy.allowStaging());
-            return wholeAll(some);
+            return completionOfAll(some);
         });
     }
 
-    private static Promise<Void> wholeAll(List<ScriptedBox> some) {
+    private static Promise<Void> completionOfAll(List<ScriptedBox> some) {
         Promise<Void> all = Promise.complete();
         for (ScriptedBox box : some) {
-            Promise<Void> one = whole(box);
+            Promise<Void> one = completion(box);
             all = all.then(() -> one);
         }
         return all;
     }
 
-    private static Promise<Void> whole(ScriptedBox box) {
-        SettablePromise<Void> whole = new SettablePromise<>();
-        box.copy.onComplete(() -> whole.set(null));
+    private static Promise<Void> completion(ScriptedBox box) {
+        SettablePromise<Void> completion = new SettablePromise<>();
+        box.copy.onComplete(() -> completion.set(null));
         if (box.copy.isComplete()) {
-            whole.trySet(null);
+            completion.trySet(null);
         }
-        return whole;
+        return completion;
     }
 
-    private void assertEverythingStaged() {
-        assertEverythingStaged(boxes.keySet().toArray(String[]::new));
+    private void assertAllStaged() {
+        assertAllStaged(boxes.keySet().toArray(String[]::new));
     }
 
-    private void assertEverythingStaged(String... names) {
+    private void assertAllStaged(String... names) {
         for (String name : names) {
             for (int piece = 0; piece < PIECES; piece++) {
                 assertThat(boxes.get(name).staged.get(piece)).isEqualTo(origin.piece(piece));
@@ -254,7 +254,7 @@
         return reactor.submit(step::begin).orTimeout(20, TimeUnit.SECONDS).join();
     }
 
-    /** Something that is done on the reactor's thread. */
+    /** An action that runs on the reactor's thread. */
     @FunctionalInterface
     private interface Step<T> {
         Promise<T> begin();
