--- a/daemon/src/main/java/org/bankturn/daemon/weights/CopyContext.java
+++ b/daemon/src/main/java/org/bankturn/daemon/weights/CopyContext.java
@@ -10,47 +10,44 @@
 import org.bankturn.time.Clock;
 import org.bankturn.weights.PieceRouting;
 
-/** What a copy of weights needs from the process around it. */
+/** The environment of a copy of weights: its reactor, clock, log, metrics, routing and remote calls. */
 interface CopyContext {
-    /** Returns the reactor whose thread all of this runs on. */
+    /** Returns the reactor whose thread runs the copy. */
     Eventloop reactor();
 
-    /** Returns the time. */
     Clock clock();
 
-    /** Returns the decision log. */
     DecisionLog log();
 
-    /** Returns the metrics. */
     ServingMetrics metrics();
 
-    /** Returns how engines and origins are spoken to. */
+    /** Returns the message formats of engines and origins. */
     WeightsDialect dialect();
 
     /** Returns true if the engine on this box holds weights, so that its requests share the link. */
     boolean engineServes();
 
-    /** Returns true if this process fetches a piece without being asked for it. */
+    /** Returns true if this process fetches a piece without a request for it. */
     boolean wants(int version, int piece);
 
-    /** Returns the plan for a version as of now. */
+    /** Returns the current routing for a version. */
     PieceRouting routing(int version);
 
-    /** Has the engine on this box do something, once; fails unless it says success. */
+    /** Sends a command to the local engine, at most once; fails unless the status is success. */
     Promise<HttpCalls.Answer> callEngine(HttpHead head, byte[] body);
 
-    /** Asks the engine on this box something that changes nothing there; fails unless it says success. */
+    /** Sends a read-only request to the local engine; fails unless the status is success. */
     Promise<HttpCalls.Answer> queryEngine(HttpHead head);
 
-    /** Returns how many calls this box may have under way at the origin. */
+    /** Returns the limit of concurrent calls from this box to the origin. */
     int maxOriginCalls();
 
-    /** Calls the origin of weights; fails unless it says success. */
+    /** Calls the origin of weights; fails unless the status is success. */
     Promise<HttpCalls.Answer> callOrigin(HttpHead head);
 
-    /** Asks a neighbour for a piece; gives null if it has none, and fails if it does not answer. */
+    /** Requests a piece from a neighbour; completes with null if it is not available there, fails if there is no answer. */
     Promise<byte[]> requestPiece(String box, NodeRequest.GetPiece request);
 
-    /** Waits until a neighbour has a piece; gives false if time ran out, and fails if it does not answer. */
+    /** Waits until a neighbour has a piece; completes with false on timeout, fails if there is no answer. */
     Promise<Boolean> awaitNeighbour(String box, NodeRequest.AwaitPiece request);
 }
--- a/daemon/src/main/java/org/bankturn/daemon/weights/EngineReport.java
+++ b/daemon/src/main/java/org/bankturn/daemon/weights/EngineReport.java
@@ -3,11 +3,11 @@
 import org.bankturn.routing.EngineLoad;
 
 /**
- * What an engine says of its weights.
+ * The state of an engine and of its weights, as the engine reports it.
  *
- * @param model the model it holds, null if it holds none
- * @param heldVersion the version of which it holds every layer, 0 for none
- * @param busy true while it carries out an order
- * @param load what it says of its load, not null
+ * @param model the loaded model, null if none is loaded
+ * @param heldVersion the version whose layers are all loaded, 0 for none
+ * @param busy true while an order is being executed
+ * @param load the reported load, not null
  */
 public record EngineReport(String model, int heldVersion, boolean busy, EngineLoad load) {}
--- a/daemon/src/main/java/org/bankturn/daemon/weights/FetchScheduler.java
+++ b/daemon/src/main/java/org/bankturn/daemon/weights/FetchScheduler.java
@@ -5,40 +5,40 @@
 import org.bankturn.weights.VersionOrder;
 
 /**
- * The versions that one process fetches at a time, and which of them goes first on its links and at the origin.
+ * Prioritizes the versions that one process fetches concurrently, for its links and for the origin.
  *
- * <p>FetchScheduler is confined to its reactor's thread.
+ * <p>This class is confined to its reactor's thread.
  */
 final class FetchScheduler {
     private final List<PieceFetcher> fetchers = new ArrayList<>();
 
-    /** A version is fetched from now on. */
+    /** Registers a fetcher that starts. */
     void add(PieceFetcher fetcher) {
         fetchers.add(fetcher);
     }
 
-    /** A version is not fetched any longer. */
+    /** Unregisters a fetcher and lets the others use the capacity that it frees. */
     void remove(PieceFetcher fetcher) {
         fetchers.remove(fetcher);
         resumeOthers(fetcher);
     }
 
-    /** Returns true if no version that goes before asks the origin for anything. */
+    /** Returns true if no version of higher priority has pieces to fetch from the origin. */
     boolean mayFetchFromOrigin(PieceFetcher fetcher) {
-        return fetchers.stream().noneMatch(other -> goesBefore(other, fetcher) && other.hasOriginFetches());
+        return fetchers.stream().noneMatch(other -> hasPriority(other, fetcher) && other.hasOriginFetches());
     }
 
-    /** Returns true if no version that goes before has a piece to transfer. */
+    /** Returns true if no version of higher priority has pieces to transfer. */
     boolean mayTransfer(PieceFetcher fetcher) {
-        return fetchers.stream().noneMatch(other -> goesBefore(other, fetcher) && other.hasTransfers());
+        return fetchers.stream().noneMatch(other -> hasPriority(other, fetcher) && other.hasTransfers());
     }
 
-    /** Lets the others make use of what a fetcher may have left to them. */
+    /** Resumes the other fetchers, since a fetcher may have freed capacity. */
     void resumeOthers(PieceFetcher fetcher) {
         List.copyOf(fetchers).stream().filter(other -> other != fetcher).forEach(PieceFetcher::resume);
     }
 
-    private static boolean goesBefore(PieceFetcher one, PieceFetcher other) {
+    private static boolean hasPriority(PieceFetcher one, PieceFetcher other) {
         if (one == other || !one.makesProgress()) {
             return false;
         }
--- a/daemon/src/main/java/org/bankturn/daemon/weights/HttpStatusException.java
+++ b/daemon/src/main/java/org/bankturn/daemon/weights/HttpStatusException.java
@@ -2,11 +2,11 @@
 
 import java.io.IOException;
 
-/** A call was answered, but with a status that is no success. */
+/** Signals that a call was answered with a status other than success. */
 final class HttpStatusException extends IOException {
     private static final long serialVersionUID = 1L;
 
     HttpStatusException(int status) {
-        super("answered " + status);
+        super("unexpected HTTP status " + status);
     }
 }
--- a/daemon/src/main/java/org/bankturn/daemon/weights/NeighbourTracker.java
+++ b/daemon/src/main/java/org/bankturn/daemon/weights/NeighbourTracker.java
@@ -8,17 +8,17 @@
 import org.bankturn.weights.PieceSource;
 
 /**
- * What a copy of weights has learned about the boxes it fetches from: which do not answer, which hold nothing after all,
- * and how many transfers run from each.
+ * Tracks the boxes that a copy of weights is fetched from: which do not respond, which do not hold the version, and how many
+ * transfers run from each.
  *
- * <p>NeighbourTracker is mutable and confined to one thread.
+ * <p>This class is mutable and confined to one thread.
  */
 final class NeighbourTracker {
-    /** How long a box that did not answer is passed over. */
-    private static final long AVOIDED_MILLIS = 2_000;
+    /** How long a box that did not respond is skipped. */
+    private static final long AVOID_MILLIS = 2_000;
 
-    /** Pieces that one box is asked for at a time, so that a frozen one does not take every slot. */
-    private static final int TRANSFERS_FROM_ONE = 2;
+    /** Limits concurrent transfers from one box, so that an unresponsive box cannot occupy every slot. */
+    private static final int MAX_TRANSFERS_PER_BOX = 2;
 
     private final Clock clock;
     private final Map<String, Long> avoidedUntilMillis = new HashMap<>();
@@ -29,33 +29,33 @@
         this.clock = clock;
     }
 
-    /** Keeps away from a box for a while, since it did not answer. */
+    /** Excludes a box that did not respond for a while. */
     void avoid(String box) {
-        avoidedUntilMillis.put(box, clock.millis() + AVOIDED_MILLIS);
+        avoidedUntilMillis.put(box, clock.millis() + AVOID_MILLIS);
     }
 
     boolean isAvoided(String box) {
         return clock.millis() < avoidedUntilMillis.getOrDefault(box, 0L);
     }
 
-    /** Notes that a box does not hold the version, whatever is published of it. */
+    /** Marks a box as not holding the version, although it is published as a holder. */
     void markEmpty(String box) {
         emptyNeighbours.add(box);
     }
 
-    /** Returns the boxes that turned out to hold nothing, not null. */
+    /** Returns the boxes marked as not holding the version, not null. */
     Set<String> emptyNeighbours() {
         return emptyNeighbours;
     }
 
-    /** Returns the sources that it makes no sense to ask now, not null. */
+    /** Returns the sources to skip at present, not null. */
     Set<PieceSource> excludedSources() {
-        Set<PieceSource> unfit = new HashSet<>();
+        Set<PieceSource> excluded = new HashSet<>();
         avoidedUntilMillis.keySet().stream().filter(this::isAvoided).forEach(box -> {
-            unfit.add(new PieceSource.Neighbour(box, true));
-            unfit.add(new PieceSource.Neighbour(box, false));
+            excluded.add(new PieceSource.Neighbour(box, true));
+            excluded.add(new PieceSource.Neighbour(box, false));
         });
-        return unfit;
+        return excluded;
     }
 
     void transferStarted(String box) {
@@ -70,9 +70,9 @@
         return transfers.getOrDefault(box, 0);
     }
 
-    /** Returns true if another transfer from that box may begin; a slow box then holds up few pieces. */
+    /** Returns true if another transfer from the box may start. */
     boolean hasTransferSlot(String box) {
-        return transfersFrom(box) < TRANSFERS_FROM_ONE;
+        return transfersFrom(box) < MAX_TRANSFERS_PER_BOX;
     }
 
     int totalTransfers() {
--- a/daemon/src/main/java/org/bankturn/daemon/weights/PieceFetcher.java
+++ b/daemon/src/main/java/org/bankturn/daemon/weights/PieceFetcher.java
@@ -20,208 +20,208 @@
 import org.bankturn.weights.PieceSource.Neighbour;
 
 /**
- * Fetches the pieces of one version from neighbours and from the origin, each from the source whose turn it is.
+ * Fetches the pieces of one version from neighbours and from the origin, each from the source that the routing assigns.
  *
- * <p>NeighbourTracker that do not hold the version yet say when they have a piece; now and then another box of the hall is
- * asked, so that a slow box holds nobody up for long. A few pieces at a time are then transferred, at most two from one
- * box, and fewer where requests to an engine share the link. Few pieces at a time are asked of the origin, so that its few
- * connections suffice for all boxes.
+ * <p>Neighbours that do not hold the version yet are long-polled until they have the piece; periodically an alternate box of
+ * the hall is polled instead, in case the assigned box is slow. Concurrent transfers are limited in total and per box, and
+ * more strictly while requests to an engine share the link. Concurrent calls to the origin are limited because its
+ * connections are shared by all boxes.
  *
- * <p>PieceFetcher is confined to its reactor's thread.
+ * <p>This class is confined to its reactor's thread.
  */
 final class PieceFetcher {
-    /** How the origin is called in metrics. */
+    /** The label of the origin in metrics. */
     static final String FROM_ORIGIN = "origin";
 
     private static final long RETRY_MILLIS = 150;
-    private static final long NEIGHBOUR_WAIT_MILLIS = 500;
+    private static final long NEIGHBOUR_POLL_MILLIS = 500;
 
-    /** Waits for one neighbour before the next source is tried: 4 s, more than a copy takes with nothing in its way. */
-    private static final int PATIENCE = 8;
+    /** Unsuccessful waits for an assigned neighbour before it counts as failed for the piece. */
+    private static final int MAX_WAITS = 8;
 
-    /** Every so many waits another box of the hall is asked, which may have the piece by then. */
+    /** Every nth wait polls an alternate box of the hall. */
     private static final int WAITS_PER_ALTERNATE = 4;
 
-    private static final int TRANSFERS_BESIDE_REQUESTS = 5;
+    private static final int MAX_TRANSFERS_WITH_REQUESTS = 5;
 
-    /** Relays send as fast as this box can take, so requests to the engine would wait behind every piece on its way. */
-    private static final int TRANSFERS_FROM_RELAYS_BESIDE_REQUESTS = 1;
+    /** Relays can saturate the link of this box, so that requests to the engine would queue behind each piece. */
+    private static final int MAX_RELAY_TRANSFERS_WITH_REQUESTS = 1;
 
-    private static final int TRANSFERS_ALONE = 10;
-    private static final int TRANSFERS_BESIDE_ORIGIN = 5;
+    private static final int MAX_TRANSFERS_EMPTY_ENGINE = 10;
+    private static final int MAX_TRANSFERS_WITH_ORIGIN_CALLS = 5;
     private static final String FROM_NEIGHBOUR = "neighbour";
 
-    /** A version that the origin answers for so often without a good piece keeps no other back: it may be gone there. */
-    private static final int MOST_ANSWERS_IN_VAIN = 5;
+    /** After this many answers without a valid piece the version may be gone at the origin and yields to others. */
+    private static final int MAX_INVALID_ORIGIN_ANSWERS = 5;
 
-    private final CopyContext around;
+    private final CopyContext context;
     private final String model;
     private final int version;
-    private final PieceSink taker;
-    private final FetchScheduler turns;
+    private final PieceSink sink;
+    private final FetchScheduler scheduler;
     private final NeighbourTracker neighbours;
     private final PieceSourceCounts sourceCounts = new PieceSourceCounts();
     private final Map<Integer, Set<PieceSource>> failed = new HashMap<>();
-    private final Deque<Turn> ready = new ArrayDeque<>();
-    private final Deque<Integer> fromOrigin = new ArrayDeque<>();
+    private final Deque<PendingTransfer> pendingTransfers = new ArrayDeque<>();
+    private final Deque<Integer> originQueue = new ArrayDeque<>();
     private int originCalls;
-    private int originRetries;
-    private int fetched;
-    private int taken;
-    private int answersInVain;
-    private PieceRouting published;
-    private PieceRouting corrected;
-    private int emptyThen;
+    private int pendingOriginRetries;
+    private int requested;
+    private int received;
+    private int invalidOriginAnswers;
+    private PieceRouting publishedRouting;
+    private PieceRouting correctedRouting;
+    private int knownEmptyNeighbours;
     private boolean stopped;
 
-    /** A piece that may be transferred from a neighbour. */
-    private record Turn(int piece, Neighbour from) {}
+    /** A piece that a neighbour has and that waits for its transfer. */
+    private record PendingTransfer(int piece, Neighbour from) {}
 
-    PieceFetcher(CopyContext around, String model, int version, PieceSink taker, FetchScheduler turns) {
-        this.around = around;
+    PieceFetcher(CopyContext context, String model, int version, PieceSink sink, FetchScheduler scheduler) {
+        this.context = context;
         this.model = model;
         this.version = version;
-        this.taker = taker;
-        this.turns = turns;
-        this.neighbours = new NeighbourTracker(around.clock());
-        turns.add(this);
+        this.sink = sink;
+        this.scheduler = scheduler;
+        this.neighbours = new NeighbourTracker(context.clock());
+        scheduler.add(this);
     }
 
-    /** Fetches a piece until it is here. */
+    /** Fetches a piece, with retries until it was received. */
     void fetch(int piece) {
-        fetched++;
+        requested++;
         fetch(piece, 0);
     }
 
-    // ---- beside other versions
+    // ---- coordination with other versions
 
     int version() {
         return version;
     }
 
-    /** Returns the share that is here of what was to be fetched. */
+    /** Returns the share of the requested pieces that was received, 0 to 1. */
     double fetchedShare() {
-        return (double) taken / Math.max(1, fetched);
+        return (double) received / Math.max(1, requested);
     }
 
-    /** Returns true if pieces are missing and likely to come, once the origin answers at all. */
+    /** Returns true if pieces are missing and the origin is not known to lack the version. */
     boolean makesProgress() {
-        return !stopped && taken < fetched && answersInVain < MOST_ANSWERS_IN_VAIN;
+        return !stopped && received < requested && invalidOriginAnswers < MAX_INVALID_ORIGIN_ANSWERS;
     }
 
-    /** Returns true if pieces are to be fetched from the origin. */
+    /** Returns true if pieces are queued, in flight or due for a retry at the origin. */
     boolean hasOriginFetches() {
-        return waitingForOrigin() + originRetries > 0;
+        return waitingForOrigin() + pendingOriginRetries > 0;
     }
 
-    /** Returns true if pieces are on their way from neighbours, or could be. */
+    /** Returns true if transfers from neighbours are pending or in flight. */
     boolean hasTransfers() {
         return waitingForTransfer() > 0;
     }
 
-    /** Makes use of what another version has left. */
+    /** Starts the calls and transfers that the limits allow now. */
     void resume() {
         fetchFromOrigin();
-        transferMore();
+        startTransfers();
     }
 
     // ---- fetching
 
-    /** Returns true if this box is the one that fetches a piece from the origin. */
+    /** Returns true if the routing assigns this box to fetch a piece from the origin. */
     boolean isOriginFetcher(int piece) {
         return routing().sourceOf(piece, Set.of()) instanceof PieceSource.Origin;
     }
 
     void stop() {
         stopped = true;
-        turns.remove(this);
+        scheduler.remove(this);
     }
 
-    /** Returns the pieces that wait for the origin. */
+    /** Returns the number of pieces queued or in flight at the origin. */
     int waitingForOrigin() {
-        return fromOrigin.size() + originCalls;
+        return originQueue.size() + originCalls;
     }
 
-    /** Returns the pieces that neighbours have and that wait for their transfer. */
+    /** Returns the number of pieces whose transfer from a neighbour is pending or in flight. */
     int waitingForTransfer() {
-        return ready.size() + neighbours.totalTransfers();
+        return pendingTransfers.size() + neighbours.totalTransfers();
     }
 
-    /** Returns where the pieces that are here came from, not null. */
+    /** Returns the received pieces by source, not null. */
     PieceSourceCounts sourceCounts() {
         return sourceCounts;
     }
 
-    /** Returns the plan as of now, corrected by what was learned here. */
+    /** Returns the current routing without the holders that proved to be empty. */
     private PieceRouting routing() {
-        PieceRouting newest = around.routing(version);
-        boolean changed = published == null
-                || !published.equals(newest)
-                || emptyThen != neighbours.emptyNeighbours().size();
+        PieceRouting newest = context.routing(version);
+        boolean changed = publishedRouting == null
+                || !publishedRouting.equals(newest)
+                || knownEmptyNeighbours != neighbours.emptyNeighbours().size();
         if (changed) {
-            published = newest;
-            emptyThen = neighbours.emptyNeighbours().size();
-            corrected = emptyThen == 0 ? newest : newest.withoutHolders(neighbours.emptyNeighbours());
+            publishedRouting = newest;
+            knownEmptyNeighbours = neighbours.emptyNeighbours().size();
+            correctedRouting = knownEmptyNeighbours == 0 ? newest : newest.withoutHolders(neighbours.emptyNeighbours());
         }
-        return corrected;
+        return correctedRouting;
     }
 
     private boolean isNeeded(int piece) {
-        return !stopped && taker.isMissing(piece);
+        return !stopped && sink.isMissing(piece);
     }
 
     private void fetch(int piece, int waits) {
         if (!isNeeded(piece)) {
             return;
         }
-        PieceSource source = routing().sourceOf(piece, unfitFor(piece));
+        PieceSource source = routing().sourceOf(piece, excludedFor(piece));
         if (source instanceof Neighbour neighbour) {
             fetchFrom(neighbour, piece, waits);
         } else {
-            fromOrigin.add(piece);
+            originQueue.add(piece);
             fetchFromOrigin();
         }
     }
 
     private void fetchFrom(Neighbour neighbour, int piece, int waits) {
         if (neighbour.holds()) {
-            transferLater(new Turn(piece, neighbour));
+            enqueueTransfer(new PendingTransfer(piece, neighbour));
         } else {
             await(piece, waits, neighbour);
         }
     }
 
-    private Set<PieceSource> unfitFor(int piece) {
+    private Set<PieceSource> excludedFor(int piece) {
         Set<PieceSource> sources = neighbours.excludedSources();
         sources.addAll(failed.getOrDefault(piece, Set.of()));
         return sources;
     }
 
-    /** Gives a source up for a piece. */
+    /** Excludes a source for a piece and schedules a retry. */
     private void tryNext(int piece, PieceSource source) {
         failed.computeIfAbsent(piece, key -> new HashSet<>()).add(source);
-        around.reactor().delayBackground(RETRY_MILLIS, () -> fetch(piece, 0));
+        context.reactor().delayBackground(RETRY_MILLIS, () -> fetch(piece, 0));
     }
 
     // ---- waiting for neighbours
 
-    /** Lets a neighbour say when it has the piece; that costs little, so all pieces are waited for at once. */
+    /** Long-polls a neighbour for a piece. Polls are cheap, so their number is not limited. */
     private void await(int piece, int waits, Neighbour primary) {
-        boolean besides = waits % WAITS_PER_ALTERNATE == WAITS_PER_ALTERNATE - 1;
-        Neighbour asked =
-                besides ? alternate(piece, waits / WAITS_PER_ALTERNATE).orElse(primary) : primary;
-        NodeRequest.AwaitPiece question = new NodeRequest.AwaitPiece(model, version, piece, NEIGHBOUR_WAIT_MILLIS);
-        around.awaitNeighbour(asked.box(), question).whenComplete((there, failure) -> {
+        boolean pollAlternate = waits % WAITS_PER_ALTERNATE == WAITS_PER_ALTERNATE - 1;
+        Neighbour polled =
+                pollAlternate ? alternate(piece, waits / WAITS_PER_ALTERNATE).orElse(primary) : primary;
+        NodeRequest.AwaitPiece request = new NodeRequest.AwaitPiece(model, version, piece, NEIGHBOUR_POLL_MILLIS);
+        context.awaitNeighbour(polled.box(), request).whenComplete((available, failure) -> {
             if (!isNeeded(piece)) {
                 return;
             }
             if (failure != null) {
-                logFailure(piece, asked.box(), "no word: " + failure.getMessage());
-                neighbours.avoid(asked.box());
+                logFailure(piece, polled.box(), "wait failed: " + failure.getMessage());
+                neighbours.avoid(polled.box());
                 fetch(piece, waits + 1);
-            } else if (there) {
-                transferLater(new Turn(piece, asked));
-            } else if (waits >= PATIENCE) {
+            } else if (available) {
+                enqueueTransfer(new PendingTransfer(piece, polled));
+            } else if (waits >= MAX_WAITS) {
                 tryNext(piece, primary);
             } else {
                 fetch(piece, waits + 1);
@@ -229,98 +229,98 @@
         });
     }
 
-    private Optional<Neighbour> alternate(int piece, int turn) {
-        return routing().alternate(piece, turn).filter(neighbour -> !neighbours.isAvoided(neighbour.box()));
+    private Optional<Neighbour> alternate(int piece, int attempt) {
+        return routing().alternate(piece, attempt).filter(neighbour -> !neighbours.isAvoided(neighbour.box()));
     }
 
     // ---- transfers
 
-    private void transferLater(Turn turn) {
-        ready.add(turn);
-        transferMore();
+    private void enqueueTransfer(PendingTransfer transfer) {
+        pendingTransfers.add(transfer);
+        startTransfers();
     }
 
-    /** Transfers a few pieces at a time, so that requests and answers on the same link are not held up for long. */
-    private void transferMore() {
-        for (Turn turn : nextTransfers()) {
-            transfer(turn);
+    /** Starts transfers up to the limit, which bounds the delay of requests and answers on the same link. */
+    private void startTransfers() {
+        for (PendingTransfer transfer : nextTransfers()) {
+            startTransfer(transfer);
         }
     }
 
-    /** Takes the turns that may begin now out of the queue, and those whose neighbour is avoided by now. */
-    private List<Turn> nextTransfers() {
-        int atOnce = turns.mayTransfer(this) ? transfersAtOnce() : 0;
-        List<Turn> next = new ArrayList<>();
+    /** Dequeues the transfers that may start now, and reroutes those whose neighbour is excluded by now. */
+    private List<PendingTransfer> nextTransfers() {
+        int limit = scheduler.mayTransfer(this) ? transferLimit() : 0;
+        List<PendingTransfer> next = new ArrayList<>();
         Set<PieceSource> avoided = neighbours.excludedSources();
-        Iterator<Turn> turns = ready.iterator();
-        while (turns.hasNext() && neighbours.totalTransfers() < atOnce) {
-            Turn turn = turns.next();
-            Set<PieceSource> unfit = failed.containsKey(turn.piece()) ? unfitFor(turn.piece()) : avoided;
-            Neighbour from = turn.from().holds() ? leastLoadedHolder(turn, unfit) : turn.from();
-            if (!isNeeded(turn.piece())) {
-                turns.remove();
-            } else if (unfit.contains(from)) {
-                turns.remove();
-                around.reactor().post(() -> fetch(turn.piece(), 0));
+        Iterator<PendingTransfer> iterator = pendingTransfers.iterator();
+        while (iterator.hasNext() && neighbours.totalTransfers() < limit) {
+            PendingTransfer transfer = iterator.next();
+            Set<PieceSource> excluded = failed.containsKey(transfer.piece()) ? excludedFor(transfer.piece()) : avoided;
+            Neighbour from = transfer.from().holds() ? leastLoadedHolder(transfer, excluded) : transfer.from();
+            if (!isNeeded(transfer.piece())) {
+                iterator.remove();
+            } else if (excluded.contains(from)) {
+                iterator.remove();
+                context.reactor().post(() -> fetch(transfer.piece(), 0));
             } else if (neighbours.hasTransferSlot(from.box())) {
-                turns.remove();
+                iterator.remove();
                 neighbours.transferStarted(from.box());
-                next.add(new Turn(turn.piece(), from));
+                next.add(new PendingTransfer(transfer.piece(), from));
             }
         }
         return next;
     }
 
-    /** What only this box fetches from the origin comes first, since all others wait for it. */
-    private int transfersAtOnce() {
+    /** Returns the limit of concurrent transfers, lower during calls to the origin, which other boxes depend on. */
+    private int transferLimit() {
         if (waitingForOrigin() > 0) {
-            return TRANSFERS_BESIDE_ORIGIN;
+            return MAX_TRANSFERS_WITH_ORIGIN_CALLS;
         }
-        if (!around.engineServes()) {
-            return TRANSFERS_ALONE;
+        if (!context.engineServes()) {
+            return MAX_TRANSFERS_EMPTY_ENGINE;
         }
-        return routing().hasRelays() ? TRANSFERS_FROM_RELAYS_BESIDE_REQUESTS : TRANSFERS_BESIDE_REQUESTS;
+        return routing().hasRelays() ? MAX_RELAY_TRANSFERS_WITH_REQUESTS : MAX_TRANSFERS_WITH_REQUESTS;
     }
 
-    /** Any box of the hall that holds the version may give the piece; those that are fast are asked more often. */
-    private Neighbour leastLoadedHolder(Turn turn, Set<PieceSource> unfit) {
-        return routing().holdersNearby(turn.piece()).stream()
-                .filter(holder -> !unfit.contains(holder))
+    /** Returns the holder in the hall with the fewest transfers in flight, which favours fast boxes. */
+    private Neighbour leastLoadedHolder(PendingTransfer transfer, Set<PieceSource> excluded) {
+        return routing().holdersNearby(transfer.piece()).stream()
+                .filter(holder -> !excluded.contains(holder))
                 .min(Comparator.comparingInt(holder -> neighbours.transfersFrom(holder.box())))
-                .orElse(turn.from());
+                .orElse(transfer.from());
     }
 
-    private void transfer(Turn turn) {
-        String box = turn.from().box();
-        NodeRequest.GetPiece question = new NodeRequest.GetPiece(model, version, turn.piece());
-        around.requestPiece(box, question).whenComplete((bytes, failure) -> {
+    private void startTransfer(PendingTransfer transfer) {
+        String box = transfer.from().box();
+        NodeRequest.GetPiece request = new NodeRequest.GetPiece(model, version, transfer.piece());
+        context.requestPiece(box, request).whenComplete((bytes, failure) -> {
             neighbours.transferEnded(box);
-            turns.resumeOthers(this);
+            scheduler.resumeOthers(this);
             if (failure != null) {
-                logFailure(turn.piece(), box, "no transfer: " + failure.getMessage());
+                logFailure(transfer.piece(), box, "transfer failed: " + failure.getMessage());
                 neighbours.avoid(box);
-                fetch(turn.piece(), 0);
-            } else if (bytes == null && turn.from().holds()) {
-                logFailure(turn.piece(), box, "holds nothing");
+                fetch(transfer.piece(), 0);
+            } else if (bytes == null && transfer.from().holds()) {
+                logFailure(transfer.piece(), box, "not held");
                 neighbours.markEmpty(box);
-                fetch(turn.piece(), 0);
-            } else if (isNeeded(turn.piece())) {
-                takeFromNeighbour(turn, bytes);
+                fetch(transfer.piece(), 0);
+            } else if (isNeeded(transfer.piece())) {
+                acceptFromNeighbour(transfer, bytes);
             }
-            transferMore();
+            startTransfers();
         });
     }
 
-    private void takeFromNeighbour(Turn turn, byte[] bytes) {
-        if (takes(turn.piece(), bytes, FROM_NEIGHBOUR)) {
-            sourceCounts.add(turn.from().box());
+    private void acceptFromNeighbour(PendingTransfer transfer, byte[] bytes) {
+        if (accepts(transfer.piece(), bytes, FROM_NEIGHBOUR)) {
+            sourceCounts.add(transfer.from().box());
         } else {
-            tryNext(turn.piece(), turn.from());
+            tryNext(transfer.piece(), transfer.from());
         }
     }
 
     private void logFailure(int piece, String from, String reason) {
-        around.log()
+        context.log()
                 .line(DecisionKind.WEIGHTS)
                 .with(DecisionField.EVENT, "piece failed")
                 .with(DecisionField.VERSION, version)
@@ -330,39 +330,39 @@
                 .write();
     }
 
-    private boolean takes(int piece, byte[] bytes, String source) {
-        boolean good = bytes != null && taker.accept(piece, bytes, source);
-        if (good) {
-            taken++;
-            answersInVain = 0;
+    private boolean accepts(int piece, byte[] bytes, String source) {
+        boolean valid = bytes != null && sink.accept(piece, bytes, source);
+        if (valid) {
+            received++;
+            invalidOriginAnswers = 0;
         } else {
-            logFailure(piece, source, bytes == null ? "no piece" : "spoilt");
-            around.metrics().pieceRejected(source);
+            logFailure(piece, source, bytes == null ? "no data" : "spoilt");
+            context.metrics().pieceRejected(source);
         }
-        return good;
+        return valid;
     }
 
     // ---- the origin
 
     private void fetchFromOrigin() {
         while (!stopped
-                && !fromOrigin.isEmpty()
-                && originCalls < around.maxOriginCalls()
-                && turns.mayFetchFromOrigin(this)) {
-            int piece = fromOrigin.poll();
+                && !originQueue.isEmpty()
+                && originCalls < context.maxOriginCalls()
+                && scheduler.mayFetchFromOrigin(this)) {
+            int piece = originQueue.poll();
             if (isNeeded(piece)) {
                 callOrigin(piece);
             }
         }
     }
 
-    private void takeFromOrigin(int piece, byte[] bytes) {
-        if (takes(piece, bytes, FROM_ORIGIN)) {
+    private void acceptFromOrigin(int piece, byte[] bytes) {
+        if (accepts(piece, bytes, FROM_ORIGIN)) {
             sourceCounts.add(FROM_ORIGIN);
         } else {
-            originRetries++;
-            around.reactor().delayBackground(RETRY_MILLIS, () -> {
-                originRetries--;
+            pendingOriginRetries++;
+            context.reactor().delayBackground(RETRY_MILLIS, () -> {
+                pendingOriginRetries--;
                 fetch(piece, 0);
             });
         }
@@ -370,19 +370,19 @@
 
     private void callOrigin(int piece) {
         originCalls++;
-        around.callOrigin(
+        context.callOrigin(
                         piece == PieceRouting.MANIFEST
-                                ? around.dialect().manifest(model, version)
-                                : around.dialect().piece(model, version, piece))
+                                ? context.dialect().manifest(model, version)
+                                : context.dialect().piece(model, version, piece))
                 .map(HttpCalls.Answer::body)
                 .whenComplete((bytes, failure) -> {
                     originCalls--;
-                    answersInVain += failure == null || failure instanceof HttpStatusException ? 1 : 0;
+                    invalidOriginAnswers += failure == null || failure instanceof HttpStatusException ? 1 : 0;
                     if (isNeeded(piece)) {
-                        takeFromOrigin(piece, failure == null ? bytes : null);
+                        acceptFromOrigin(piece, failure == null ? bytes : null);
                     }
                     resume();
-                    turns.resumeOthers(this);
+                    scheduler.resumeOthers(this);
                 });
     }
 }
--- a/daemon/src/main/java/org/bankturn/daemon/weights/PieceSink.java
+++ b/daemon/src/main/java/org/bankturn/daemon/weights/PieceSink.java
@@ -1,10 +1,10 @@
 package org.bankturn.daemon.weights;
 
-/** Takes in the pieces that a {@link PieceFetcher} brings. */
+/** Receives the pieces that a {@link PieceFetcher} has fetched. */
 interface PieceSink {
     /** Returns true while a piece is missing. */
     boolean isMissing(int piece);
 
-    /** Takes in a piece; returns false if it is spoilt and must come from elsewhere. */
+    /** Accepts a piece; returns false if it is corrupt and must be fetched from another source. */
     boolean accept(int piece, byte[] bytes, String source);
 }
--- a/daemon/src/main/java/org/bankturn/daemon/weights/PieceSourceCounts.java
+++ b/daemon/src/main/java/org/bankturn/daemon/weights/PieceSourceCounts.java
@@ -5,30 +5,29 @@
 import java.util.TreeMap;
 
 /**
- * Counts the pieces of one copy by the source that gave them.
+ * Counts the pieces of one copy by source, which shows in the log whether a single link limited the copy.
  *
- * <p>A copy that is slow although no source failed is often one whose pieces nearly all come from a single box, whose
- * link then is the bound. PieceSourceCounts is mutable and confined to its reactor's thread.
+ * <p>This class is mutable and confined to its reactor's thread.
  */
 final class PieceSourceCounts {
     private final Map<String, Integer> pieces = new TreeMap<>();
 
-    /** Counts one piece that was taken from a source. */
+    /** Counts one piece from a source. */
     void add(String source) {
         pieces.merge(source, 1, Integer::sum);
     }
 
-    /** Returns how many sources gave pieces. */
+    /** Returns the number of sources with at least one piece. */
     int sourceCount() {
         return pieces.size();
     }
 
-    /** Returns how many pieces a source gave. */
+    /** Returns the number of pieces from a source. */
     int count(String source) {
         return pieces.getOrDefault(source, 0);
     }
 
-    /** Returns the source that gave most pieces, empty if none gave any; of several the first by name. */
+    /** Returns the source of most pieces, ties resolved by name; an empty string if there are no pieces. */
     String topSource() {
         return pieces.entrySet().stream()
                 .max(Map.Entry.<String, Integer>comparingByValue()
--- a/daemon/src/main/java/org/bankturn/daemon/weights/ProcessCopyContext.java
+++ b/daemon/src/main/java/org/bankturn/daemon/weights/ProcessCopyContext.java
@@ -18,135 +18,136 @@
 import org.bankturn.time.Clock;
 import org.bankturn.weights.PieceRouting;
 
-/** The process around a copy of weights: its calls to the engine, the origin and neighbours, and the plan as of now. */
+/** The copy context of a daemon process: calls to the engine, the origin and neighbours, and the current routing. */
 final class ProcessCopyContext implements CopyContext {
-    private static final long LOCAL_CALL_MILLIS = 1_500;
-    private static final long ORIGIN_CALL_MILLIS = 2_500;
-    private static final long ORIGIN_CONNECT_MILLIS = 300;
-    private static final int MOST_ORIGIN_CALLS = 2;
+    private static final long ENGINE_TIMEOUT_MILLIS = 1_500;
+    private static final long ORIGIN_TIMEOUT_MILLIS = 2_500;
+    private static final long ORIGIN_CONNECT_TIMEOUT_MILLIS = 300;
+    private static final int MAX_ORIGIN_CALLS = 2;
     private static final long NEIGHBOUR_MARGIN_MILLIS = 400;
-    private static final long TRANSFER_MILLIS = 2_500;
-    private static final byte[] NOTHING = new byte[0];
+    private static final long TRANSFER_TIMEOUT_MILLIS = 2_500;
+    private static final byte[] EMPTY_BODY = new byte[0];
 
-    private final WeightsDependencies wiring;
-    private final Participant place;
+    private final WeightsDependencies dependencies;
+    private final Participant participant;
     private final HttpCalls calls;
     private PieceRouting routing;
-    private long routedIndex;
-    private int routedVersion;
+    private long routingIndex;
+    private int routingVersion;
 
-    /** What differs between a box with an engine and a relay. */
+    /** The behaviour that differs between a box with an engine and a relay. */
     interface Participant {
-        /** Returns the processes that take part, as of now. */
+        /** Returns the processes that currently take part. */
         WeightsPeers peers();
 
-        /** Returns the index of what is published now, which rises with each change. */
+        /** Returns the index of the current publication, which rises with each change. */
         long index();
 
         /** Returns how many processes share the origin's connections. */
         int originSharers();
 
-        /** Returns the plan for a version as of now. */
+        /** Returns the current routing for a version. */
         PieceRouting plan(int version);
 
-        /** Returns true if this process fetches a piece, by its plan, without being asked for it. */
+        /** Returns true if the routing has this process fetch a piece without a request for it. */
         boolean wants(PieceRouting plan, int piece);
 
         /** Returns true if an engine on this box holds weights, so that its requests share the link. */
         boolean engineServes();
 
-        /** Returns where the engine on this box is called, empty if there is none. */
+        /** Returns the address of the engine on this box, empty if there is none. */
         Optional<Address> engine();
     }
 
-    ProcessCopyContext(WeightsDependencies wiring, Participant place) {
-        this.wiring = wiring;
-        this.place = place;
+    ProcessCopyContext(WeightsDependencies dependencies, Participant participant) {
+        this.dependencies = dependencies;
+        this.participant = participant;
         this.calls = HttpCalls.on(
-                wiring.reactor(),
-                wiring.clock(),
-                SilentConnections.to(ServingMetrics.PEER_TARGET, wiring.log(), wiring.metrics()));
+                dependencies.reactor(),
+                dependencies.clock(),
+                SilentConnections.to(ServingMetrics.PEER_TARGET, dependencies.log(), dependencies.metrics()));
     }
 
     @Override
     public Eventloop reactor() {
-        return wiring.reactor();
+        return dependencies.reactor();
     }
 
     @Override
     public Clock clock() {
-        return wiring.clock();
+        return dependencies.clock();
     }
 
     @Override
     public DecisionLog log() {
-        return wiring.log();
+        return dependencies.log();
     }
 
     @Override
     public ServingMetrics metrics() {
-        return wiring.metrics();
+        return dependencies.metrics();
     }
 
     @Override
     public WeightsDialect dialect() {
-        return wiring.dialect();
+        return dependencies.dialect();
     }
 
     @Override
     public boolean engineServes() {
-        return place.engineServes();
+        return participant.engineServes();
     }
 
     @Override
     public boolean wants(int version, int piece) {
-        return place.wants(routing(version), piece);
+        return participant.wants(routing(version), piece);
     }
 
     @Override
     public PieceRouting routing(int version) {
-        if (routing == null || routedIndex != place.index() || routedVersion != version) {
-            routing = place.plan(version);
-            routedIndex = place.index();
-            routedVersion = version;
+        if (routing == null || routingIndex != participant.index() || routingVersion != version) {
+            routing = participant.plan(version);
+            routingIndex = participant.index();
+            routingVersion = version;
         }
         return routing;
     }
 
     @Override
     public Promise<HttpCalls.Answer> callEngine(HttpHead head, byte[] body) {
-        return withEngine(engine -> calls.call(engine, head, body, LOCAL_CALL_MILLIS));
+        return withEngine(engine -> calls.call(engine, head, body, ENGINE_TIMEOUT_MILLIS));
     }
 
     @Override
     public Promise<HttpCalls.Answer> queryEngine(HttpHead head) {
-        return withEngine(engine -> calls.ask(engine, head, LOCAL_CALL_MILLIS));
+        return withEngine(engine -> calls.ask(engine, head, ENGINE_TIMEOUT_MILLIS));
     }
 
     private Promise<HttpCalls.Answer> withEngine(Function<InetSocketAddress, Promise<HttpCalls.Answer>> call) {
-        return place.engine()
-                .map(engine -> succeeding(call.apply(engine.toSocketAddress())))
-                .orElseGet(() -> Promise.ofException(new IOException("no engine on this box")));
+        return participant
+                .engine()
+                .map(engine -> requireSuccess(call.apply(engine.toSocketAddress())))
+                .orElseGet(() -> Promise.ofException(new IOException("this box has no engine")));
     }
 
     @Override
     public int maxOriginCalls() {
-        int share = place.peers().originConnections() / Math.max(1, place.originSharers());
-        return Math.max(1, Math.min(MOST_ORIGIN_CALLS, share));
+        int share = participant.peers().originConnections() / Math.max(1, participant.originSharers());
+        return Math.max(1, Math.min(MAX_ORIGIN_CALLS, share));
     }
 
     @Override
     public Promise<HttpCalls.Answer> callOrigin(HttpHead head) {
-        Optional<Service> origin = place.peers().origin();
+        Optional<Service> origin = participant.peers().origin();
         if (origin.isEmpty()) {
-            return Promise.ofException(new IOException("no origin of weights"));
+            return Promise.ofException(new IOException("no weights origin is configured"));
         }
         Address address = Address.parse(origin.get().originAddress());
-        return succeeding(
-                calls.call(address.toSocketAddress(), head, NOTHING, ORIGIN_CONNECT_MILLIS, ORIGIN_CALL_MILLIS));
+        return requireSuccess(calls.call(
+                address.toSocketAddress(), head, EMPTY_BODY, ORIGIN_CONNECT_TIMEOUT_MILLIS, ORIGIN_TIMEOUT_MILLIS));
     }
 
-    private static Promise<HttpCalls.Answer> succeeding(Promise<HttpCalls.Answer> call) {
+    private static Promise<HttpCalls.Answer> requireSuccess(Promise<HttpCalls.Answer> call) {
         return call.then(answer -> answer.isSuccess()
                 ? Promise.of(answer)
                 : Promise.ofException(new HttpStatusException(answer.head().status())));
@@ -154,15 +155,17 @@
 
     @Override
     public Promise<byte[]> requestPiece(String box, NodeRequest.GetPiece request) {
-        return wiring.clients()
-                .ask(Address.parse(box), request, TRANSFER_MILLIS)
+        return dependencies
+                .clients()
+                .ask(Address.parse(box), request, TRANSFER_TIMEOUT_MILLIS)
                 .map(reply -> reply instanceof NodeReply.Piece piece ? piece.bytes() : null);
     }
 
     @Override
     public Promise<Boolean> awaitNeighbour(String box, NodeRequest.AwaitPiece request) {
-        return wiring.clients()
+        return dependencies
+                .clients()
                 .ask(Address.parse(box), request, request.waitMillis() + NEIGHBOUR_MARGIN_MILLIS)
-                .map(reply -> reply instanceof NodeReply.PieceThere told && told.there());
+                .map(reply -> reply instanceof NodeReply.PieceThere answer && answer.there());
     }
 }
--- a/daemon/src/main/java/org/bankturn/daemon/weights/WeightsAgent.java
+++ b/daemon/src/main/java/org/bankturn/daemon/weights/WeightsAgent.java
@@ -20,80 +20,82 @@
 import org.bankturn.weights.PieceRouting;
 
 /**
- * Brings the newest named weights to the engine on the same box.
+ * Keeps the engine on the same box at the newest published version of its weights.
  *
- * <p>It looks at the engine's report again and again, so that an engine that came back empty is noticed as well as a newer
- * version. Engines change over by turns. WeightsAgent is confined to its reactor's thread.
+ * <p>The agent polls the engine's report, so that it reacts to an engine that restarted empty as well as to a new version.
+ * Engines change over at staggered times.
+ *
+ * <p>This class is confined to its reactor's thread.
  */
 public final class WeightsAgent {
-    /** How often the engine is looked at while it lacks what it should hold. */
-    private static final long CHECK_MILLIS = 100;
+    /** The poll interval while the engine lacks the expected version. */
+    private static final long POLL_MILLIS = 100;
 
-    /** The same while it holds it: an engine that came back empty needs seconds for a copy; gateways' questions look too. */
-    private static final long RESTING_CHECK_MILLIS = 300;
+    /** The poll interval while the engine holds the expected version; load requests of gateways poll as well. */
+    private static final long UP_TO_DATE_POLL_MILLIS = 300;
 
-    private static final long NOT_COMING_MILLIS = 200;
-    private static final long LOAD_USABLE_MILLIS = 1_000;
-    private static final long START_AGAIN_MILLIS = 1_500;
-    private static final long START_RETRY_MILLIS = 150;
+    private static final long UNKNOWN_VERSION_DELAY_MILLIS = 200;
+    private static final long MAX_LOAD_AGE_MILLIS = 1_000;
+    private static final long REORDER_START_MILLIS = 1_500;
+    private static final long FAILED_START_RETRY_MILLIS = 150;
 
-    /** Versions whose naming is remembered: the one that is changed to may be older than the newest. */
-    private static final int VERSIONS_TIMED = 8;
+    /** Versions whose publication time is retained, since the next version to start may not be the newest. */
+    private static final int MAX_TIMED_VERSIONS = 8;
 
     private final WeightsSettings settings;
-    private final ProcessCopyContext around;
+    private final ProcessCopyContext context;
     private final PieceSender sender;
-    private final FetchScheduler turns = new FetchScheduler();
+    private final FetchScheduler scheduler = new FetchScheduler();
     private Published published = Published.NOTHING;
     private WeightsCopy copy;
 
-    /** A newer version that is fetched while the copy is still to be laid beside the engine and started. */
-    private WeightsCopy following;
+    /** The copy of a newer version, fetched but not staged until the current copy was started; null if none. */
+    private WeightsCopy nextCopy;
 
     private EngineReport lastReport;
-    private int namedVersion;
+    private int publishedVersion;
 
-    /** When each version became known here, by version. */
-    private final TreeMap<Integer, Long> namedMillis = new TreeMap<>();
+    /** The time at which each version became known here, by version. */
+    private final TreeMap<Integer, Long> publishedMillis = new TreeMap<>();
 
     private boolean starting;
 
-    /** When the engine breaks off what it runs, in the past if that is not planned. */
-    private long breaksOffMillis = Long.MIN_VALUE / 2;
+    /** The time at which the engine will abort its requests, in the past if none is planned. */
+    private long abortMillis = Long.MIN_VALUE / 2;
 
-    private long reportedMillis;
+    private long reportMillis;
 
-    /** The look at the engine that is under way, null if none is. */
-    private Promise<Void> looking;
+    /** The poll in flight, null if none. */
+    private Promise<Void> pendingPoll;
 
-    /** Returns an agent that does not run yet, not null. */
-    public static WeightsAgent of(WeightsSettings settings, WeightsDependencies wiring) {
-        return new WeightsAgent(settings, wiring);
+    /** Returns an agent that has not been started, not null. */
+    public static WeightsAgent of(WeightsSettings settings, WeightsDependencies dependencies) {
+        return new WeightsAgent(settings, dependencies);
     }
 
-    private WeightsAgent(WeightsSettings settings, WeightsDependencies wiring) {
+    private WeightsAgent(WeightsSettings settings, WeightsDependencies dependencies) {
         this.settings = settings;
-        this.around = new ProcessCopyContext(wiring, new EnginePlace());
-        this.sender = new PieceSender(wiring.reactor(), wiring.clock(), settings.linkBytesPerSecond());
+        this.context = new ProcessCopyContext(dependencies, new EngineParticipant());
+        this.sender = new PieceSender(dependencies.reactor(), dependencies.clock(), settings.linkBytesPerSecond());
     }
 
-    /** Starts to look after the engine. */
+    /** Starts to poll the engine. */
     public void start() {
-        check();
+        pollRepeatedly();
     }
 
-    /** Takes in what is published now. */
+    /** Applies a new publication. */
     public void update(Published newer) {
         published = newer;
-        layout().flatMap(each -> newer.weightsOf(each.model())).ifPresent(this::noteNamed);
+        layout().flatMap(each -> newer.weightsOf(each.model())).ifPresent(this::recordVersion);
     }
 
-    private void noteNamed(NamedWeights named) {
-        if (named.version() > namedVersion) {
-            namedVersion = named.version();
-            namedMillis.put(named.version(), around.clock().millis());
-            namedMillis.headMap(named.version() - VERSIONS_TIMED).clear();
-            look();
+    private void recordVersion(NamedWeights named) {
+        if (named.version() > publishedVersion) {
+            publishedVersion = named.version();
+            publishedMillis.put(named.version(), context.clock().millis());
+            publishedMillis.headMap(named.version() - MAX_TIMED_VERSIONS).clear();
+            poll();
         }
     }
 
@@ -101,111 +103,113 @@
         return peers().layoutOf(settings.service());
     }
 
-    // ---- looking after the engine
+    // ---- the engine
 
-    private void check() {
-        look().whenComplete(() -> {
-            boolean rests = lastReport != null && lastReport.heldVersion() >= Math.max(1, namedVersion);
-            around.reactor().delayBackground(rests ? RESTING_CHECK_MILLIS : CHECK_MILLIS, this::check);
+    private void pollRepeatedly() {
+        poll().whenComplete(() -> {
+            boolean upToDate = lastReport != null && lastReport.heldVersion() >= Math.max(1, publishedVersion);
+            context.reactor().delayBackground(upToDate ? UP_TO_DATE_POLL_MILLIS : POLL_MILLIS, this::pollRepeatedly);
         });
     }
 
-    /** Looks at the engine; several that want to know at a time share one look. */
-    private Promise<Void> look() {
-        if (looking != null) {
-            return looking;
+    /** Polls the engine; concurrent callers share one request. */
+    private Promise<Void> poll() {
+        if (pendingPoll != null) {
+            return pendingPoll;
         }
-        Promise<Void> begun = checkOnce();
-        if (!begun.isComplete()) {
-            looking = begun.whenComplete(() -> looking = null);
-            return looking;
+        Promise<Void> started = requestReport();
+        if (!started.isComplete()) {
+            pendingPoll = started.whenComplete(() -> pendingPoll = null);
+            return pendingPoll;
         }
-        return begun;
+        return started;
     }
 
-    private Promise<Void> checkOnce() {
+    private Promise<Void> requestReport() {
         if (layout().isEmpty()) {
             return Promise.complete();
         }
-        return around.queryEngine(around.dialect().report())
+        return context.queryEngine(context.dialect().report())
                 .then(
                         answer -> {
-                            around.dialect().report(answer.body()).ifPresentOrElse(this::take, this::noteUnreadable);
+                            context.dialect()
+                                    .report(answer.body())
+                                    .ifPresentOrElse(this::handleReport, this::logMalformedReport);
                             return Promise.complete();
                         },
                         failure -> Promise.complete());
     }
 
-    /** What cannot be read says nothing: an engine of unknown load is not one at rest. */
-    private void noteUnreadable() {
-        around.metrics().unreadableReport();
-        around.log()
+    /** Discards a malformed report; an engine of unknown load must not count as idle. */
+    private void logMalformedReport() {
+        context.metrics().unreadableReport();
+        context.log()
                 .line(DecisionKind.LOST)
                 .with(DecisionField.DEPENDENCY, "engine")
-                .with(DecisionField.REASON, "its report cannot be read")
+                .with(DecisionField.REASON, "malformed report")
                 .write();
     }
 
-    private void take(EngineReport report) {
+    private void handleReport(EngineReport report) {
         lastReport = report;
-        reportedMillis = around.clock().millis();
-        int wanted = Math.max(1, namedVersion);
+        reportMillis = context.clock().millis();
+        int wanted = Math.max(1, publishedVersion);
         if (report.heldVersion() >= wanted) {
             return;
         }
-        fetchWanted(wanted, report);
+        ensureCopy(wanted, report);
         if (!report.busy() && copy.isComplete()) {
-            startInTurn();
+            scheduleStart();
         }
     }
 
-    /** A copy that is well under way is finished first; the wanted version is fetched meanwhile, but not laid down yet. */
-    private void fetchWanted(int wanted, EngineReport report) {
+    /** Starts a copy of the wanted version, which is fetched but not staged while an advanced older copy is finished. */
+    private void ensureCopy(int wanted, EngineReport report) {
         if (copy != null && copy.version() >= wanted) {
             return;
         }
-        boolean finishes = copy != null
+        boolean finishCurrent = copy != null
                 && (report.busy() || (copy.hasSubstantialProgress() && report.heldVersion() < copy.version()));
-        if (following == null || following.version() < wanted) {
-            abandon(following);
-            following = beginCopy(wanted);
+        if (nextCopy == null || nextCopy.version() < wanted) {
+            cancel(nextCopy);
+            nextCopy = startCopy(wanted);
         }
-        if (!finishes) {
-            abandon(copy);
-            copy = following;
-            following = null;
-            copy.onComplete(this::startInTurn);
+        if (!finishCurrent) {
+            cancel(copy);
+            copy = nextCopy;
+            nextCopy = null;
+            copy.onComplete(this::scheduleStart);
             copy.allowStaging();
         }
     }
 
-    private static void abandon(WeightsCopy former) {
-        if (former != null) {
-            former.cancel();
+    private static void cancel(WeightsCopy obsolete) {
+        if (obsolete != null) {
+            obsolete.cancel();
         }
     }
 
-    private WeightsCopy beginCopy(int version) {
-        around.log()
+    private WeightsCopy startCopy(int version) {
+        context.log()
                 .line(DecisionKind.WEIGHTS)
                 .with(DecisionField.EVENT, "copy begun")
                 .with(DecisionField.VERSION, version)
                 .write();
-        WeightsCopy begun = new WeightsCopy(around, layout().orElseThrow(), version, turns);
-        begun.start();
-        return begun;
+        WeightsCopy started = new WeightsCopy(context, layout().orElseThrow(), version, scheduler);
+        started.start();
+        return started;
     }
 
-    /** Returns the copy of a version that is here or on its way, empty if there is none. */
+    /** Returns the current or the next copy if it is of the given version. */
     private Optional<WeightsCopy> copyOf(int version) {
-        return Stream.of(Optional.ofNullable(copy), Optional.ofNullable(following))
+        return Stream.of(Optional.ofNullable(copy), Optional.ofNullable(nextCopy))
                 .flatMap(Optional::stream)
                 .filter(each -> each.version() == version)
                 .findFirst();
     }
 
-    /** Boxes take their turns, so that most engines serve while some change over; an empty engine does not wait. */
-    private void startInTurn() {
+    /** Schedules the start order. Loaded engines change at staggered times so that most keep serving; empty ones do not wait. */
+    private void scheduleStart() {
         if (starting) {
             return;
         }
@@ -213,71 +217,73 @@
         WeightsCopy started = copy;
         long wait = lastReport.heldVersion() == 0
                 ? 0
-                : Math.max(0, turnMillis(started.version()) - around.clock().millis());
+                : Math.max(
+                        0,
+                        plannedStartMillis(started.version()) - context.clock().millis());
         if (lastReport.heldVersion() > 0 && changeMethod() == ChangeMethod.AT_ONCE) {
-            breaksOffMillis = around.clock().millis() + wait;
+            abortMillis = context.clock().millis() + wait;
         }
-        around.reactor().delayBackground(wait, () -> orderStart(started));
+        context.reactor().delayBackground(wait, () -> orderStart(started));
     }
 
     private void orderStart(WeightsCopy started) {
         ChangeMethod method = changeMethod();
         started.verifyAndStart(method).whenComplete((answer, failure) -> {
-            around.log()
+            context.log()
                     .line(DecisionKind.WEIGHTS)
                     .with(DecisionField.EVENT, failure == null ? "start ordered" : "start failed")
                     .with(DecisionField.VERSION, started.version())
                     .with(DecisionField.METHOD, method)
                     .with(DecisionField.ERROR, failure == null ? "" : failure.getMessage())
                     .write();
-            long pause = failure == null ? START_AGAIN_MILLIS : START_RETRY_MILLIS;
-            around.reactor().delayBackground(pause, () -> starting = false);
+            long pause = failure == null ? REORDER_START_MILLIS : FAILED_START_RETRY_MILLIS;
+            context.reactor().delayBackground(pause, () -> starting = false);
         });
     }
 
-    private long turnMillis(int version) {
-        long now = around.clock().millis();
-        long named = namedMillis.getOrDefault(version, now);
-        ChangeTurns turns = ChangeTurns.within(settings.deadlineMillis(), changeMethod());
-        return named + turns.turnMillis(settings.nodeAddress().toString(), boxes(), now - named);
+    private long plannedStartMillis(int version) {
+        long now = context.clock().millis();
+        long named = publishedMillis.getOrDefault(version, now);
+        ChangeTurns schedule = ChangeTurns.within(settings.deadlineMillis(), changeMethod());
+        return named + schedule.turnMillis(settings.nodeAddress().toString(), boxes(), now - named);
     }
 
-    /** Answers that can go on at another target need not be waited for, which would empty the engines by turns. */
+    /** Returns AT_ONCE if aborted requests can resume at another target, since draining would then only cost capacity. */
     private ChangeMethod changeMethod() {
-        boolean goOn = published.configuration() != null
+        boolean resumable = published.configuration() != null
                 && published.configuration().everyRequestMayGoOnElsewhere(settings.service());
-        return goOn ? ChangeMethod.AT_ONCE : ChangeMethod.AFTER_ANSWERS;
+        return resumable ? ChangeMethod.AT_ONCE : ChangeMethod.AFTER_ANSWERS;
     }
 
     // ---- neighbours
 
-    /** Answers a neighbour that asks for a piece. */
-    public Promise<NodeReply> sendPiece(NodeRequest.GetPiece asked) {
-        Optional<WeightsCopy> coming = copyOf(asked.version());
-        if (coming.isPresent()) {
-            return sender.reply(coming.get().piece(asked.piece()), around.engineServes());
+    /** Answers a request for a piece. */
+    public Promise<NodeReply> sendPiece(NodeRequest.GetPiece request) {
+        Optional<WeightsCopy> pending = copyOf(request.version());
+        if (pending.isPresent()) {
+            return sender.reply(pending.get().piece(request.piece()), context.engineServes());
         }
-        boolean lies = lastReport != null && lastReport.heldVersion() == asked.version();
-        if (!lies || asked.piece() == WeightsCopy.MANIFEST) {
+        boolean loaded = lastReport != null && lastReport.heldVersion() == request.version();
+        if (!loaded || request.piece() == WeightsCopy.MANIFEST) {
             return Promise.of(new NodeReply.Piece(null));
         }
-        return around.queryEngine(around.dialect().readBack(asked.model(), asked.piece()))
-                .then(answer -> sender.reply(answer.body(), around.engineServes()));
+        return context.queryEngine(context.dialect().readBack(request.model(), request.piece()))
+                .then(answer -> sender.reply(answer.body(), context.engineServes()));
     }
 
-    /** Answers a neighbour that waits for a piece. */
-    public Promise<NodeReply> awaitPiece(NodeRequest.AwaitPiece asked) {
-        Promise<Boolean> there = copyOf(asked.version())
-                .map(coming -> coming.awaitPiece(asked.piece(), asked.waitMillis()))
-                .orElseGet(() -> notComing(asked));
-        return there.map(NodeReply.PieceThere::new);
+    /** Answers a long poll for a piece. */
+    public Promise<NodeReply> awaitPiece(NodeRequest.AwaitPiece request) {
+        Promise<Boolean> available = copyOf(request.version())
+                .map(pending -> pending.awaitPiece(request.piece(), request.waitMillis()))
+                .orElseGet(() -> availableAfterDelay(request));
+        return available.map(NodeReply.PieceThere::new);
     }
 
-    /** Answers only after the time to wait, since the copy may begin any moment. */
-    private Promise<Boolean> notComing(NodeRequest.AwaitPiece asked) {
-        SettablePromise<Boolean> later = new SettablePromise<>();
-        around.reactor().delayBackground(NOT_COMING_MILLIS, () -> later.set(holds(asked.version())));
-        return later;
+    /** Answers after a delay, since the copy may start at any time. */
+    private Promise<Boolean> availableAfterDelay(NodeRequest.AwaitPiece request) {
+        SettablePromise<Boolean> reply = new SettablePromise<>();
+        context.reactor().delayBackground(UNKNOWN_VERSION_DELAY_MILLIS, () -> reply.set(holds(request.version())));
+        return reply;
     }
 
     private boolean holds(int version) {
@@ -285,16 +291,16 @@
                 || (lastReport != null && lastReport.heldVersion() == version);
     }
 
-    /** Answers a gateway that asks for the engine's load, with what the engine says now. */
+    /** Answers a gateway's request for the engine's load, from a fresh report. */
     public Promise<NodeReply> reportLoad() {
-        return look().map(nothing -> loadAsKnown());
+        return poll().map(ignored -> lastKnownLoad());
     }
 
-    private NodeReply loadAsKnown() {
-        long age = around.clock().millis() - reportedMillis;
-        boolean usable = lastReport != null && age < LOAD_USABLE_MILLIS;
-        long breaksOffIn = Math.max(0, breaksOffMillis - around.clock().millis());
-        return new NodeReply.Load(usable ? lastReport.load() : null, age, breaksOffIn);
+    private NodeReply lastKnownLoad() {
+        long age = context.clock().millis() - reportMillis;
+        boolean usable = lastReport != null && age < MAX_LOAD_AGE_MILLIS;
+        long abortInMillis = Math.max(0, abortMillis - context.clock().millis());
+        return new NodeReply.Load(usable ? lastReport.load() : null, age, abortInMillis);
     }
 
     private WeightsPeers peers() {
@@ -313,8 +319,8 @@
                 .orElse(new PieceHolder(own, settings.dataHall(), 0));
     }
 
-    /** The box of the engine among all boxes and relays. */
-    private final class EnginePlace implements ProcessCopyContext.Participant {
+    /** Routes among the boxes of the service and the relays. */
+    private final class EngineParticipant implements ProcessCopyContext.Participant {
         @Override
         public WeightsPeers peers() {
             return WeightsAgent.this.peers();
--- a/daemon/src/main/java/org/bankturn/daemon/weights/WeightsDependencies.java
+++ b/daemon/src/main/java/org/bankturn/daemon/weights/WeightsDependencies.java
@@ -7,12 +7,12 @@
 import org.bankturn.time.Clock;
 
 /**
- * What a process that copies weights has.
+ * The shared services of a process that copies weights.
  *
- * @param reactor its reactor, not null
- * @param clients asks other processes, not null
- * @param dialect how engines and origins are spoken to, not null
- * @param clock the time, not null
+ * @param reactor the reactor of the process, not null
+ * @param clients the clients for calls to other processes, not null
+ * @param dialect the message formats of engines and origins, not null
+ * @param clock the time source, not null
  * @param log the decision log, not null
  * @param metrics the metrics, not null
  */
--- a/daemon/src/main/java/org/bankturn/daemon/weights/WeightsDialect.java
+++ b/daemon/src/main/java/org/bankturn/daemon/weights/WeightsDialect.java
@@ -4,32 +4,32 @@
 import org.bankturn.daemon.http.HttpHead;
 import org.bankturn.weights.ChangeMethod;
 
-/** How engines and origins of weights are spoken to: names and formats only. */
+/** The request targets and message formats of engines and weights origins. */
 public interface WeightsDialect {
-    /** Returns the call that asks an engine for its report. */
+    /** Returns the request for an engine's report. */
     HttpHead report();
 
-    /** Reads a report, empty if it is none. */
+    /** Parses a report, empty if it is malformed. */
     Optional<EngineReport> report(byte[] body);
 
-    /** Returns the call that lays a piece beside an engine. */
+    /** Returns the request that stages a piece at an engine. */
     HttpHead stage(String model, int piece);
 
-    /** Returns the call that reads a piece back. */
+    /** Returns the request that reads a staged piece back. */
     HttpHead readBack(String model, int piece);
 
-    /** Returns the call that gives an engine an order. */
+    /** Returns the request that sends an order to an engine. */
     HttpHead order();
 
-    /** Returns the body of the order to take up the weights that lie there. */
+    /** Returns the body of the order to load the staged weights. */
     byte[] startOrder(String model, int version, ChangeMethod method);
 
-    /** Returns the call that asks an origin for a manifest; version 0 asks for the newest. */
+    /** Returns the request for a manifest at the origin; version 0 selects the newest. */
     HttpHead manifest(String model, int version);
 
-    /** Reads a manifest, empty if it is none. */
+    /** Parses a manifest, empty if it is malformed. */
     Optional<PieceManifest> manifest(byte[] body);
 
-    /** Returns the call that asks an origin for a piece. */
+    /** Returns the request for a piece at the origin. */
     HttpHead piece(String model, int version, int piece);
 }
--- a/daemon/src/main/java/org/bankturn/daemon/weights/WeightsPeers.java
+++ b/daemon/src/main/java/org/bankturn/daemon/weights/WeightsPeers.java
@@ -10,22 +10,22 @@
 import org.bankturn.weights.PieceHolder;
 
 /**
- * The processes that take part in bringing weights to targets, as they are published at a moment.
+ * The processes that take part in the distribution of weights, derived from one publication.
  *
- * <p>WeightsPeers is immutable and thread-safe.
+ * <p>This class is immutable and thread-safe.
  */
 final class WeightsPeers {
-    /** Connections of boxes that lost their power may still count at the origin beside the new ones. */
-    private static final int ORIGIN_CONNECTIONS_USED_PERCENT = 40;
+    /** Leaves a reserve, since the origin may still count connections of boxes that lost power. */
+    private static final int USABLE_ORIGIN_CONNECTIONS_PERCENT = 40;
 
     private final Published published;
     private final int nodePort;
 
     /**
-     * Returns the peers in what is published.
+     * Returns the peers of a publication.
      *
-     * @param published what is published, not null
-     * @param nodePort the port at which processes of bankturn call each other, the same on every box
+     * @param published the publication, not null
+     * @param nodePort the port for calls between daemon processes, the same on every box
      */
     static WeightsPeers of(Published published, int nodePort) {
         return new WeightsPeers(published, nodePort);
@@ -36,7 +36,7 @@
         this.nodePort = nodePort;
     }
 
-    /** Returns the boxes whose targets belong to a service and stay, in one order everywhere, not null. */
+    /** Returns the boxes of a service's targets that are not draining, in an order that is the same everywhere, not null. */
     List<PieceHolder> boxesOf(String service) {
         return published.targets().values().stream()
                 .filter(target -> target.service().equals(service) && !target.draining())
@@ -50,7 +50,7 @@
         return new PieceHolder(box.toString(), target.dataHall(), target.heldVersion());
     }
 
-    /** Returns the relays, in one order everywhere, not null. */
+    /** Returns the relays, in an order that is the same everywhere, not null. */
     List<PieceHolder> relays() {
         return boxesOf(WeightsRelay.SERVICE);
     }
@@ -65,23 +65,23 @@
                         .findFirst();
     }
 
-    /** Returns how the weights of a service are cut up, empty if it is not known or holds none. */
+    /** Returns the weights layout of a service, empty if the service is unknown or has no weights. */
     Optional<WeightsLayout> layoutOf(String service) {
         return published.configuration() == null
                 ? Optional.empty()
                 : published.configuration().service(service).map(Service::weights);
     }
 
-    /** Returns where weights come from, empty if the document in force names no origin. */
+    /** Returns the origin of weights, empty if the active configuration has none. */
     Optional<Service> origin() {
         return published.configuration() == null
                 ? Optional.empty()
                 : published.configuration().origin();
     }
 
-    /** Returns how many connections all boxes together may have at the origin, at least one. */
+    /** Returns the limit of connections from all boxes to the origin, at least one. */
     int originConnections() {
-        int most = origin().map(Service::maximumConnections).orElse(0);
-        return Math.max(1, most * ORIGIN_CONNECTIONS_USED_PERCENT / 100);
+        int maximum = origin().map(Service::maximumConnections).orElse(0);
+        return Math.max(1, maximum * USABLE_ORIGIN_CONNECTIONS_PERCENT / 100);
     }
 }
--- a/daemon/src/main/java/org/bankturn/daemon/weights/WeightsRelay.java
+++ b/daemon/src/main/java/org/bankturn/daemon/weights/WeightsRelay.java
@@ -22,58 +22,58 @@
 import org.bankturn.weights.PieceRouting;
 
 /**
- * Keeps pieces of weights in memory and hands them to the boxes of its data hall.
+ * Caches pieces of weights in memory and serves them to the boxes of its data hall.
  *
- * <p>The boxes of targets have narrow links, which answers share; entry boxes have wide ones. Relays deal the pieces of a
- * version out among themselves, so that the origin sends each once, and each data hall takes each in once. A version that
- * a box asks for is fetched as well, whether it was named or not.
+ * <p>Relays run on entry boxes, whose links are faster than those of targets. They partition the pieces of a version among
+ * themselves, so that the origin sends each piece once and each enters a data hall once. A version is fetched when it is
+ * published or when a box requests it.
  *
- * <p>WeightsRelay is confined to its reactor's thread.
+ * <p>This class is confined to its reactor's thread.
  */
 public final class WeightsRelay {
-    /** The service under which relays are published; no document can name it, since names hold no blank. */
+    /** The service name of relays; its blank keeps it distinct from every configured service. */
     public static final String SERVICE = "weights relay";
 
-    /** A version larger than that is left to the boxes themselves: entry boxes are small. */
-    private static final long MOST_BYTES = 32L << 20;
+    /** Larger versions are not relayed, because the memory of entry boxes is small. */
+    private static final long MAX_VERSION_BYTES = 32L << 20;
 
-    /** The version in force, and the one that follows it. */
-    private static final int VERSIONS_KEPT = 2;
+    /** The current version and its successor. */
+    private static final int MAX_VERSIONS = 2;
 
-    /** A box that hears no sooner that a version is not here does not ask again sooner either. */
-    private static final long NOT_COMING_MILLIS = 400;
+    /** Delays the answer for an unknown version, which limits the rate of polls. */
+    private static final long UNKNOWN_VERSION_DELAY_MILLIS = 400;
 
-    /** The version that a box without an engine is said to hold. */
+    /** The held version of a box without an engine. */
     public static final int NO_ENGINE = -1;
 
     private final RelaySettings settings;
-    private final WeightsDependencies wiring;
+    private final WeightsDependencies dependencies;
     private final PieceSender sender;
     private final Map<String, TreeMap<Integer, WeightsCopy>> copies = new HashMap<>();
-    private final Map<String, FetchScheduler> turns = new HashMap<>();
+    private final Map<String, FetchScheduler> schedulers = new HashMap<>();
     private Published published = Published.NOTHING;
 
     /**
-     * What a relay must be told.
+     * The settings of a relay.
      *
-     * @param dataHall the data hall it is in, not null
-     * @param nodeAddress where other processes call, not null
-     * @param linkBytesPerSecond the rate of the box's link
+     * @param dataHall the data hall of the box, not null
+     * @param nodeAddress the address for calls from other processes, not null
+     * @param linkBytesPerSecond the bandwidth of the box's link
      */
     public record RelaySettings(String dataHall, Address nodeAddress, long linkBytesPerSecond) {}
 
-    /** Returns a relay that holds nothing yet, not null. */
-    public static WeightsRelay of(RelaySettings settings, WeightsDependencies wiring) {
-        return new WeightsRelay(settings, wiring);
+    /** Returns a relay without any copies, not null. */
+    public static WeightsRelay of(RelaySettings settings, WeightsDependencies dependencies) {
+        return new WeightsRelay(settings, dependencies);
     }
 
-    private WeightsRelay(RelaySettings settings, WeightsDependencies wiring) {
+    private WeightsRelay(RelaySettings settings, WeightsDependencies dependencies) {
         this.settings = settings;
-        this.wiring = wiring;
-        this.sender = new PieceSender(wiring.reactor(), wiring.clock(), settings.linkBytesPerSecond());
+        this.dependencies = dependencies;
+        this.sender = new PieceSender(dependencies.reactor(), dependencies.clock(), settings.linkBytesPerSecond());
     }
 
-    /** Takes in what is published now, and begins to fetch versions that were named. */
+    /** Applies a new publication and starts to fetch the versions in it. */
     public void update(Published newer) {
         published = newer;
         for (NamedWeights named : newer.weights()) {
@@ -81,85 +81,86 @@
         }
     }
 
-    /** Answers a box that asks for a piece. */
-    public Promise<NodeReply> sendPiece(NodeRequest.GetPiece asked) {
-        byte[] bytes = copy(asked.model(), asked.version())
-                .map(copy -> copy.piece(asked.piece()))
+    /** Answers a request for a piece. */
+    public Promise<NodeReply> sendPiece(NodeRequest.GetPiece request) {
+        byte[] bytes = copy(request.model(), request.version())
+                .map(copy -> copy.piece(request.piece()))
                 .orElse(null);
         return sender.reply(bytes, true);
     }
 
-    /** Answers a box that waits for a piece, which is fetched if need be. */
-    public Promise<NodeReply> awaitPiece(NodeRequest.AwaitPiece asked) {
-        Optional<WeightsCopy> copy = copy(asked.model(), asked.version());
-        copy.ifPresent(each -> each.request(asked.piece()));
-        return copy.map(each -> each.awaitPiece(asked.piece(), asked.waitMillis()))
-                .orElseGet(this::notComing)
+    /** Answers a long poll for a piece, which is fetched if necessary. */
+    public Promise<NodeReply> awaitPiece(NodeRequest.AwaitPiece request) {
+        Optional<WeightsCopy> copy = copy(request.model(), request.version());
+        copy.ifPresent(each -> each.request(request.piece()));
+        return copy.map(each -> each.awaitPiece(request.piece(), request.waitMillis()))
+                .orElseGet(this::unavailableAfterDelay)
                 .map(NodeReply.PieceThere::new);
     }
 
-    /** Answers only after a while: a relay that has just started may know the version any moment. */
-    private Promise<Boolean> notComing() {
-        SettablePromise<Boolean> later = new SettablePromise<>();
-        wiring.reactor().delayBackground(NOT_COMING_MILLIS, () -> later.set(false));
-        return later;
+    /** Answers after a delay, since a relay that has just started may learn of the version at any time. */
+    private Promise<Boolean> unavailableAfterDelay() {
+        SettablePromise<Boolean> reply = new SettablePromise<>();
+        dependencies.reactor().delayBackground(UNKNOWN_VERSION_DELAY_MILLIS, () -> reply.set(false));
+        return reply;
     }
 
-    /** Returns the versions of a model that are kept here or on their way, oldest first, not null. */
+    /** Returns the versions of a model that are cached or being fetched, oldest first, not null. */
     List<Integer> versionsKept(String model) {
         return List.copyOf(copies.getOrDefault(model, new TreeMap<>()).keySet());
     }
 
-    /** Returns the copy of a version, which is begun if there is none; empty if it is not kept here. */
+    /** Returns the copy of a version, started if there is none; empty if the version is not cached here. */
     private Optional<WeightsCopy> copy(String model, int version) {
         TreeMap<Integer, WeightsCopy> versions = copies.computeIfAbsent(model, key -> new TreeMap<>());
         WeightsCopy known = versions.get(version);
         if (known != null) {
             return Optional.of(known);
         }
-        boolean older = versions.size() >= VERSIONS_KEPT && version < versions.firstKey();
+        boolean outdated = versions.size() >= MAX_VERSIONS && version < versions.firstKey();
         Optional<Service> service = peers().serviceOf(model).filter(WeightsRelay::fits);
-        if (older || version < 1 || service.isEmpty()) {
+        if (outdated || version < 1 || service.isEmpty()) {
             return Optional.empty();
         }
-        WeightsCopy begun = begin(service.get(), version);
-        versions.put(version, begun);
-        if (versions.size() > VERSIONS_KEPT) {
+        WeightsCopy started = startCopy(service.get(), version);
+        versions.put(version, started);
+        if (versions.size() > MAX_VERSIONS) {
             versions.pollFirstEntry().getValue().cancel();
         }
-        return Optional.of(begun);
+        return Optional.of(started);
     }
 
     private static boolean fits(Service service) {
         WeightsLayout layout = service.weights();
-        return (long) layout.pieces() * layout.pieceBytes() <= MOST_BYTES;
+        return (long) layout.pieces() * layout.pieceBytes() <= MAX_VERSION_BYTES;
     }
 
-    private WeightsCopy begin(Service service, int version) {
-        wiring.log()
+    private WeightsCopy startCopy(Service service, int version) {
+        dependencies
+                .log()
                 .line(DecisionKind.WEIGHTS)
                 .with(DecisionField.EVENT, "relay begun")
                 .with(DecisionField.VERSION, version)
                 .write();
-        ProcessCopyContext around = new ProcessCopyContext(wiring, new RelayPlace(service.name()));
-        WeightsCopy begun = new WeightsCopy(
-                around,
+        ProcessCopyContext context = new ProcessCopyContext(dependencies, new RelayParticipant(service.name()));
+        WeightsCopy started = new WeightsCopy(
+                context,
                 service.weights(),
                 version,
-                turns.computeIfAbsent(service.weights().model(), key -> new FetchScheduler()));
-        begun.start();
-        return begun;
+                schedulers.computeIfAbsent(service.weights().model(), key -> new FetchScheduler()));
+        started.start();
+        return started;
     }
 
     private WeightsPeers peers() {
         return WeightsPeers.of(published, settings.nodeAddress().port());
     }
 
-    /** A relay among the other relays; boxes that hold the version may be asked as well. */
-    private final class RelayPlace implements ProcessCopyContext.Participant {
+    /** Routes among the relays; boxes that hold the version serve as additional sources. */
+    private final class RelayParticipant implements ProcessCopyContext.Participant {
         private final String service;
 
-        RelayPlace(String service) {
+        RelayParticipant(String service) {
             this.service = service;
         }
 
--- a/daemon/src/main/java/org/bankturn/daemon/weights/WeightsSettings.java
+++ b/daemon/src/main/java/org/bankturn/daemon/weights/WeightsSettings.java
@@ -3,15 +3,15 @@
 import org.bankturn.daemon.settings.Address;
 
 /**
- * What the process beside a target must be told.
+ * The settings of a process that manages the weights of a target's engine.
  *
- * @param process its name, not null
- * @param dataHall the data hall it is in, not null
- * @param nodeAddress where other processes call, not null
- * @param engineAddress where its engine is called, not null
- * @param service the service that its engine belongs to, not null
- * @param deadlineMillis within which a named version must be everywhere
- * @param linkBytesPerSecond the rate of the box's link
+ * @param process the name of the process, not null
+ * @param dataHall the data hall of the box, not null
+ * @param nodeAddress the address for calls from other processes, not null
+ * @param engineAddress the address of the engine, not null
+ * @param service the service of the engine, not null
+ * @param deadlineMillis the time within which every engine must have changed to a published version
+ * @param linkBytesPerSecond the bandwidth of the box's link
  */
 public record WeightsSettings(
         String process,
--- a/daemon/src/main/java/org/bankturn/daemon/weights/package-info.java
+++ b/daemon/src/main/java/org/bankturn/daemon/weights/package-info.java
@@ -1,2 +1,2 @@
-/** The process beside a target: brings named weights to its engine, and hands pieces on to its neighbours. */
+/** Distribution of weights to the engines of targets, peer to peer between boxes and through relays. */
 package org.bankturn.daemon.weights;
