--- a/daemon/src/test/java/org/bankturn/daemon/weights/AgentFixture.java
+++ b/daemon/src/test/java/org/bankturn/daemon/weights/AgentFixture.java
@@ -29,7 +29,7 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 
-/** The process beside an engine that says in its reports how many it has given; tests extend it. */
+/** Base class of tests with an agent and an engine whose reports count how many were served. */
 abstract class AgentFixture {
     final AtomicInteger reports = new AtomicInteger();
     private final Eventloop reactor =
@@ -65,7 +65,7 @@
         engine.close();
     }
 
-    /** Returns where the agent reaches the engine. */
+    /** Returns the address at which the agent reaches the engine. */
     Address routeTo(Address engineAddress) throws IOException {
         return engineAddress;
     }
@@ -81,7 +81,7 @@
                 .join();
     }
 
-    /** Asks for the engine's load as gateways do; null if none is told. */
+    /** Requests the engine's load as a gateway does; null if it is unknown. */
     EngineLoad requestLoad() {
         NodeReply reply = reactor.submit(() -> agent.reportLoad()).join();
         return ((NodeReply.Load) reply).load();
@@ -94,7 +94,7 @@
         }
     }
 
-    /** Answers one report after the other on a connection that is kept. */
+    /** Answers each request on a persistent connection with a report. */
     private void answerReports(Socket socket) throws IOException {
         InputStream input = socket.getInputStream();
         byte[] request = new byte[4_096];
--- a/daemon/src/test/java/org/bankturn/daemon/weights/CountingDialect.java
+++ b/daemon/src/test/java/org/bankturn/daemon/weights/CountingDialect.java
@@ -7,7 +7,7 @@
 import org.bankturn.routing.EngineLoad;
 import org.bankturn.weights.ChangeMethod;
 
-/** Reports hold the number of requests that run, and that every layer of version 1 is there. */
+/** A dialect whose reports consist of the number of active requests and imply that version 1 is loaded. */
 final class CountingDialect implements WeightsDialect {
     private final PlainWeightsDialect plain = new PlainWeightsDialect();
 
--- a/daemon/src/test/java/org/bankturn/daemon/weights/FetchSchedulerTest.java
+++ b/daemon/src/test/java/org/bankturn/daemon/weights/FetchSchedulerTest.java
@@ -24,101 +24,100 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * A second version was named while the first was half here, and the origin failed for some seconds in between. Both were
- * then fetched side by side, each at half of the origin's rate, so that neither was there when the first was due, and nothing
- * served for seconds.
+ * Guards against two versions being fetched concurrently at half the origin's rate each, so that neither is complete by the
+ * deadline of the first.
  */
 class FetchSchedulerTest {
     private static final int PIECES = 10;
 
     private final ManualClock clock = ManualClock.startingAt(1_000_000);
     private final Eventloop reactor = Eventloop.create();
-    private final FetchScheduler turns = new FetchScheduler();
-    private final List<String> asked = new ArrayList<>();
-    private final Deque<SettablePromise<HttpCalls.Answer>> open = new ArrayDeque<>();
+    private final FetchScheduler scheduler = new FetchScheduler();
+    private final List<String> requested = new ArrayList<>();
+    private final Deque<SettablePromise<HttpCalls.Answer>> pendingCalls = new ArrayDeque<>();
 
     @Test
-    void an_older_version_that_is_half_here_is_finished_before_the_newer_one_is_fetched() {
+    void half_fetched_older_version_is_finished_before_newer_one() {
         fetch(2);
         answer(PIECES / 2);
         fetch(3);
         answer(2 * PIECES);
-        assertThat(asked.subList(0, PIECES)).allMatch(piece -> piece.startsWith("2/"));
-        assertThat(asked).hasSize(2 * PIECES);
+        assertThat(requested.subList(0, PIECES)).allMatch(piece -> piece.startsWith("2/"));
+        assertThat(requested).hasSize(2 * PIECES);
     }
 
     @Test
-    void an_older_version_that_has_hardly_begun_is_left_for_the_newer_one() {
+    void barely_started_older_version_yields_to_newer_one() {
         fetch(2);
         answer(1);
         fetch(3);
         answer(2);
-        int before = asked.size();
+        int before = requested.size();
         answer(PIECES - 3);
-        assertThat(asked.subList(before, asked.size())).allMatch(piece -> piece.startsWith("3/"));
+        assertThat(requested.subList(before, requested.size())).allMatch(piece -> piece.startsWith("3/"));
         answer(2 * PIECES);
-        assertThat(asked).hasSize(2 * PIECES);
+        assertThat(requested).hasSize(2 * PIECES);
     }
 
     @Test
-    void an_older_version_that_the_origin_no_longer_gives_keeps_none_back() {
+    void version_no_longer_served_by_origin_does_not_block_others() {
         fetch(2);
         answer(PIECES / 2);
         fetch(3);
         for (int refused = 0; refused < 5; refused++) {
-            open.poll().setException(new HttpStatusException(410));
+            pendingCalls.poll().setException(new HttpStatusException(410));
         }
-        assertThat(asked).contains("3/0");
+        assertThat(requested).contains("3/0");
     }
 
     @Test
-    void an_origin_that_answers_nothing_for_long_leaves_the_order_as_it_was() {
+    void unresponsive_origin_does_not_change_priority() {
         fetch(2);
         answer(PIECES / 2);
         fetch(3);
         for (int failed = 0; failed < 5; failed++) {
             clock.advance(1_000);
-            open.poll().setException(new IOException("no answer"));
+            pendingCalls.poll().setException(new IOException("no answer"));
         }
-        assertThat(asked).noneMatch(piece -> piece.startsWith("3/"));
+        assertThat(requested).noneMatch(piece -> piece.startsWith("3/"));
     }
 
     private void fetch(int version) {
-        PieceFetcher fetcher =
-                new PieceFetcher(new SlowOrigin(version), PlainWeightsDialect.MODEL, version, new AnyPiece(), turns);
+        PieceFetcher fetcher = new PieceFetcher(
+                new ManualOriginContext(version), PlainWeightsDialect.MODEL, version, new AcceptingSink(), scheduler);
         for (int piece = 0; piece < PIECES; piece++) {
             fetcher.fetch(piece);
         }
     }
 
     private void answer(int count) {
-        for (int answered = 0; answered < count && !open.isEmpty(); answered++) {
-            open.poll().set(new HttpCalls.Answer(HttpHead.answer(200, List.of()), new byte[] {1}));
+        for (int answered = 0; answered < count && !pendingCalls.isEmpty(); answered++) {
+            pendingCalls.poll().set(new HttpCalls.Answer(HttpHead.answer(200, List.of()), new byte[] {1}));
         }
     }
 
-    /** Takes each piece once, whatever its bytes. */
-    private static final class AnyPiece implements PieceSink {
-        private final Set<Integer> here = new HashSet<>();
+    /** Accepts each piece once, without verification. */
+    private static final class AcceptingSink implements PieceSink {
+        private final Set<Integer> received = new HashSet<>();
 
         @Override
         public boolean isMissing(int piece) {
-            return !here.contains(piece);
+            return !received.contains(piece);
         }
 
         @Override
         public boolean accept(int piece, byte[] bytes, String source) {
-            return here.add(piece);
+            return received.add(piece);
         }
     }
 
-    /** A box without neighbours whose origin answers only when the test says. */
-    private final class SlowOrigin implements CopyContext {
+    /** A context without neighbours whose origin calls complete only when the test answers them. */
+    private final class ManualOriginContext implements CopyContext {
         private final int version;
         private final DecisionLog log = DecisionLog.startTo(OutputStream.nullOutputStream(), "box", clock);
         private final ServingMetrics metrics = ServingMetrics.of(log);
 
-        SlowOrigin(int version) {
+        ManualOriginContext(int version) {
             this.version = version;
         }
 
@@ -170,30 +169,30 @@
 
         @Override
         public Promise<HttpCalls.Answer> callEngine(HttpHead head, byte[] body) {
-            throw new AssertionError("nothing is laid beside an engine");
+            throw new AssertionError("unexpected engine command");
         }
 
         @Override
         public Promise<HttpCalls.Answer> queryEngine(HttpHead head) {
-            throw new AssertionError("no engine is asked");
+            throw new AssertionError("unexpected engine request");
         }
 
         @Override
         public Promise<HttpCalls.Answer> callOrigin(HttpHead head) {
-            asked.add(version + "/" + ScriptedOrigin.numberOf(head));
+            requested.add(version + "/" + ScriptedOrigin.numberOf(head));
             SettablePromise<HttpCalls.Answer> answer = new SettablePromise<>();
-            open.add(answer);
+            pendingCalls.add(answer);
             return answer;
         }
 
         @Override
         public Promise<byte[]> requestPiece(String box, NodeRequest.GetPiece request) {
-            throw new AssertionError("there are no neighbours");
+            throw new AssertionError("unexpected neighbour call");
         }
 
         @Override
         public Promise<Boolean> awaitNeighbour(String box, NodeRequest.AwaitPiece request) {
-            throw new AssertionError("there are no neighbours");
+            throw new AssertionError("unexpected neighbour call");
         }
     }
 }
--- a/daemon/src/test/java/org/bankturn/daemon/weights/PieceSourceCountsTest.java
+++ b/daemon/src/test/java/org/bankturn/daemon/weights/PieceSourceCountsTest.java
@@ -5,28 +5,28 @@
 import org.junit.jupiter.api.Test;
 
 class PieceSourceCountsTest {
-    private final PieceSourceCounts tally = new PieceSourceCounts();
+    private final PieceSourceCounts counts = new PieceSourceCounts();
 
     @Test
-    void the_source_of_most_pieces_is_named() {
-        tally.add("10.0.0.1:7");
-        tally.add("10.0.0.2:7");
-        tally.add("10.0.0.2:7");
-        assertThat(tally.topSource()).isEqualTo("10.0.0.2:7");
-        assertThat(tally.count("10.0.0.2:7")).isEqualTo(2);
-        assertThat(tally.sourceCount()).isEqualTo(2);
+    void top_source_has_most_pieces() {
+        counts.add("10.0.0.1:7");
+        counts.add("10.0.0.2:7");
+        counts.add("10.0.0.2:7");
+        assertThat(counts.topSource()).isEqualTo("10.0.0.2:7");
+        assertThat(counts.count("10.0.0.2:7")).isEqualTo(2);
+        assertThat(counts.sourceCount()).isEqualTo(2);
     }
 
     @Test
-    void of_equal_sources_the_first_by_name_is_named_so_that_logs_can_be_compared() {
-        tally.add("b");
-        tally.add("a");
-        assertThat(tally.topSource()).isEqualTo("a");
+    void ties_are_resolved_by_name() {
+        counts.add("b");
+        counts.add("a");
+        assertThat(counts.topSource()).isEqualTo("a");
     }
 
     @Test
-    void nothing_taken_names_no_source() {
-        assertThat(tally.topSource()).isEmpty();
-        assertThat(tally.count("a")).isZero();
+    void no_top_source_without_pieces() {
+        assertThat(counts.topSource()).isEmpty();
+        assertThat(counts.count("a")).isZero();
     }
 }
--- a/daemon/src/test/java/org/bankturn/daemon/weights/PlainWeightsDialect.java
+++ b/daemon/src/test/java/org/bankturn/daemon/weights/PlainWeightsDialect.java
@@ -6,7 +6,7 @@
 import org.bankturn.daemon.http.HttpHead;
 import org.bankturn.weights.ChangeMethod;
 
-/** A dialect of tests: each call's target says what it asks, a manifest is its digests one a line. */
+/** A dialect for tests: the request target names the operation, a manifest lists one digest per line. */
 public final class PlainWeightsDialect implements WeightsDialect {
     static final String MODEL = "m";
     static final int VERSION = 2;
--- a/daemon/src/test/java/org/bankturn/daemon/weights/ScriptedBox.java
+++ b/daemon/src/test/java/org/bankturn/daemon/weights/ScriptedBox.java
@@ -21,7 +21,7 @@
 import org.bankturn.weights.PieceHolder;
 import org.bankturn.weights.PieceRouting;
 
-/** A box with an engine in memory and a copy on its way; its neighbours are boxes of the same test. */
+/** A simulated box with an in-memory engine and one copy of weights; its neighbours are the other boxes of the test. */
 final class ScriptedBox implements CopyContext {
     private static final int FETCHERS = 100;
 
@@ -129,8 +129,8 @@
     }
 
     private void put(int piece, byte[] body) {
-        boolean rots = alwaysCorrupt.contains(piece) || corruptOnce.remove(piece);
-        staged.put(piece, rots ? new byte[] {7} : body);
+        boolean corrupt = alwaysCorrupt.contains(piece) || corruptOnce.remove(piece);
+        staged.put(piece, corrupt ? new byte[] {7} : body);
     }
 
     @Override
@@ -140,26 +140,26 @@
 
     @Override
     public Promise<byte[]> requestPiece(String box, NodeRequest.GetPiece request) {
-        ScriptedBox asked = boxes.get(box);
-        if (asked.frozen) {
+        ScriptedBox neighbour = boxes.get(box);
+        if (neighbour.frozen) {
             return Promise.ofException(new IOException("frozen"));
         }
-        return Promise.of(asked.copy == null ? null : asked.copy.piece(request.piece()));
+        return Promise.of(neighbour.copy == null ? null : neighbour.copy.piece(request.piece()));
     }
 
     @Override
     public Promise<Boolean> awaitNeighbour(String box, NodeRequest.AwaitPiece request) {
-        ScriptedBox asked = boxes.get(box);
-        if (asked.frozen) {
+        ScriptedBox neighbour = boxes.get(box);
+        if (neighbour.frozen) {
             return Promise.ofException(new IOException("frozen"));
         }
-        if (asked.copy == null) {
+        if (neighbour.copy == null) {
             return Promise.of(false);
         }
         awaitCounts.merge(box, 1, Integer::sum);
-        if (asked.relay) {
-            asked.copy.request(request.piece());
+        if (neighbour.relay) {
+            neighbour.copy.request(request.piece());
         }
-        return asked.copy.awaitPiece(request.piece(), request.waitMillis());
+        return neighbour.copy.awaitPiece(request.piece(), request.waitMillis());
     }
 }
--- a/daemon/src/test/java/org/bankturn/daemon/weights/ScriptedOrigin.java
+++ b/daemon/src/test/java/org/bankturn/daemon/weights/ScriptedOrigin.java
@@ -13,9 +13,9 @@
 import org.bankturn.daemon.http.HttpCalls;
 import org.bankturn.daemon.http.HttpHead;
 
-/** An origin of weights in memory, which sends pieces spoilt or not at all as a test says. */
+/** An in-memory origin of weights that a test can make fail or send corrupt pieces. */
 final class ScriptedOrigin {
-    final List<String> asked = new ArrayList<>();
+    final List<String> requests = new ArrayList<>();
     final Map<Integer, Integer> corruptSends = new HashMap<>();
     boolean down;
     boolean manifestDown;
@@ -33,7 +33,7 @@
     }
 
     long sends(int piece) {
-        return asked.stream().filter(("piece/" + piece)::equals).count();
+        return requests.stream().filter(("piece/" + piece)::equals).count();
     }
 
     Promise<HttpCalls.Answer> answer(HttpHead head) {
@@ -41,8 +41,8 @@
         if (isManifest ? manifestDown : down) {
             return Promise.ofException(new IOException("origin is down"));
         }
-        asked.add(head.second());
-        byte[] body = head.second().equals("manifest") ? manifest() : pieceOrSpoilt(numberOf(head));
+        requests.add(head.second());
+        byte[] body = head.second().equals("manifest") ? manifest() : pieceOrCorrupt(numberOf(head));
         return Promise.of(new HttpCalls.Answer(HttpHead.answer(200, List.of()), body));
     }
 
@@ -50,9 +50,9 @@
         return Integer.parseInt(head.second().substring(head.second().indexOf('/') + 1));
     }
 
-    private byte[] pieceOrSpoilt(int piece) {
-        boolean spoilt = corruptSends.merge(piece, -1, Integer::sum) >= 0;
-        return spoilt ? new byte[] {0} : pieces[piece];
+    private byte[] pieceOrCorrupt(int piece) {
+        boolean corrupt = corruptSends.merge(piece, -1, Integer::sum) >= 0;
+        return corrupt ? new byte[] {0} : pieces[piece];
     }
 
     private byte[] manifest() {
--- a/daemon/src/test/java/org/bankturn/daemon/weights/SilentEngineTest.java
+++ b/daemon/src/test/java/org/bankturn/daemon/weights/SilentEngineTest.java
@@ -10,11 +10,8 @@
 import org.junit.jupiter.api.Timeout;
 
 /**
- * The process beside an engine whose kept connection to it went silent.
- *
- * <p>The connection to one engine went silent for good while new ones worked. The process beside the engine asked for a
- * report on it, waited 1,500 ms for the answer, and told every gateway that asked meanwhile nothing: they had only a load of
- * more than a second ago, which counts as none, and so took the engine for one that cannot be reached.
+ * Guards against a silent persistent connection to an engine blocking load reports, which made gateways treat the engine as
+ * unreachable.
  */
 @Timeout(60)
 class SilentEngineTest extends AgentFixture {
@@ -32,7 +29,7 @@
     }
 
     @Test
-    void gateways_are_told_the_load_of_an_engine_whose_kept_connection_went_silent() {
+    void load_is_reported_when_persistent_connection_went_silent() {
         publishLayout();
         assertThat(requestLoad().active()).isEqualTo(1);
         relay.silence();
@@ -41,7 +38,7 @@
     }
 
     @Test
-    void a_connection_to_an_engine_that_answers_is_used_again() {
+    void connection_to_responsive_engine_is_reused() {
         publishLayout();
         for (int report = 1; report <= 10; report++) {
             assertThat(requestLoad().active()).isEqualTo(report);
--- a/daemon/src/test/java/org/bankturn/daemon/weights/WeightsAgentTest.java
+++ b/daemon/src/test/java/org/bankturn/daemon/weights/WeightsAgentTest.java
@@ -7,9 +7,9 @@
 
 @Timeout(30)
 class WeightsAgentTest extends AgentFixture {
-    /** What was said some tenths of a second ago is too old where an engine is nearly full. */
+    /** Guards against stale load reports, which overload an engine that is nearly full. */
     @Test
-    void a_gateway_is_told_what_the_engine_says_when_it_asks() {
+    void load_request_triggers_fresh_report() {
         publishLayout();
         assertThat(requestLoad().active()).isEqualTo(1);
         assertThat(requestLoad().active()).isEqualTo(2);
@@ -17,7 +17,7 @@
     }
 
     @Test
-    void without_a_layout_nothing_is_known_and_the_engine_is_left_alone() {
+    void without_layout_load_is_unknown_and_engine_is_not_polled() {
         assertThat(requestLoad()).isNull();
         assertThat(reports).hasValue(0);
     }
--- a/daemon/src/test/java/org/bankturn/daemon/weights/WeightsRelayTest.java
+++ b/daemon/src/test/java/org/bankturn/daemon/weights/WeightsRelayTest.java
@@ -26,7 +26,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** A relay on a reactor of its own, whose origin does not answer. */
+/** Tests a relay without a reachable origin. */
 @Timeout(60)
 class WeightsRelayTest {
     private static final int TOO_LARGE = 1 << 30;
@@ -58,22 +58,22 @@
         reactor.breakEventloop();
     }
 
-    /** An answer at once would have the box ask again at once, and give the relay up for the piece. */
+    /** An immediate answer would make the box poll in a tight loop and then give up on the relay. */
     @Test
-    void a_relay_that_knows_nothing_yet_does_not_answer_at_once_that_a_piece_is_not_coming() {
-        boolean answeredAtOnce = run(() -> Promise.of(await(1).isComplete()));
-        assertThat(answeredAtOnce).isFalse();
+    void poll_for_unknown_version_is_answered_after_delay() {
+        boolean answeredImmediately = run(() -> Promise.of(await(1).isComplete()));
+        assertThat(answeredImmediately).isFalse();
         assertThat(run(() -> await(1))).isEqualTo(new NodeReply.PieceThere(false));
     }
 
     @Test
-    void a_piece_that_is_not_here_is_answered_with_none() {
+    void missing_piece_is_answered_with_null() {
         assertThat(run(() -> relay.sendPiece(new NodeRequest.GetPiece(PlainWeightsDialect.MODEL, 1, 0))))
                 .isEqualTo(new NodeReply.Piece(null));
     }
 
     @Test
-    void a_version_that_was_named_is_fetched_before_anyone_asks() {
+    void published_version_is_fetched_without_request() {
         run(() -> {
             relay.update(published(100, 5));
             return Promise.of(true);
@@ -83,7 +83,7 @@
     }
 
     @Test
-    void only_the_two_newest_versions_are_kept() {
+    void only_two_newest_versions_are_cached() {
         run(() -> {
             relay.update(published(100, 5));
             relay.update(published(100, 6));
@@ -95,7 +95,7 @@
     }
 
     @Test
-    void a_version_that_does_not_fit_into_an_entry_box_is_left_to_the_boxes_themselves() {
+    void oversized_version_is_not_relayed() {
         run(() -> {
             relay.update(published(TOO_LARGE, 5));
             return Promise.of(true);
@@ -127,7 +127,7 @@
         return reactor.submit(step::begin).orTimeout(20, TimeUnit.SECONDS).join();
     }
 
-    /** Something that is done on the reactor's thread. */
+    /** An action that runs on the reactor's thread. */
     @FunctionalInterface
     private interface Step<T> {
         Promise<T> begin();
