--- a/core/src/test/java/org/bankturn/weights/ChangeTurnsTest.java
+++ b/core/src/test/java/org/bankturn/weights/ChangeScheduleTest.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-class ChangeTurnsTest {
+class ChangeScheduleTest {
     private static final long ALLOWED_MILLIS = 8_000;
     private static final long EMPTYING_MILLIS = 1_500;
 
