--- a/core/src/main/java/org/bankturn/weights/ChangeTurns.java
+++ b/core/src/main/java/org/bankturn/weights/ChangeSchedule.java
@@ -13,9 +13,9 @@
  * halls, so that in any part of the span about the same share of each hall's engines is changing. Every box computes its
  * own turn from what is published, so no word from a leader is needed, and a box that is late or gone holds nobody up.
  *
- * <p>ChangeTurns is immutable and thread-safe.
+ * <p>ChangeSchedule is immutable and thread-safe.
  */
-public final class ChangeTurns {
+public final class ChangeSchedule {
     /** Copies on links with nothing in their way are whole by then; later copies shorten the span. */
     private static final double FIRST_SHARE = 0.42;
 
@@ -33,14 +33,14 @@
      * @return the turns, not null
      * @throws IllegalArgumentException if no time is allowed
      */
-    public static ChangeTurns within(long allowedMillis, ChangeMethod method) {
+    public static ChangeSchedule within(long allowedMillis, ChangeMethod method) {
         if (allowedMillis < 1) {
             throw new IllegalArgumentException("the time allowed must be 1 ms or more, not " + allowedMillis);
         }
-        return new ChangeTurns(allowedMillis, method);
+        return new ChangeSchedule(allowedMillis, method);
     }
 
-    private ChangeTurns(long allowedMillis, ChangeMethod method) {
+    private ChangeSchedule(long allowedMillis, ChangeMethod method) {
         this.allowedMillis = allowedMillis;
         this.method = method;
     }
@@ -78,6 +78,6 @@
 
     @Override
     public String toString() {
-        return "ChangeTurns[" + allowedMillis + ", " + method + "]";
+        return "ChangeSchedule[" + allowedMillis + ", " + method + "]";
     }
 }
--- a/core/src/test/java/org/bankturn/weights/ChangeScheduleTest.java
+++ b/core/src/test/java/org/bankturn/weights/ChangeScheduleTest.java
@@ -14,7 +14,7 @@
     /** Twice what engines take to load staged weights. */
     private static final long LOADING_MILLIS = 800;
 
-    private final ChangeTurns turns = ChangeTurns.within(ALLOWED_MILLIS, ChangeMethod.AFTER_ANSWERS);
+    private final ChangeSchedule turns = ChangeSchedule.within(ALLOWED_MILLIS, ChangeMethod.AFTER_ANSWERS);
 
     @Test
     void every_box_has_its_turn_early_enough_to_empty_itself() {
@@ -71,7 +71,7 @@
      */
     @Test
     void boxes_whose_copies_come_late_together_share_evenly_what_is_left_of_the_time() {
-        ChangeTurns atOnce = ChangeTurns.within(ALLOWED_MILLIS, ChangeMethod.AT_ONCE);
+        ChangeSchedule atOnce = ChangeSchedule.within(ALLOWED_MILLIS, ChangeMethod.AT_ONCE);
         List<PieceHolder> boxes = boxes(5);
         long whole = 4_100;
         List<Long> inOrder = boxes.stream()
@@ -86,7 +86,7 @@
 
     @Test
     void engines_that_break_off_at_once_have_time_left_to_load_their_weights() {
-        ChangeTurns atOnce = ChangeTurns.within(ALLOWED_MILLIS, ChangeMethod.AT_ONCE);
+        ChangeSchedule atOnce = ChangeSchedule.within(ALLOWED_MILLIS, ChangeMethod.AT_ONCE);
         List<PieceHolder> boxes = boxes(5);
         assertThat(boxes)
                 .allSatisfy(box -> assertThat(atOnce.turnMillis(box.box(), boxes, 0))
@@ -109,7 +109,7 @@
 
     @Test
     void a_time_allowed_of_nothing_is_refused() {
-        assertThatThrownBy(() -> ChangeTurns.within(0, ChangeMethod.AT_ONCE))
+        assertThatThrownBy(() -> ChangeSchedule.within(0, ChangeMethod.AT_ONCE))
                 .isInstanceOf(IllegalArgumentException.class);
     }
 
--- a/daemon/src/main/java/org/bankturn/daemon/weights/WeightsAgent.java
+++ b/daemon/src/main/java/org/bankturn/daemon/weights/WeightsAgent.java
@@ -15,7 +15,7 @@
 import org.bankturn.publication.NamedWeights;
 import org.bankturn.service.WeightsLayout;
 import org.bankturn.weights.ChangeMethod;
-import org.bankturn.weights.ChangeTurns;
+import org.bankturn.weights.ChangeSchedule;
 import org.bankturn.weights.PieceHolder;
 import org.bankturn.weights.PieceRouting;
 
@@ -244,7 +244,7 @@
     private long plannedStartMillis(int version) {
         long now = context.clock().millis();
         long named = publishedMillis.getOrDefault(version, now);
-        ChangeTurns schedule = ChangeTurns.within(settings.deadlineMillis(), changeMethod());
+        ChangeSchedule schedule = ChangeSchedule.within(settings.deadlineMillis(), changeMethod());
         return named + schedule.turnMillis(settings.nodeAddress().toString(), boxes(), now - named);
     }
 
