--- a/core/src/main/java/org/bankturn/weights/VersionOrder.java
+++ b/core/src/main/java/org/bankturn/weights/VersionPriority.java
@@ -7,13 +7,13 @@
  * or the origin fails in between. Fetched side by side both are late, and nothing serves once the first is due. One that is
  * well under way is finished first, since it serves until the next one is here; any other is left for the newer one.
  *
- * <p>VersionOrder has no state.
+ * <p>VersionPriority has no state.
  */
-public final class VersionOrder {
+public final class VersionPriority {
     /** Relays have a whole copy by the time that a box on a link of half the origin's rate has about half of it. */
     private static final double WELL_UNDER_WAY_SHARE = 0.35;
 
-    private VersionOrder() {}
+    private VersionPriority() {}
 
     /**
      * Returns true if the older version is finished before the newer one is fetched.
--- a/daemon/src/main/java/org/bankturn/daemon/weights/FetchScheduler.java
+++ b/daemon/src/main/java/org/bankturn/daemon/weights/FetchScheduler.java
@@ -2,7 +2,7 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import org.bankturn.weights.VersionOrder;
+import org.bankturn.weights.VersionPriority;
 
 /**
  * Prioritizes the versions that one process fetches concurrently, for its links and for the origin.
@@ -43,7 +43,7 @@
             return false;
         }
         return one.version() < other.version()
-                ? VersionOrder.finishesOlder(one.fetchedShare())
-                : !VersionOrder.finishesOlder(other.fetchedShare());
+                ? VersionPriority.finishesOlder(one.fetchedShare())
+                : !VersionPriority.finishesOlder(other.fetchedShare());
     }
 }
--- a/daemon/src/main/java/org/bankturn/daemon/weights/WeightsCopy.java
+++ b/daemon/src/main/java/org/bankturn/daemon/weights/WeightsCopy.java
@@ -20,7 +20,7 @@
 import org.bankturn.service.WeightsLayout;
 import org.bankturn.weights.ChangeMethod;
 import org.bankturn.weights.PieceRouting;
-import org.bankturn.weights.VersionOrder;
+import org.bankturn.weights.VersionPriority;
 
 /**
  * Copies one version of a model's weights to this box and stages it at the engine.
@@ -78,7 +78,7 @@
 
     /** Returns true if enough pieces are available that a newer version should wait for this one. */
     boolean hasSubstantialProgress() {
-        return manifest != null && VersionOrder.finishesOlder((double) availablePieces() / pieces.length);
+        return manifest != null && VersionPriority.finishesOlder((double) availablePieces() / pieces.length);
     }
 
     private int availablePieces() {
