--- a/core/src/main/java/org/bankturn/weights/ChangeSchedule.java
+++ b/core/src/main/java/org/bankturn/weights/ChangeSchedule.java
@@ -56,7 +56,7 @@
      * @param wholeMillis when the box's copy was whole, in milliseconds after the naming
      * @return milliseconds after the naming, not before the copy was whole
      */
-    public long turnMillis(String box, List<PieceHolder> boxes, long wholeMillis) {
+    public long turnMillis(String box, List<WeightsPeer> boxes, long wholeMillis) {
         List<String> order = order(boxes);
         double share = Math.max(0, order.indexOf(box)) / (double) Math.max(1, order.size() - 1);
         double whole = (double) wholeMillis;
@@ -66,10 +66,10 @@
     }
 
     /** Returns the boxes in the order of their turns: the first of each data hall, then the second of each. */
-    private static List<String> order(List<PieceHolder> boxes) {
+    private static List<String> order(List<WeightsPeer> boxes) {
         Map<String, Integer> seen = new HashMap<>();
         return boxes.stream()
-                .sorted(Comparator.comparing(PieceHolder::box))
+                .sorted(Comparator.comparing(WeightsPeer::box))
                 .map(box -> new Place(seen.merge(box.dataHall(), 1, Integer::sum), box.dataHall(), box.box()))
                 .sorted(Comparator.comparingInt(Place::inHall).thenComparing(Place::hall))
                 .map(Place::box)
--- a/core/src/main/java/org/bankturn/weights/PieceRouting.java
+++ b/core/src/main/java/org/bankturn/weights/PieceRouting.java
@@ -27,15 +27,15 @@
     /** The number under which the manifest travels; a box that holds a version already may lack its manifest. */
     public static final int MANIFEST = -1;
 
-    private final PieceHolder self;
-    private final List<PieceHolder> boxes;
-    private final List<PieceHolder> possibleHolders;
+    private final WeightsPeer self;
+    private final List<WeightsPeer> boxes;
+    private final List<WeightsPeer> possibleHolders;
     private final int version;
     private final int mostFetchers;
     private final List<String> halls;
-    private final Map<String, List<PieceHolder>> boxesOfHall;
-    private final List<PieceHolder> holders;
-    private final List<PieceHolder> holdersNearby;
+    private final Map<String, List<WeightsPeer>> boxesOfHall;
+    private final List<WeightsPeer> holders;
+    private final List<WeightsPeer> holdersNearby;
 
     /** The plan that relays follow, as this box sees it; null if there are none. */
     private final PieceRouting relayPlan;
@@ -48,7 +48,7 @@
      * @param version the version that is distributed
      * @param mostFetchers about how many boxes may fetch from the origin, which takes few connections
      */
-    public static PieceRouting of(PieceHolder self, List<PieceHolder> boxes, int version, int mostFetchers) {
+    public static PieceRouting of(WeightsPeer self, List<WeightsPeer> boxes, int version, int mostFetchers) {
         if (mostFetchers < 1) {
             throw new IllegalArgumentException("fetchers must be 1 or more, not " + mostFetchers);
         }
@@ -56,11 +56,11 @@
     }
 
     private PieceRouting(
-            PieceHolder self,
-            List<PieceHolder> boxes,
+            WeightsPeer self,
+            List<WeightsPeer> boxes,
             int version,
             int mostFetchers,
-            List<PieceHolder> possibleHolders,
+            List<WeightsPeer> possibleHolders,
             PieceRouting relayPlan) {
         this.self = self;
         this.possibleHolders = List.copyOf(possibleHolders);
@@ -68,11 +68,11 @@
         this.mostFetchers = mostFetchers;
         this.version = version;
         this.boxes =
-                boxes.stream().sorted(Comparator.comparing(PieceHolder::box)).toList();
-        this.boxesOfHall = this.boxes.stream().collect(Collectors.groupingBy(PieceHolder::dataHall));
+                boxes.stream().sorted(Comparator.comparing(WeightsPeer::box)).toList();
+        this.boxesOfHall = this.boxes.stream().collect(Collectors.groupingBy(WeightsPeer::dataHall));
         this.halls = boxesOfHall.keySet().stream().sorted().toList();
         this.holders = this.possibleHolders.stream()
-                .sorted(Comparator.comparing(PieceHolder::box))
+                .sorted(Comparator.comparing(WeightsPeer::box))
                 .filter(box -> isOther(box) && holds(box))
                 .toList();
         this.holdersNearby = holders.stream().filter(this::inOwnHall).toList();
@@ -88,9 +88,9 @@
                 self, emptied(boxes, empty), version, mostFetchers, emptied(possibleHolders, empty), relayPlan);
     }
 
-    private static List<PieceHolder> emptied(List<PieceHolder> some, Set<String> empty) {
+    private static List<WeightsPeer> emptied(List<WeightsPeer> some, Set<String> empty) {
         return some.stream()
-                .map(box -> empty.contains(box.box()) ? new PieceHolder(box.box(), box.dataHall(), 0) : box)
+                .map(box -> empty.contains(box.box()) ? new WeightsPeer(box.box(), box.dataHall(), 0) : box)
                 .toList();
     }
 
@@ -99,7 +99,7 @@
      *
      * @param relays all relays, not null; none of them is a box of this plan
      */
-    public PieceRouting withRelays(List<PieceHolder> relays) {
+    public PieceRouting withRelays(List<WeightsPeer> relays) {
         PieceRouting plan = relays.isEmpty() ? null : PieceRouting.of(self, relays, version, mostFetchers);
         return new PieceRouting(self, boxes, version, mostFetchers, possibleHolders, plan);
     }
@@ -109,7 +109,7 @@
      *
      * @param others these boxes, not null
      */
-    public PieceRouting withHoldersAmong(List<PieceHolder> others) {
+    public PieceRouting withHoldersAmong(List<WeightsPeer> others) {
         return new PieceRouting(self, boxes, version, mostFetchers, others, relayPlan);
     }
 
@@ -163,7 +163,7 @@
     }
 
     /** Returns the relay that fetches a piece into this box's hall, and its deputy. */
-    private List<PieceHolder> relaysFor(int piece) {
+    private List<WeightsPeer> relaysFor(int piece) {
         if (relayPlan == null) {
             return List.of();
         }
@@ -185,90 +185,90 @@
      * @param turn how often a box was asked besides
      */
     public Optional<PieceSource.Neighbour> alternate(int piece, int turn) {
-        List<PieceHolder> others =
+        List<WeightsPeer> others =
                 boxesOf(self.dataHall()).stream().filter(this::isOther).toList();
         return dealt(piece + turn, others).map(this::neighbour);
     }
 
     /** Returns a box's place among those that a piece passes: a lower one never waits for a higher one. */
-    private int rankOf(PieceHolder box, int piece) {
+    private int rankOf(WeightsPeer box, int piece) {
         List<Optional<String>> order = Stream.of(
                         originFetcher(piece, 0),
                         originFetcher(piece, 1),
                         hallFetcher(piece, box.dataHall(), 0),
                         hallFetcher(piece, box.dataHall(), 1))
-                .map(each -> each.map(PieceHolder::box))
+                .map(each -> each.map(WeightsPeer::box))
                 .toList();
         int rank = order.indexOf(Optional.of(box.box()));
         return rank < 0 ? order.size() : rank;
     }
 
-    private void addIfBefore(List<PieceSource> sources, PieceHolder box, int piece, int ownRank) {
+    private void addIfBefore(List<PieceSource> sources, WeightsPeer box, int piece, int ownRank) {
         boolean mayHave = piece != MANIFEST || !holds(box);
         if (mayHave && isOther(box) && rankOf(box, piece) < ownRank) {
             add(sources, box);
         }
     }
 
-    private void add(List<PieceSource> sources, PieceHolder box) {
+    private void add(List<PieceSource> sources, WeightsPeer box) {
         PieceSource source = neighbour(box);
         if (!sources.contains(source)) {
             sources.add(source);
         }
     }
 
-    private PieceSource.Neighbour neighbour(PieceHolder box) {
+    private PieceSource.Neighbour neighbour(WeightsPeer box) {
         return new PieceSource.Neighbour(box.box(), holds(box));
     }
 
     /** Returns the box that fetches a piece from the origin, or its deputy: that of a hall that takes its turn. */
-    private Optional<PieceHolder> originFetcher(int piece, int deputy) {
+    private Optional<WeightsPeer> originFetcher(int piece, int deputy) {
         if (halls.isEmpty()) {
             return Optional.empty();
         }
         String hall = halls.get(Math.floorMod(piece + deputy, halls.size()));
-        List<PieceHolder> some = boxesOf(hall);
+        List<WeightsPeer> some = boxesOf(hall);
         int fetchers = Math.min(some.size(), Math.max(1, mostFetchers / halls.size()));
         int turn = Math.floorDiv(piece, halls.size()) + (halls.size() == 1 ? deputy : 0);
         return dealt(turn, some.subList(0, fetchers));
     }
 
     /** Returns the box that fetches a piece into a hall, or its deputy. */
-    private Optional<PieceHolder> hallFetcher(int piece, String hall, int deputy) {
+    private Optional<WeightsPeer> hallFetcher(int piece, String hall, int deputy) {
         return dealt(Math.floorDiv(piece, Math.max(1, halls.size())) + deputy, boxesOf(hall));
     }
 
-    private List<PieceHolder> boxesOf(String hall) {
+    private List<WeightsPeer> boxesOf(String hall) {
         return boxesOfHall.getOrDefault(hall, List.of());
     }
 
     /** Returns the box, among some, that a number falls on. */
-    private static Optional<PieceHolder> dealt(int number, List<PieceHolder> some) {
+    private static Optional<WeightsPeer> dealt(int number, List<WeightsPeer> some) {
         return some.isEmpty() ? Optional.empty() : Optional.of(some.get(Math.floorMod(number, some.size())));
     }
 
     /** Returns some of the boxes, beginning with the one that a number falls on. */
-    private static List<PieceHolder> rotated(int number, List<PieceHolder> some) {
-        List<PieceHolder> turned = new ArrayList<>(some);
+    private static List<WeightsPeer> rotated(int number, List<WeightsPeer> some) {
+        List<WeightsPeer> turned = new ArrayList<>(some);
         if (!turned.isEmpty()) {
             Collections.rotate(turned, -Math.floorMod(number, turned.size()));
         }
         return turned;
     }
 
-    private boolean isSelf(PieceHolder box) {
+    private boolean isSelf(WeightsPeer box) {
         return box.box().equals(self.box());
     }
 
-    private boolean isOther(PieceHolder box) {
+    private boolean isOther(WeightsPeer box) {
         return !isSelf(box);
     }
 
-    private boolean holds(PieceHolder box) {
+    private boolean holds(WeightsPeer box) {
         return box.heldVersion() == version;
     }
 
-    private boolean inOwnHall(PieceHolder box) {
+    private boolean inOwnHall(WeightsPeer box) {
         return box.dataHall().equals(self.dataHall());
     }
 }
--- a/core/src/main/java/org/bankturn/weights/PieceSource.java
+++ b/core/src/main/java/org/bankturn/weights/PieceSource.java
@@ -6,7 +6,7 @@
     record Origin() implements PieceSource {}
 
     /**
-     * Another box, named as in {@link PieceHolder}.
+     * Another box, named as in {@link WeightsPeer}.
      *
      * @param box the box, not null
      * @param holds true if it is thought to hold the version already, so that waiting there makes no sense
--- a/core/src/main/java/org/bankturn/weights/PieceHolder.java
+++ b/core/src/main/java/org/bankturn/weights/WeightsPeer.java
@@ -7,4 +7,4 @@
  * @param dataHall the data hall it is in, not null
  * @param heldVersion the version that its engine holds whole, 0 for none
  */
-public record PieceHolder(String box, String dataHall, int heldVersion) {}
+public record WeightsPeer(String box, String dataHall, int heldVersion) {}
--- a/core/src/test/java/org/bankturn/weights/ChangeScheduleTest.java
+++ b/core/src/test/java/org/bankturn/weights/ChangeScheduleTest.java
@@ -18,7 +18,7 @@
 
     @Test
     void every_box_has_its_turn_early_enough_to_empty_itself() {
-        List<PieceHolder> boxes = boxes(5);
+        List<WeightsPeer> boxes = boxes(5);
         assertThat(boxes)
                 .allSatisfy(box -> assertThat(turns.turnMillis(box.box(), boxes, 0))
                         .isBetween(1L, ALLOWED_MILLIS - EMPTYING_MILLIS));
@@ -26,7 +26,7 @@
 
     @Test
     void no_more_boxes_empty_themselves_at_once_than_an_even_spread_needs() {
-        List<PieceHolder> boxes = boxes(8);
+        List<WeightsPeer> boxes = boxes(8);
         long first = turns.turnMillis("east-1", boxes, 0);
         for (long now = first; now < ALLOWED_MILLIS; now += 50) {
             long moment = now;
@@ -40,7 +40,7 @@
 
     @Test
     void each_hall_keeps_boxes_that_serve_while_others_change() {
-        List<PieceHolder> boxes = boxes(6);
+        List<WeightsPeer> boxes = boxes(6);
         long half = (turns.turnMillis("east-1", boxes, 0) + turns.turnMillis("west-6", boxes, 0)) / 2;
         for (String hall : List.of("east", "north", "west")) {
             long before = boxes.stream()
@@ -53,7 +53,7 @@
 
     @Test
     void boxes_whose_copies_come_late_change_one_after_the_other_while_there_is_time() {
-        List<PieceHolder> boxes = boxes(4);
+        List<WeightsPeer> boxes = boxes(4);
         long whole = ALLOWED_MILLIS / 2 + 500;
         List<Long> late = boxes.stream()
                 .map(box -> turns.turnMillis(box.box(), boxes, whole))
@@ -72,7 +72,7 @@
     @Test
     void boxes_whose_copies_come_late_together_share_evenly_what_is_left_of_the_time() {
         ChangeSchedule atOnce = ChangeSchedule.within(ALLOWED_MILLIS, ChangeMethod.AT_ONCE);
-        List<PieceHolder> boxes = boxes(5);
+        List<WeightsPeer> boxes = boxes(5);
         long whole = 4_100;
         List<Long> inOrder = boxes.stream()
                 .map(box -> atOnce.turnMillis(box.box(), boxes, whole))
@@ -87,7 +87,7 @@
     @Test
     void engines_that_break_off_at_once_have_time_left_to_load_their_weights() {
         ChangeSchedule atOnce = ChangeSchedule.within(ALLOWED_MILLIS, ChangeMethod.AT_ONCE);
-        List<PieceHolder> boxes = boxes(5);
+        List<WeightsPeer> boxes = boxes(5);
         assertThat(boxes)
                 .allSatisfy(box -> assertThat(atOnce.turnMillis(box.box(), boxes, 0))
                         .isLessThanOrEqualTo(ALLOWED_MILLIS - LOADING_MILLIS));
@@ -95,7 +95,7 @@
 
     @Test
     void boxes_whose_copies_come_when_time_is_up_change_at_once() {
-        List<PieceHolder> boxes = boxes(4);
+        List<WeightsPeer> boxes = boxes(4);
         assertThat(boxes)
                 .allSatisfy(box -> assertThat(turns.turnMillis(box.box(), boxes, ALLOWED_MILLIS + 1))
                         .isEqualTo(ALLOWED_MILLIS + 1));
@@ -103,7 +103,7 @@
 
     @Test
     void a_single_box_changes_first_and_one_that_is_not_listed_does_not_wait() {
-        List<PieceHolder> one = List.of(new PieceHolder("east-1", "east", 1));
+        List<WeightsPeer> one = List.of(new WeightsPeer("east-1", "east", 1));
         assertThat(turns.turnMillis("east-1", one, 0)).isEqualTo(turns.turnMillis("stranger", one, 0));
     }
 
@@ -113,11 +113,11 @@
                 .isInstanceOf(IllegalArgumentException.class);
     }
 
-    private static List<PieceHolder> boxes(int inEachHall) {
-        List<PieceHolder> boxes = new ArrayList<>();
+    private static List<WeightsPeer> boxes(int inEachHall) {
+        List<WeightsPeer> boxes = new ArrayList<>();
         for (String hall : List.of("east", "north", "west")) {
             for (int number = 1; number <= inEachHall; number++) {
-                boxes.add(new PieceHolder(hall + "-" + number, hall, 1));
+                boxes.add(new WeightsPeer(hall + "-" + number, hall, 1));
             }
         }
         return boxes;
--- a/core/src/test/java/org/bankturn/weights/PieceRoutingTest.java
+++ b/core/src/test/java/org/bankturn/weights/PieceRoutingTest.java
@@ -17,11 +17,11 @@
 
     @Test
     void each_piece_leaves_the_origin_once_and_enters_each_hall_once() {
-        List<PieceHolder> boxes = boxes(4, 1);
+        List<WeightsPeer> boxes = boxes(4, 1);
         for (int piece = 0; piece < PIECES; piece++) {
             int fromOrigin = 0;
             int betweenHalls = 0;
-            for (PieceHolder box : boxes) {
+            for (WeightsPeer box : boxes) {
                 PieceSource source =
                         PieceRouting.of(box, boxes, VERSION, FETCHERS).sourceOf(piece, Set.of());
                 if (source instanceof PieceSource.Neighbour neighbour) {
@@ -37,10 +37,10 @@
 
     @Test
     void every_box_hands_on_about_as_much_as_the_others() {
-        List<PieceHolder> boxes = boxes(4, 1);
+        List<WeightsPeer> boxes = boxes(4, 1);
         Map<String, Integer> sends = new HashMap<>();
         for (int piece = 0; piece < PIECES; piece++) {
-            for (PieceHolder box : boxes) {
+            for (WeightsPeer box : boxes) {
                 PieceSource source =
                         PieceRouting.of(box, boxes, VERSION, FETCHERS).sourceOf(piece, Set.of());
                 if (source instanceof PieceSource.Neighbour neighbour) {
@@ -54,9 +54,9 @@
 
     @Test
     void sources_lead_to_the_origin_without_a_circle() {
-        List<PieceHolder> boxes = boxes(4, 1);
+        List<WeightsPeer> boxes = boxes(4, 1);
         for (int piece = 0; piece < PIECES; piece++) {
-            for (PieceHolder box : boxes) {
+            for (WeightsPeer box : boxes) {
                 assertThat(reachesOrigin(box, boxes, piece)).isTrue();
             }
         }
@@ -64,8 +64,8 @@
 
     @Test
     void an_empty_box_asks_a_holder_of_its_own_hall_first() {
-        List<PieceHolder> boxes = new ArrayList<>(boxes(3, VERSION));
-        PieceHolder empty = new PieceHolder("north-new", "north", 0);
+        List<WeightsPeer> boxes = new ArrayList<>(boxes(3, VERSION));
+        WeightsPeer empty = new WeightsPeer("north-new", "north", 0);
         boxes.add(empty);
         for (int piece = 0; piece < PIECES; piece++) {
             PieceSource source =
@@ -81,9 +81,9 @@
     /** A box that waited for one that waits for it would hold both up for as long as they are patient. */
     @Test
     void no_two_boxes_wait_for_each_other_whatever_attempt_they_are_at() {
-        List<PieceHolder> boxes = boxes(4, 1);
+        List<WeightsPeer> boxes = boxes(4, 1);
         for (int piece = 0; piece < PIECES; piece++) {
-            for (PieceHolder box : boxes) {
+            for (WeightsPeer box : boxes) {
                 for (PieceSource source :
                         PieceRouting.of(box, boxes, VERSION, FETCHERS).sourcesOf(piece)) {
                     if (source instanceof PieceSource.Neighbour neighbour) {
@@ -95,8 +95,8 @@
         }
     }
 
-    private static boolean mayWaitFor(String waiting, String other, List<PieceHolder> boxes, int piece) {
-        PieceHolder box = boxes.stream()
+    private static boolean mayWaitFor(String waiting, String other, List<WeightsPeer> boxes, int piece) {
+        WeightsPeer box = boxes.stream()
                 .filter(each -> each.box().equals(waiting))
                 .findFirst()
                 .orElseThrow();
@@ -108,11 +108,11 @@
     /** After a power loss the list still names holders that lost everything; that must not send all boxes to the origin. */
     @Test
     void holders_that_turn_out_to_hold_nothing_do_not_send_more_boxes_to_the_origin() {
-        List<PieceHolder> stale = boxes(4, VERSION);
-        List<PieceHolder> fresh = boxes(4, 0);
+        List<WeightsPeer> stale = boxes(4, VERSION);
+        List<WeightsPeer> fresh = boxes(4, 0);
         for (int piece = 0; piece < PIECES; piece++) {
             int fromOrigin = 0;
-            for (PieceHolder box : fresh) {
+            for (WeightsPeer box : fresh) {
                 Set<PieceSource> failed = new HashSet<>();
                 for (int attempt = 0; attempt < 2; attempt++) {
                     failed.add(PieceRouting.of(box, stale, VERSION, FETCHERS).sourceOf(piece, failed));
@@ -128,10 +128,10 @@
 
     @Test
     void no_more_boxes_fetch_from_the_origin_than_it_has_connections_for() {
-        List<PieceHolder> boxes = boxes(15, 1);
+        List<WeightsPeer> boxes = boxes(15, 1);
         Set<String> fetchers = new HashSet<>();
         for (int piece = 0; piece < PIECES; piece++) {
-            for (PieceHolder box : boxes) {
+            for (WeightsPeer box : boxes) {
                 if (PieceRouting.of(box, boxes, VERSION, 19).sourceOf(piece, Set.of()) instanceof PieceSource.Origin) {
                     fetchers.add(box.box());
                 }
@@ -142,11 +142,11 @@
 
     @Test
     void when_the_box_that_fetches_a_piece_does_not_answer_its_deputy_goes_to_the_origin_and_no_other() {
-        List<PieceHolder> boxes = boxes(4, 1);
+        List<WeightsPeer> boxes = boxes(4, 1);
         for (int piece = 0; piece < PIECES; piece++) {
             String silent = originFetcher(boxes, piece);
             int fromOrigin = 0;
-            for (PieceHolder box : boxes) {
+            for (WeightsPeer box : boxes) {
                 PieceSource source = PieceRouting.of(box, boxes, VERSION, FETCHERS)
                         .sourceOf(piece, Set.of(new PieceSource.Neighbour(silent, false)));
                 boolean fetches = !box.box().equals(silent) && source instanceof PieceSource.Origin;
@@ -158,10 +158,10 @@
 
     @Test
     void a_box_that_is_listed_twice_never_waits_for_itself() {
-        List<PieceHolder> boxes = new ArrayList<>(boxes(3, 0));
+        List<WeightsPeer> boxes = new ArrayList<>(boxes(3, 0));
         boxes.addAll(boxes(3, VERSION));
         for (int piece = 0; piece < PIECES; piece++) {
-            for (PieceHolder box : boxes) {
+            for (WeightsPeer box : boxes) {
                 assertThat(PieceRouting.of(box, boxes, VERSION, FETCHERS).sourcesOf(piece))
                         .noneMatch(source -> source instanceof PieceSource.Neighbour neighbour
                                 && neighbour.box().equals(box.box()));
@@ -171,8 +171,8 @@
 
     @Test
     void a_box_asks_the_relays_of_its_own_hall_before_anything_else() {
-        List<PieceHolder> boxes = boxes(4, VERSION);
-        List<PieceHolder> relays = relays(2);
+        List<WeightsPeer> boxes = boxes(4, VERSION);
+        List<WeightsPeer> relays = relays(2);
         Set<String> first = new HashSet<>();
         for (int piece = 0; piece < PIECES; piece++) {
             List<PieceSource> sources = PieceRouting.of(boxes.get(0), boxes, VERSION, FETCHERS)
@@ -187,11 +187,11 @@
 
     @Test
     void among_relays_each_piece_leaves_the_origin_once_and_each_hall_has_one_that_fetches_it() {
-        List<PieceHolder> relays = relays(3);
+        List<WeightsPeer> relays = relays(3);
         for (int piece = 0; piece < PIECES; piece++) {
             int fromOrigin = 0;
             int fetchers = 0;
-            for (PieceHolder relay : relays) {
+            for (WeightsPeer relay : relays) {
                 PieceRouting plan = PieceRouting.of(relay, relays, VERSION, FETCHERS);
                 boolean fetches = plan.fetchesIntoHall(piece);
                 fetchers += fetches ? 1 : 0;
@@ -204,14 +204,14 @@
 
     @Test
     void boxes_and_relays_agree_on_who_fetches_a_piece_into_a_hall() {
-        List<PieceHolder> boxes = boxes(4, 1);
-        List<PieceHolder> relays = relays(3);
+        List<WeightsPeer> boxes = boxes(4, 1);
+        List<WeightsPeer> relays = relays(3);
         for (int piece = 0; piece < PIECES; piece++) {
-            for (PieceHolder box : boxes) {
+            for (WeightsPeer box : boxes) {
                 PieceSource.Neighbour asked = (PieceSource.Neighbour) PieceRouting.of(box, boxes, VERSION, FETCHERS)
                         .withRelays(relays)
                         .sourceOf(piece, Set.of());
-                PieceHolder relay = relays.stream()
+                WeightsPeer relay = relays.stream()
                         .filter(each -> each.box().equals(asked.box()))
                         .findFirst()
                         .orElseThrow();
@@ -223,7 +223,7 @@
 
     @Test
     void a_relay_asks_a_box_of_its_hall_that_holds_the_version() {
-        List<PieceHolder> relays = relays(2);
+        List<WeightsPeer> relays = relays(2);
         List<PieceSource> sources = PieceRouting.of(relays.get(0), relays, VERSION, FETCHERS)
                 .withHoldersAmong(boxes(4, VERSION))
                 .sourcesOf(7);
@@ -233,13 +233,13 @@
         });
     }
 
-    private static List<PieceHolder> relays(int each) {
+    private static List<WeightsPeer> relays(int each) {
         return boxes(each, -1).stream()
-                .map(box -> new PieceHolder("relay-" + box.box(), box.dataHall(), box.heldVersion()))
+                .map(box -> new WeightsPeer("relay-" + box.box(), box.dataHall(), box.heldVersion()))
                 .toList();
     }
 
-    private static String originFetcher(List<PieceHolder> boxes, int piece) {
+    private static String originFetcher(List<WeightsPeer> boxes, int piece) {
         return boxes.stream()
                 .filter(box -> PieceRouting.of(box, boxes, VERSION, FETCHERS).sourceOf(piece, Set.of())
                         instanceof PieceSource.Origin)
@@ -251,9 +251,9 @@
     /** Holders have no manifest to give; that they do not must not look as if they held nothing. */
     @Test
     void holders_are_not_asked_for_the_manifest() {
-        List<PieceHolder> boxes = new ArrayList<>(boxes(3, VERSION));
-        boxes.add(new PieceHolder("north-new", "north", 0));
-        for (PieceHolder box : boxes) {
+        List<WeightsPeer> boxes = new ArrayList<>(boxes(3, VERSION));
+        boxes.add(new WeightsPeer("north-new", "north", 0));
+        for (WeightsPeer box : boxes) {
             List<PieceSource> sources =
                     PieceRouting.of(box, boxes, VERSION, FETCHERS).sourcesOf(PieceRouting.MANIFEST);
             assertThat(sources)
@@ -263,16 +263,16 @@
 
     @Test
     void the_origin_is_the_last_resort() {
-        List<PieceHolder> boxes = boxes(3, 1);
+        List<WeightsPeer> boxes = boxes(3, 1);
         List<PieceSource> sources =
                 PieceRouting.of(boxes.get(0), boxes, VERSION, FETCHERS).sourcesOf(5);
         assertThat(sources.get(sources.size() - 1)).isInstanceOf(PieceSource.Origin.class);
         assertThat(new HashSet<>(sources)).hasSameSizeAs(sources);
     }
 
-    private static boolean reachesOrigin(PieceHolder start, List<PieceHolder> boxes, int piece) {
+    private static boolean reachesOrigin(WeightsPeer start, List<WeightsPeer> boxes, int piece) {
         Set<String> seen = new HashSet<>();
-        PieceHolder at = start;
+        WeightsPeer at = start;
         while (seen.add(at.box())) {
             PieceSource source = PieceRouting.of(at, boxes, VERSION, FETCHERS).sourceOf(piece, Set.of());
             if (!(source instanceof PieceSource.Neighbour neighbour)) {
@@ -286,7 +286,7 @@
         return false;
     }
 
-    private static String hallOf(List<PieceHolder> boxes, String name) {
+    private static String hallOf(List<WeightsPeer> boxes, String name) {
         return boxes.stream()
                 .filter(box -> box.box().equals(name))
                 .findFirst()
@@ -294,11 +294,11 @@
                 .dataHall();
     }
 
-    private static List<PieceHolder> boxes(int each, int heldVersion) {
-        List<PieceHolder> boxes = new ArrayList<>();
+    private static List<WeightsPeer> boxes(int each, int heldVersion) {
+        List<WeightsPeer> boxes = new ArrayList<>();
         for (String hall : List.of("north", "south", "west")) {
             for (int number = 0; number < each; number++) {
-                boxes.add(new PieceHolder(hall + "-" + number, hall, heldVersion));
+                boxes.add(new WeightsPeer(hall + "-" + number, hall, heldVersion));
             }
         }
         return boxes;
--- a/daemon/src/main/java/org/bankturn/daemon/weights/WeightsAgent.java
+++ b/daemon/src/main/java/org/bankturn/daemon/weights/WeightsAgent.java
@@ -16,8 +16,8 @@
 import org.bankturn.service.WeightsLayout;
 import org.bankturn.weights.ChangeMethod;
 import org.bankturn.weights.ChangeSchedule;
-import org.bankturn.weights.PieceHolder;
 import org.bankturn.weights.PieceRouting;
+import org.bankturn.weights.WeightsPeer;
 
 /**
  * Keeps the engine on the same box at the newest published version of its weights.
@@ -307,16 +307,16 @@
         return WeightsPeers.of(published, settings.nodeAddress().port());
     }
 
-    private List<PieceHolder> boxes() {
+    private List<WeightsPeer> boxes() {
         return peers().boxesOf(settings.service());
     }
 
-    private PieceHolder self() {
+    private WeightsPeer self() {
         String own = settings.nodeAddress().toString();
         return boxes().stream()
                 .filter(box -> box.box().equals(own))
                 .findFirst()
-                .orElse(new PieceHolder(own, settings.dataHall(), 0));
+                .orElse(new WeightsPeer(own, settings.dataHall(), 0));
     }
 
     /** Routes among the boxes of the service and the relays. */
--- a/daemon/src/main/java/org/bankturn/daemon/weights/WeightsPeers.java
+++ b/daemon/src/main/java/org/bankturn/daemon/weights/WeightsPeers.java
@@ -7,7 +7,7 @@
 import org.bankturn.registry.TargetSighting;
 import org.bankturn.service.Service;
 import org.bankturn.service.WeightsLayout;
-import org.bankturn.weights.PieceHolder;
+import org.bankturn.weights.WeightsPeer;
 
 /**
  * The processes that take part in the distribution of weights, derived from one publication.
@@ -37,7 +37,7 @@
     }
 
     /** Returns the boxes of a service's targets that are not draining, in an order that is the same everywhere, not null. */
-    List<PieceHolder> boxesOf(String service) {
+    List<WeightsPeer> boxesOf(String service) {
         return published.targets().values().stream()
                 .filter(target -> target.service().equals(service) && !target.draining())
                 .map(this::holder)
@@ -45,13 +45,13 @@
                 .toList();
     }
 
-    private PieceHolder holder(TargetSighting target) {
+    private WeightsPeer holder(TargetSighting target) {
         Address box = new Address(Address.parse(target.address()).host(), nodePort);
-        return new PieceHolder(box.toString(), target.dataHall(), target.heldVersion());
+        return new WeightsPeer(box.toString(), target.dataHall(), target.heldVersion());
     }
 
     /** Returns the relays, in an order that is the same everywhere, not null. */
-    List<PieceHolder> relays() {
+    List<WeightsPeer> relays() {
         return boxesOf(WeightsRelay.SERVICE);
     }
 
--- a/daemon/src/main/java/org/bankturn/daemon/weights/WeightsRelay.java
+++ b/daemon/src/main/java/org/bankturn/daemon/weights/WeightsRelay.java
@@ -18,8 +18,8 @@
 import org.bankturn.publication.NamedWeights;
 import org.bankturn.service.Service;
 import org.bankturn.service.WeightsLayout;
-import org.bankturn.weights.PieceHolder;
 import org.bankturn.weights.PieceRouting;
+import org.bankturn.weights.WeightsPeer;
 
 /**
  * Caches pieces of weights in memory and serves them to the boxes of its data hall.
@@ -182,8 +182,8 @@
         @Override
         public PieceRouting plan(int version) {
             WeightsPeers peers = peers();
-            PieceHolder self = new PieceHolder(settings.nodeAddress().toString(), settings.dataHall(), NO_ENGINE);
-            Set<PieceHolder> relays = new LinkedHashSet<>(peers.relays());
+            WeightsPeer self = new WeightsPeer(settings.nodeAddress().toString(), settings.dataHall(), NO_ENGINE);
+            Set<WeightsPeer> relays = new LinkedHashSet<>(peers.relays());
             relays.add(self);
             return PieceRouting.of(self, List.copyOf(relays), version, peers.originConnections())
                     .withHoldersAmong(peers.boxesOf(service));
--- a/daemon/src/test/java/org/bankturn/daemon/weights/FetchSchedulerTest.java
+++ b/daemon/src/test/java/org/bankturn/daemon/weights/FetchSchedulerTest.java
@@ -19,8 +19,8 @@
 import org.bankturn.daemon.observe.ServingMetrics;
 import org.bankturn.daemon.wire.NodeRequest;
 import org.bankturn.time.ManualClock;
-import org.bankturn.weights.PieceHolder;
 import org.bankturn.weights.PieceRouting;
+import org.bankturn.weights.WeightsPeer;
 import org.junit.jupiter.api.Test;
 
 /**
@@ -153,7 +153,7 @@
 
         @Override
         public PieceRouting routing(int wanted) {
-            PieceHolder self = new PieceHolder("self", "north", 0);
+            WeightsPeer self = new WeightsPeer("self", "north", 0);
             return PieceRouting.of(self, List.of(self), wanted, 1);
         }
 
--- a/daemon/src/test/java/org/bankturn/daemon/weights/ScriptedBox.java
+++ b/daemon/src/test/java/org/bankturn/daemon/weights/ScriptedBox.java
@@ -18,14 +18,14 @@
 import org.bankturn.daemon.wire.NodeRequest;
 import org.bankturn.service.WeightsLayout;
 import org.bankturn.time.Clock;
-import org.bankturn.weights.PieceHolder;
 import org.bankturn.weights.PieceRouting;
+import org.bankturn.weights.WeightsPeer;
 
 /** A simulated box with an in-memory engine and one copy of weights; its neighbours are the other boxes of the test. */
 final class ScriptedBox implements CopyContext {
     private static final int FETCHERS = 100;
 
-    final PieceHolder self;
+    final WeightsPeer self;
     final Map<Integer, byte[]> staged = new HashMap<>();
     final List<String> orders = new ArrayList<>();
     final Set<Integer> corruptOnce = new HashSet<>();
@@ -41,7 +41,7 @@
     private final DecisionLog log = DecisionLog.startTo(OutputStream.nullOutputStream(), "box", clock);
     private final ServingMetrics metrics = ServingMetrics.of(log);
 
-    ScriptedBox(Eventloop reactor, ScriptedOrigin origin, Map<String, ScriptedBox> boxes, PieceHolder self) {
+    ScriptedBox(Eventloop reactor, ScriptedOrigin origin, Map<String, ScriptedBox> boxes, WeightsPeer self) {
         this.reactor = reactor;
         this.origin = origin;
         this.boxes = boxes;
@@ -87,13 +87,13 @@
 
     @Override
     public PieceRouting routing(int version) {
-        List<PieceHolder> relays = holders(true);
+        List<WeightsPeer> relays = holders(true);
         return relay
                 ? PieceRouting.of(self, relays, version, FETCHERS).withHoldersAmong(holders(false))
                 : PieceRouting.of(self, holders(false), version, FETCHERS).withRelays(relays);
     }
 
-    private List<PieceHolder> holders(boolean relays) {
+    private List<WeightsPeer> holders(boolean relays) {
         return boxes.values().stream()
                 .filter(box -> box.relay == relays)
                 .map(box -> box.self)
--- a/daemon/src/test/java/org/bankturn/daemon/weights/WeightsCopyTest.java
+++ b/daemon/src/test/java/org/bankturn/daemon/weights/WeightsCopyTest.java
@@ -11,7 +11,7 @@
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
 import org.bankturn.weights.ChangeMethod;
-import org.bankturn.weights.PieceHolder;
+import org.bankturn.weights.WeightsPeer;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
@@ -191,7 +191,7 @@
     private void addBoxes(int listedVersion, String... names) {
         for (String name : names) {
             String hall = name.substring(0, name.indexOf('-'));
-            ScriptedBox unused = new ScriptedBox(reactor, origin, boxes, new PieceHolder(name, hall, listedVersion));
+            ScriptedBox unused = new ScriptedBox(reactor, origin, boxes, new WeightsPeer(name, hall, listedVersion));
         }
     }
 
