--- a/core/src/main/java/org/bankturn/distribution/LinkLimit.java
+++ b/core/src/main/java/org/bankturn/distribution/LinkRateLimiter.java
@@ -8,9 +8,9 @@
  * <p>Ask {@link #delayMillis} before each transfer and wait that long. A limit lower than the link's rate leaves room for
  * the regulated traffic that shares it.
  *
- * <p>LinkLimit is thread-safe: its methods exclude each other.
+ * <p>LinkRateLimiter is thread-safe: its methods exclude each other.
  */
-public final class LinkLimit {
+public final class LinkRateLimiter {
     private static final double MILLIS_PER_SECOND = 1_000.0;
     private static final double MOST_WAITING = 1.5;
 
@@ -27,11 +27,11 @@
      * @param clock the time, not null
      * @return the limit, not null
      */
-    public static LinkLimit of(long bytesPerSecond, long burstMillis, Clock clock) {
-        return new LinkLimit(bytesPerSecond, burstMillis, clock);
+    public static LinkRateLimiter of(long bytesPerSecond, long burstMillis, Clock clock) {
+        return new LinkRateLimiter(bytesPerSecond, burstMillis, clock);
     }
 
-    private LinkLimit(long bytesPerSecond, long burstMillis, Clock clock) {
+    private LinkRateLimiter(long bytesPerSecond, long burstMillis, Clock clock) {
         if (bytesPerSecond < 1) {
             throw new IllegalArgumentException("bytesPerSecond must be positive: " + bytesPerSecond);
         }
--- a/core/src/test/java/org/bankturn/distribution/DistributionTest.java
+++ b/core/src/test/java/org/bankturn/distribution/DistributionTest.java
@@ -197,7 +197,7 @@
     @Test
     void a_link_is_never_filled_beyond_its_rate() {
         ManualClock clock = ManualClock.startingAt(0);
-        LinkLimit link = LinkLimit.of(1_000, 0, clock);
+        LinkRateLimiter link = LinkRateLimiter.of(1_000, 0, clock);
         assertThat(link.delayMillis(500)).isEqualTo(500);
         assertThat(link.delayMillis(500)).isEqualTo(1_000);
         clock.advance(2_000);
--- a/daemon/src/main/java/org/bankturn/daemon/target/ChunkServer.java
+++ b/daemon/src/main/java/org/bankturn/daemon/target/ChunkServer.java
@@ -12,7 +12,7 @@
 import org.bankturn.daemon.wire.NodeReply;
 import org.bankturn.daemon.wire.NodeRequest;
 import org.bankturn.distribution.ChunkFile;
-import org.bankturn.distribution.LinkLimit;
+import org.bankturn.distribution.LinkRateLimiter;
 
 /**
  * Serves the chunks that this box holds to its peers, no faster than its link allows.
@@ -23,11 +23,11 @@
     private static final long NEWS_PAUSE_MILLIS = 20;
 
     private final Executor files;
-    private final LinkLimit upload;
+    private final LinkRateLimiter upload;
     private final Map<String, ChunkFile> served = new HashMap<>();
     private List<SettablePromise<Void>> waiting = new ArrayList<>();
 
-    ChunkServer(Executor files, LinkLimit upload) {
+    ChunkServer(Executor files, LinkRateLimiter upload) {
         this.files = files;
         this.upload = upload;
     }
--- a/daemon/src/main/java/org/bankturn/daemon/target/TargetContext.java
+++ b/daemon/src/main/java/org/bankturn/daemon/target/TargetContext.java
@@ -5,7 +5,7 @@
 import org.bankturn.daemon.control.ControlClient;
 import org.bankturn.daemon.observe.Telemetry;
 import org.bankturn.daemon.wire.NodeClients;
-import org.bankturn.distribution.LinkLimit;
+import org.bankturn.distribution.LinkRateLimiter;
 import org.bankturn.time.Clock;
 
 /**
@@ -28,6 +28,6 @@
         OriginClient origin,
         Executor files,
         Path chunkFolder,
-        LinkLimit download,
+        LinkRateLimiter download,
         Telemetry telemetry,
         Clock clock) {}
--- a/daemon/src/main/java/org/bankturn/daemon/target/TargetRole.java
+++ b/daemon/src/main/java/org/bankturn/daemon/target/TargetRole.java
@@ -18,7 +18,7 @@
 import org.bankturn.daemon.wire.NodeClients;
 import org.bankturn.daemon.wire.NodeReply;
 import org.bankturn.daemon.wire.NodeRequest;
-import org.bankturn.distribution.LinkLimit;
+import org.bankturn.distribution.LinkRateLimiter;
 import org.bankturn.lease.HeldLease;
 import org.bankturn.membership.TargetStatus;
 import org.bankturn.time.Clock;
@@ -86,15 +86,15 @@
                 new OriginClient(client),
                 files,
                 target.chunkFolder(),
-                LinkLimit.of(target.downloadBytesPerSecond(), LINK_BURST_MILLIS, wiring.clock()),
+                LinkRateLimiter.of(target.downloadBytesPerSecond(), LINK_BURST_MILLIS, wiring.clock()),
                 wiring.telemetry(),
                 wiring.clock());
         String backend = target.backend().toString();
         String leaseHolder = settings.process() + "@" + startMillis;
         EngineOrders orders = new EngineOrders(
                 context, client, backend, leaseHolder, target.leaseMillis(), firstOrderMillis(target, startMillis));
-        this.chunkServer =
-                new ChunkServer(files, LinkLimit.of(target.uploadBytesPerSecond(), LINK_BURST_MILLIS, wiring.clock()));
+        this.chunkServer = new ChunkServer(
+                files, LinkRateLimiter.of(target.uploadBytesPerSecond(), LINK_BURST_MILLIS, wiring.clock()));
         this.keeper = new VersionKeeper(context, chunkServer, orders, holder, this::runningOn);
         this.servlet = new TargetServlet(
                 client, backend, wiring.telemetry(), keeper::loaded, () -> leaving, this::requestsAtOnce);
--- a/daemon/src/main/java/org/bankturn/daemon/weights/PieceSender.java
+++ b/daemon/src/main/java/org/bankturn/daemon/weights/PieceSender.java
@@ -4,7 +4,7 @@
 import io.activej.promise.Promise;
 import io.activej.promise.SettablePromise;
 import org.bankturn.daemon.wire.NodeReply;
-import org.bankturn.distribution.LinkLimit;
+import org.bankturn.distribution.LinkRateLimiter;
 import org.bankturn.time.Clock;
 
 /**
@@ -18,8 +18,8 @@
     private static final long BURST_MILLIS = 40;
 
     private final Eventloop reactor;
-    private final LinkLimit servingLimit;
-    private final LinkLimit emptyLimit;
+    private final LinkRateLimiter servingLimit;
+    private final LinkRateLimiter emptyLimit;
 
     PieceSender(Eventloop reactor, Clock clock, long linkBytesPerSecond) {
         this.reactor = reactor;
@@ -27,8 +27,8 @@
         this.emptyLimit = limit(clock, linkBytesPerSecond, SHARE_ENGINE_EMPTY);
     }
 
-    private static LinkLimit limit(Clock clock, long linkBytesPerSecond, double share) {
-        return LinkLimit.of(Math.max(1, (long) (linkBytesPerSecond * share)), BURST_MILLIS, clock);
+    private static LinkRateLimiter limit(Clock clock, long linkBytesPerSecond, double share) {
+        return LinkRateLimiter.of(Math.max(1, (long) (linkBytesPerSecond * share)), BURST_MILLIS, clock);
     }
 
     /** Completes with the reply once the rate limit allows it; {@code bytes} is null if the piece is not available. */
@@ -37,7 +37,7 @@
             return Promise.of(new NodeReply.Piece(null));
         }
         SettablePromise<NodeReply> reply = new SettablePromise<>();
-        LinkLimit limit = engineServes ? servingLimit : emptyLimit;
+        LinkRateLimiter limit = engineServes ? servingLimit : emptyLimit;
         reactor.delayBackground(limit.delayMillis(bytes.length), () -> reply.set(new NodeReply.Piece(bytes)));
         return reply;
     }
--- a/standins/src/main/java/org/bankturn/standin/OriginStandin.java
+++ b/standins/src/main/java/org/bankturn/standin/OriginStandin.java
@@ -13,7 +13,7 @@
 import java.util.concurrent.atomic.AtomicLong;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
-import org.bankturn.distribution.LinkLimit;
+import org.bankturn.distribution.LinkRateLimiter;
 import org.bankturn.time.Clock;
 
 /**
@@ -26,7 +26,7 @@
     private static final int NOT_FOUND = 404;
     private static final long BURST_MILLIS = 20;
 
-    private final LinkLimit link;
+    private final LinkRateLimiter link;
     private final Map<String, Weights> weights = new ConcurrentHashMap<>();
     private final Map<String, AtomicLong> sentBytes = new ConcurrentHashMap<>();
     private volatile boolean corrupting;
@@ -47,7 +47,7 @@
     }
 
     private OriginStandin(long bytesPerSecond) {
-        this.link = LinkLimit.of(bytesPerSecond, BURST_MILLIS, Clock.system());
+        this.link = LinkRateLimiter.of(bytesPerSecond, BURST_MILLIS, Clock.system());
     }
 
     /**
