--- a/core/src/main/java/org/bankturn/distribution/NeighbourChoice.java
+++ b/core/src/main/java/org/bankturn/distribution/NeighbourSelector.java
@@ -11,14 +11,14 @@
  *
  * <p>The choice is random but the same for the same box, so that the boxes form a fixed random graph.
  */
-public final class NeighbourChoice {
+public final class NeighbourSelector {
     /** Neighbours in the own hall, at most. */
     public static final int OWN_HALL = 10;
 
     /** Neighbours in other halls, at most. */
     public static final int OTHER_HALLS = 3;
 
-    private NeighbourChoice() {}
+    private NeighbourSelector() {}
 
     /**
      * Chooses neighbours.
--- a/daemon/src/main/java/org/bankturn/daemon/target/VersionKeeper.java
+++ b/daemon/src/main/java/org/bankturn/daemon/target/VersionKeeper.java
@@ -18,7 +18,7 @@
 import org.bankturn.configuration.Model;
 import org.bankturn.configuration.ModelVersion;
 import org.bankturn.distribution.ChunkFile;
-import org.bankturn.distribution.NeighbourChoice;
+import org.bankturn.distribution.NeighbourSelector;
 
 /**
  * Keeps this box's versions as the configuration wants them: copies, loads, and later unloads and deletes.
@@ -153,7 +153,7 @@
     }
 
     private void startCopy(Configuration configuration, Box self, Model model, ModelVersion version) {
-        List<Box> neighbours = NeighbourChoice.choose(self, configuration.boxesOf(model));
+        List<Box> neighbours = NeighbourSelector.choose(self, configuration.boxesOf(model));
         VersionCopy started = new VersionCopy(context, server, model, version, neighbours);
         copy = started;
         copying = version.manifest();
--- a/standins/src/main/java/org/bankturn/bench/FakeLinkRun.java
+++ b/standins/src/main/java/org/bankturn/bench/FakeLinkRun.java
@@ -12,7 +12,7 @@
 import org.bankturn.distribution.BurstPolicy;
 import org.bankturn.distribution.ChunkPlanner;
 import org.bankturn.distribution.ChunkPlanner.Ending;
-import org.bankturn.distribution.NeighbourChoice;
+import org.bankturn.distribution.NeighbourSelector;
 import org.bankturn.distribution.OriginBudget;
 
 /**
@@ -94,7 +94,7 @@
         List<FakeBox> others = new ArrayList<>(boxes);
         others.remove(box);
         Collections.shuffle(others, random);
-        box.neighbours.addAll(others.subList(0, Math.min(NeighbourChoice.OWN_HALL, others.size())));
+        box.neighbours.addAll(others.subList(0, Math.min(NeighbourSelector.OWN_HALL, others.size())));
         box.neighbours.forEach(neighbour -> neighbour.followers.add(box));
     }
 
