--- a/core/src/main/java/org/bankturn/configuration/Model.java
+++ b/core/src/main/java/org/bankturn/configuration/Model.java
@@ -1,7 +1,7 @@
 package org.bankturn.configuration;
 
 import java.util.List;
-import org.bankturn.distribution.BurstPolicy;
+import org.bankturn.distribution.DistributionPolicy;
 
 /**
  * A model whose weights bankturn moves.
@@ -12,7 +12,8 @@
  * @param policy what a burst of this model prefers, not null
  * @param entersServiceAt the boxes that must have loaded a version before it enters service
  */
-public record Model(String name, List<String> dataHalls, String version, BurstPolicy policy, int entersServiceAt) {
+public record Model(
+        String name, List<String> dataHalls, String version, DistributionPolicy policy, int entersServiceAt) {
     /**
      * Tells whether this model's weights may live in a hall.
      *
--- a/core/src/main/java/org/bankturn/configuration/OperatorFileReader.java
+++ b/core/src/main/java/org/bankturn/configuration/OperatorFileReader.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import java.util.function.Function;
 import org.bankturn.configuration.NamedThing.Kind;
-import org.bankturn.distribution.BurstPolicy;
+import org.bankturn.distribution.DistributionPolicy;
 import org.bankturn.document.DocumentError;
 import org.bankturn.document.DocumentReader;
 import org.bankturn.document.Fields;
@@ -88,8 +88,9 @@
         String name = describe(fields, Kind.MODEL);
         String version = fields.text("version", NAME_PATTERN, NAME_WORDS);
         referred.add(new NamedThing(Kind.VERSION, name + "/" + version, fields.locationOf("version")));
-        return new Model(name, readResidency(fields), version, fields.choice("policy", BurstPolicy.class, null), (int)
-                fields.number("entersServiceAt", 1, MAXIMUM_COUNT));
+        return new Model(
+                name, readResidency(fields), version, fields.choice("policy", DistributionPolicy.class, null), (int)
+                        fields.number("entersServiceAt", 1, MAXIMUM_COUNT));
     }
 
     private ModelVersion readVersion(Fields fields) {
--- a/core/src/main/java/org/bankturn/distribution/BurstPolicy.java
+++ b/core/src/main/java/org/bankturn/distribution/DistributionPolicy.java
@@ -1,7 +1,7 @@
 package org.bankturn.distribution;
 
 /** What a burst of a model prefers. */
-public enum BurstPolicy {
+public enum DistributionPolicy {
     /** Least time until N boxes serve: each chunk may be drawn from the origin by several boxes. */
     TIME_TO_REPLICAS {
         @Override
--- a/core/src/main/java/org/bankturn/distribution/OriginBudget.java
+++ b/core/src/main/java/org/bankturn/distribution/OriginBudget.java
@@ -10,7 +10,7 @@
  * How often each chunk of one version was granted for drawing from the origin; part of the agreed state.
  *
  * <p>A box draws from the origin only with a grant and once per grant, and a grant counts when it is given, so no loss,
- * restart or change of leader lets more be drawn than {@link BurstPolicy#MAXIMUM_ORIGIN_COPIES} copies.
+ * restart or change of leader lets more be drawn than {@link DistributionPolicy#MAXIMUM_ORIGIN_COPIES} copies.
  *
  * <p>OriginBudget is mutable and not thread-safe.
  */
@@ -53,7 +53,12 @@
      * @param nowMillis the leader's time
      */
     public record Request(
-            String box, BitSet unreachable, int wanted, BurstPolicy policy, Set<String> silentBoxes, long nowMillis) {}
+            String box,
+            BitSet unreachable,
+            int wanted,
+            DistributionPolicy policy,
+            Set<String> silentBoxes,
+            long nowMillis) {}
 
     /**
      * Creates a budget with nothing granted.
@@ -161,7 +166,7 @@
     private boolean hasRoom(long nowMillis) {
         long live =
                 underWay.stream().filter(chunk -> !isOverdue(chunk, nowMillis)).count();
-        return live < MOST_UNDER_WAY && total < grants.length * BurstPolicy.MAXIMUM_ORIGIN_COPIES;
+        return live < MOST_UNDER_WAY && total < grants.length * DistributionPolicy.MAXIMUM_ORIGIN_COPIES;
     }
 
     private boolean isOverdue(int chunk, long nowMillis) {
--- a/core/src/main/java/org/bankturn/state/command/Command.java
+++ b/core/src/main/java/org/bankturn/state/command/Command.java
@@ -4,7 +4,7 @@
 import com.fasterxml.jackson.annotation.JsonTypeInfo;
 import java.util.BitSet;
 import java.util.Set;
-import org.bankturn.distribution.BurstPolicy;
+import org.bankturn.distribution.DistributionPolicy;
 import org.bankturn.distribution.OriginBudget;
 import org.bankturn.ledger.RecordedAnswer;
 
@@ -67,7 +67,7 @@
             long[] failed,
             long[] unreachable,
             int wanted,
-            BurstPolicy policy,
+            DistributionPolicy policy,
             Set<String> silentBoxes,
             long nowMillis)
             implements Command {
--- a/core/src/test/java/org/bankturn/distribution/DistributionTest.java
+++ b/core/src/test/java/org/bankturn/distribution/DistributionTest.java
@@ -91,12 +91,13 @@
         }
     }
 
-    private static OriginBudget.Request request(BitSet unreachable, int wanted, BurstPolicy policy, long nowMillis) {
+    private static OriginBudget.Request request(
+            BitSet unreachable, int wanted, DistributionPolicy policy, long nowMillis) {
         return new OriginBudget.Request("asker", unreachable, wanted, policy, Set.of("silent"), nowMillis);
     }
 
     private static List<Integer> grant(OriginBudget budget, BitSet unreachable, int wanted, long nowMillis) {
-        return budget.grant(request(unreachable, wanted, BurstPolicy.ORIGIN_BYTES, nowMillis));
+        return budget.grant(request(unreachable, wanted, DistributionPolicy.ORIGIN_BYTES, nowMillis));
     }
 
     @Test
@@ -107,14 +108,14 @@
         budget.ended(bits(8), new BitSet(), 2);
         long later = 10 * OriginBudget.REPAIR_MILLIS;
         assertThat(grant(budget, bits(8), 5, later)).isEmpty();
-        assertThat(budget.hasGrantFor(request(bits(8), 1, BurstPolicy.ORIGIN_BYTES, later)))
+        assertThat(budget.hasGrantFor(request(bits(8), 1, DistributionPolicy.ORIGIN_BYTES, later)))
                 .isFalse();
     }
 
     @Test
     void a_chunk_is_granted_again_when_its_draw_failed_or_its_holder_fell_silent() {
         OriginBudget budget = OriginBudget.ofChunks(8);
-        budget.grant(new OriginBudget.Request("silent", bits(2), 2, BurstPolicy.ORIGIN_BYTES, Set.of(), 0));
+        budget.grant(new OriginBudget.Request("silent", bits(2), 2, DistributionPolicy.ORIGIN_BYTES, Set.of(), 0));
         BitSet kept = new BitSet();
         kept.set(0);
         BitSet failed = new BitSet();
@@ -127,14 +128,14 @@
 
     @Test
     void no_policy_and_no_repair_grants_more_than_four_copies() {
-        for (BurstPolicy policy : BurstPolicy.values()) {
+        for (DistributionPolicy policy : DistributionPolicy.values()) {
             OriginBudget budget = OriginBudget.ofChunks(8);
             for (int round = 0; round < 100; round++) {
                 budget.grant(request(bits(8), 8, policy, round * OriginBudget.REPAIR_MILLIS));
                 budget.ended(new BitSet(), bits(8), round * OriginBudget.REPAIR_MILLIS);
                 budget = OriginBudget.restore(budget.save());
             }
-            assertThat(budget.grantedCopies()).isEqualTo(BurstPolicy.MAXIMUM_ORIGIN_COPIES);
+            assertThat(budget.grantedCopies()).isEqualTo(DistributionPolicy.MAXIMUM_ORIGIN_COPIES);
         }
     }
 
--- a/standins/src/main/java/org/bankturn/bench/BurstBench.java
+++ b/standins/src/main/java/org/bankturn/bench/BurstBench.java
@@ -10,7 +10,7 @@
 import java.util.Map;
 import java.util.concurrent.Callable;
 import org.bankturn.cli.BankturnTool;
-import org.bankturn.distribution.BurstPolicy;
+import org.bankturn.distribution.DistributionPolicy;
 import org.bankturn.harness.Await;
 import org.bankturn.harness.BurstBound;
 import org.bankturn.harness.DeploymentPlan;
@@ -75,7 +75,8 @@
         weights = Weights.make(1, mebibytes * MEBIBYTE, chunkKibibytes << 10);
         long originRate = 4L * weights.bytes().length / wantedSeconds;
         long boxRate = 2L * weights.bytes().length / wantedSeconds;
-        BurstPolicy chosen = BurstPolicy.valueOf(policy.toUpperCase(Locale.ROOT).replace('-', '_'));
+        DistributionPolicy chosen =
+                DistributionPolicy.valueOf(policy.toUpperCase(Locale.ROOT).replace('-', '_'));
         LocalDeployment.Options options = new LocalDeployment.Options(
                 originRate, boxRate, chosen, boxes, 64, EngineStandin.Settings.DEFAULT, false);
         try (LocalDeployment deployment = LocalDeployment.prepare(DeploymentPlan.burst(boxes), options)) {
--- a/standins/src/main/java/org/bankturn/bench/FakeLinkRun.java
+++ b/standins/src/main/java/org/bankturn/bench/FakeLinkRun.java
@@ -9,9 +9,9 @@
 import java.util.Random;
 import java.util.Set;
 import org.apache.commons.rng.simple.RandomSource;
-import org.bankturn.distribution.BurstPolicy;
 import org.bankturn.distribution.ChunkPlanner;
 import org.bankturn.distribution.ChunkPlanner.Ending;
+import org.bankturn.distribution.DistributionPolicy;
 import org.bankturn.distribution.NeighbourSelector;
 import org.bankturn.distribution.OriginBudget;
 
@@ -35,7 +35,7 @@
     private final int chunks;
     private final double originSeconds;
     private final double boxSeconds;
-    private final BurstPolicy policy;
+    private final DistributionPolicy policy;
     private final Random random;
     private final OriginBudget budget;
     private final List<FakeBox> boxes = new ArrayList<>();
@@ -77,7 +77,7 @@
         }
     }
 
-    FakeLinkRun(int count, int chunks, double originRate, double boxRate, BurstPolicy policy, long seed) {
+    FakeLinkRun(int count, int chunks, double originRate, double boxRate, DistributionPolicy policy, long seed) {
         this.chunks = chunks;
         this.originSeconds = 1 / originRate;
         this.boxSeconds = 1 / boxRate;
--- a/standins/src/main/java/org/bankturn/bench/FanOutBench.java
+++ b/standins/src/main/java/org/bankturn/bench/FanOutBench.java
@@ -15,7 +15,7 @@
 import java.util.Map;
 import java.util.concurrent.Callable;
 import org.bankturn.cli.BankturnTool;
-import org.bankturn.distribution.BurstPolicy;
+import org.bankturn.distribution.DistributionPolicy;
 import org.bankturn.harness.Await;
 import org.bankturn.harness.DaemonHandle;
 import org.bankturn.harness.DeploymentPlan;
@@ -45,7 +45,7 @@
     public String call() throws IOException {
         Weights weights = Weights.make(1, 1 << 18, 1 << 16);
         LocalDeployment.Options options = new LocalDeployment.Options(
-                64 << 20, 64 << 20, BurstPolicy.ORIGIN_BYTES, boxes, 64, EngineStandin.Settings.DEFAULT, false);
+                64 << 20, 64 << 20, DistributionPolicy.ORIGIN_BYTES, boxes, 64, EngineStandin.Settings.DEFAULT, false);
         try (LocalDeployment running = LocalDeployment.prepare(DeploymentPlan.burst(boxes), options)) {
             running.origin().offer(weights);
             running.startAll();
--- a/standins/src/main/java/org/bankturn/bench/OverheadBench.java
+++ b/standins/src/main/java/org/bankturn/bench/OverheadBench.java
@@ -14,7 +14,7 @@
 import java.util.concurrent.Callable;
 import org.HdrHistogram.Histogram;
 import org.bankturn.cli.BankturnTool;
-import org.bankturn.distribution.BurstPolicy;
+import org.bankturn.distribution.DistributionPolicy;
 import org.bankturn.harness.Await;
 import org.bankturn.harness.DaemonHandle;
 import org.bankturn.harness.DeploymentPlan;
@@ -51,7 +51,7 @@
     public String call() throws IOException, InterruptedException {
         Weights weights = Weights.make(1, 1 << 20, 256 << 10);
         LocalDeployment.Options options = new LocalDeployment.Options(
-                64 << 20, 64 << 20, BurstPolicy.ORIGIN_BYTES, 3, 64, EngineStandin.Settings.DEFAULT, false);
+                64 << 20, 64 << 20, DistributionPolicy.ORIGIN_BYTES, 3, 64, EngineStandin.Settings.DEFAULT, false);
         try (LocalDeployment running = LocalDeployment.prepare(DeploymentPlan.small(), options)) {
             running.origin().offer(weights);
             running.startAll();
--- a/standins/src/main/java/org/bankturn/bench/PlannerBench.java
+++ b/standins/src/main/java/org/bankturn/bench/PlannerBench.java
@@ -6,7 +6,7 @@
 import com.github.rvesse.airline.annotations.Option;
 import java.util.Locale;
 import java.util.concurrent.Callable;
-import org.bankturn.distribution.BurstPolicy;
+import org.bankturn.distribution.DistributionPolicy;
 import org.bankturn.harness.BurstBound;
 
 /** {@code bench planner}: the pure planner and the baselines over a fake link, at sizes that no one machine holds. */
@@ -47,7 +47,7 @@
         ObjectNode result = new ObjectMapper().createObjectNode();
         result.put("boxes", boxes).put("chunks", chunks).put("boundSeconds", bound.seconds());
         result.put("deadPercent", deadPercent).put("corruptPercent", corruptPercent);
-        for (BurstPolicy policy : BurstPolicy.values()) {
+        for (DistributionPolicy policy : DistributionPolicy.values()) {
             FakeLinkRun run = new FakeLinkRun(boxes, chunks, originRate, boxRate, policy, 1);
             run.withFaults(deadPercent, corruptPercent, bound.seconds() / 2).run();
             ObjectNode line = result.putObject(policy.name().toLowerCase(Locale.ROOT));
--- a/standins/src/main/java/org/bankturn/harness/LocalDeployment.java
+++ b/standins/src/main/java/org/bankturn/harness/LocalDeployment.java
@@ -11,7 +11,7 @@
 import java.util.Map;
 import java.util.stream.Collectors;
 import java.util.stream.Stream;
-import org.bankturn.distribution.BurstPolicy;
+import org.bankturn.distribution.DistributionPolicy;
 import org.bankturn.harness.DeploymentPlan.Place;
 import org.bankturn.harness.DeploymentPlan.TargetPlace;
 import org.bankturn.standin.EngineStandin;
@@ -52,7 +52,7 @@
     public record Options(
             long originBytesPerSecond,
             long boxBytesPerSecond,
-            BurstPolicy policy,
+            DistributionPolicy policy,
             int entersServiceAt,
             int requestsAtOnce,
             EngineStandin.Settings engine,
--- a/standins/src/main/java/org/bankturn/quickstart/Quickstart.java
+++ b/standins/src/main/java/org/bankturn/quickstart/Quickstart.java
@@ -16,7 +16,7 @@
 import java.util.UUID;
 import java.util.concurrent.ThreadLocalRandom;
 import org.bankturn.cli.BankturnTool;
-import org.bankturn.distribution.BurstPolicy;
+import org.bankturn.distribution.DistributionPolicy;
 import org.bankturn.harness.Await;
 import org.bankturn.harness.BurstBound;
 import org.bankturn.harness.Caller;
@@ -71,7 +71,7 @@
     private boolean run() throws IOException {
         boolean donor = deployment.equals("donor");
         DeploymentPlan plan = donor ? DeploymentPlan.donor() : DeploymentPlan.signing();
-        BurstPolicy policy = donor ? BurstPolicy.TIME_TO_REPLICAS : BurstPolicy.ORIGIN_BYTES;
+        DistributionPolicy policy = donor ? DistributionPolicy.TIME_TO_REPLICAS : DistributionPolicy.ORIGIN_BYTES;
         LocalDeployment.Options options = new LocalDeployment.Options(
                 ORIGIN_RATE, BOX_RATE, policy, plan.assistantCount() - 2, 64, EngineStandin.Settings.DEFAULT, false);
         Weights first = Weights.make(1, WEIGHT_MEBIBYTES * MEBIBYTE, MEBIBYTE);
--- a/standins/src/test/java/org/bankturn/harness/SmallDeployment.java
+++ b/standins/src/test/java/org/bankturn/harness/SmallDeployment.java
@@ -11,7 +11,7 @@
 import java.util.Map;
 import java.util.Set;
 import org.bankturn.cli.BankturnTool;
-import org.bankturn.distribution.BurstPolicy;
+import org.bankturn.distribution.DistributionPolicy;
 import org.bankturn.standin.EngineStandin;
 import org.bankturn.standin.Weights;
 
@@ -33,7 +33,7 @@
 
     static SmallDeployment start(EngineStandin.Settings engine) throws IOException {
         LocalDeployment.Options options =
-                new LocalDeployment.Options(32 << 20, 16 << 20, BurstPolicy.ORIGIN_BYTES, 3, 32, engine, false);
+                new LocalDeployment.Options(32 << 20, 16 << 20, DistributionPolicy.ORIGIN_BYTES, 3, 32, engine, false);
         SmallDeployment deployment = new SmallDeployment(LocalDeployment.prepare(DeploymentPlan.small(), options));
         deployment.running.origin().offer(FIRST);
         deployment.running.origin().offer(SECOND);
