--- a/core/src/main/java/org/bankturn/distribution/ChunkPlanner.java
+++ b/core/src/main/java/org/bankturn/distribution/ChunkPlanner.java
@@ -39,7 +39,7 @@
     public record Transfer(int chunk, String neighbour) {}
 
     /** How a transfer ended. */
-    public enum Ending {
+    public enum TransferOutcome {
         /** The chunk was verified and kept. */
         KEPT,
         /** The chunk did not match its digest. */
@@ -171,7 +171,7 @@
      * @param chunk the chunk's number
      * @param ending how it ended, not null
      */
-    public void originEnded(int chunk, Ending ending) {
+    public void originEnded(int chunk, TransferOutcome ending) {
         end(chunk, ending);
     }
 
@@ -182,23 +182,23 @@
      * @param ending how it ended, not null
      * @param nowMillis the box's time
      */
-    public void ended(Transfer transfer, Ending ending, long nowMillis) {
+    public void ended(Transfer transfer, TransferOutcome ending, long nowMillis) {
         Neighbour neighbour = neighbours.get(transfer.neighbour());
         neighbour.transfers--;
-        if (ending == Ending.CORRUPT) {
+        if (ending == TransferOutcome.CORRUPT) {
             neighbour.corrupt++;
             neighbour.holds.clear(transfer.chunk());
-        } else if (ending == Ending.BUSY) {
+        } else if (ending == TransferOutcome.BUSY) {
             neighbour.busyUntilMillis = nowMillis + BUSY_MILLIS;
-        } else if (ending == Ending.FAILED) {
+        } else if (ending == TransferOutcome.FAILED) {
             neighbour.holds.clear(transfer.chunk());
         }
         end(transfer.chunk(), ending);
     }
 
-    private void end(int chunk, Ending ending) {
+    private void end(int chunk, TransferOutcome ending) {
         underway.clear(chunk);
-        if (ending == Ending.KEPT) {
+        if (ending == TransferOutcome.KEPT) {
             held.set(chunk);
         }
     }
--- a/core/src/test/java/org/bankturn/distribution/DistributionTest.java
+++ b/core/src/test/java/org/bankturn/distribution/DistributionTest.java
@@ -11,8 +11,8 @@
 import java.util.Set;
 import org.apache.commons.rng.simple.RandomSource;
 import org.bankturn.configuration.Digest;
-import org.bankturn.distribution.ChunkPlanner.Ending;
 import org.bankturn.distribution.ChunkPlanner.Transfer;
+import org.bankturn.distribution.ChunkPlanner.TransferOutcome;
 import org.bankturn.time.ManualClock;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
@@ -173,7 +173,7 @@
         ChunkPlanner planner = planner(8);
         planner.neighbourHolds("bad", bits(8));
         for (int time = 0; time < ChunkPlanner.CORRUPT_LIMIT; time++) {
-            planner.ended(planner.next(0).orElseThrow(), Ending.CORRUPT, 0);
+            planner.ended(planner.next(0).orElseThrow(), TransferOutcome.CORRUPT, 0);
         }
         planner.neighbourHolds("bad", bits(8));
         assertThat(planner.next(0)).isEmpty();
@@ -184,7 +184,7 @@
     void a_neighbour_whose_link_is_taken_is_left_alone_for_a_while() {
         ChunkPlanner planner = planner(4);
         planner.neighbourHolds("busy", bits(4));
-        planner.ended(planner.next(0).orElseThrow(), Ending.BUSY, 0);
+        planner.ended(planner.next(0).orElseThrow(), TransferOutcome.BUSY, 0);
         assertThat(planner.next(0)).isEmpty();
         planner.neighbourHolds("free", bits(1));
         assertThat(planner.next(1)).contains(new Transfer(0, "free"));
--- a/daemon/src/main/java/org/bankturn/daemon/target/VersionCopy.java
+++ b/daemon/src/main/java/org/bankturn/daemon/target/VersionCopy.java
@@ -22,8 +22,8 @@
 import org.bankturn.daemon.wire.NodeRequest;
 import org.bankturn.distribution.ChunkFile;
 import org.bankturn.distribution.ChunkPlanner;
-import org.bankturn.distribution.ChunkPlanner.Ending;
 import org.bankturn.distribution.ChunkPlanner.Transfer;
+import org.bankturn.distribution.ChunkPlanner.TransferOutcome;
 import org.bankturn.distribution.Manifest;
 import org.bankturn.result.ResultCode;
 import org.bankturn.state.command.Command;
@@ -225,30 +225,30 @@
         NodeRequest request = new NodeRequest.GetChunk(version.manifest(), transfer.chunk());
         context.clients()
                 .ask(nodeAddress(neighbour), request, CHUNK_TIMEOUT_MILLIS)
-                .then(reply -> receivedFromPeer(transfer.chunk(), reply), failure -> Promise.of(Ending.FAILED))
+                .then(reply -> receivedFromPeer(transfer.chunk(), reply), failure -> Promise.of(TransferOutcome.FAILED))
                 .whenComplete((ending, failure) -> {
-                    Ending known = failure == null ? ending : Ending.FAILED;
+                    TransferOutcome known = failure == null ? ending : TransferOutcome.FAILED;
                     planner.ended(transfer, known, context.clock().millis());
                     transfers--;
                     pump();
-                    if (known == Ending.BUSY) {
+                    if (known == TransferOutcome.BUSY) {
                         Promises.delay(ChunkPlanner.BUSY_MILLIS).whenResult(this::pump);
                     }
                 });
     }
 
-    private Promise<Ending> receivedFromPeer(int chunk, NodeReply reply) {
+    private Promise<TransferOutcome> receivedFromPeer(int chunk, NodeReply reply) {
         if (!(reply instanceof NodeReply.Chunk answer)) {
-            return Promise.of(Ending.FAILED);
+            return Promise.of(TransferOutcome.FAILED);
         }
         if (answer.bytes() == null) {
-            return Promise.of(answer.busy() ? Ending.BUSY : Ending.FAILED);
+            return Promise.of(answer.busy() ? TransferOutcome.BUSY : TransferOutcome.FAILED);
         }
         return keep(chunk, answer.bytes(), "peer");
     }
 
     /** Waits until the own link would have let the bytes through, checks them and keeps them. */
-    private Promise<Ending> keep(int chunk, byte[] bytes, String source) {
+    private Promise<TransferOutcome> keep(int chunk, byte[] bytes, String source) {
         long delay = context.download().arrivalDelayMillis(bytes.length);
         return Promises.delay(delay)
                 .then(nothing -> Promise.ofBlocking(context.files(), () -> file.keep(chunk, bytes)))
@@ -256,11 +256,11 @@
                     if (kept) {
                         context.telemetry().chunkKept(source, bytes.length);
                         server.chunkKept();
-                        return Ending.KEPT;
+                        return TransferOutcome.KEPT;
                     }
                     context.telemetry().chunkRejected(source);
                     LOG.log(Level.WARNING, ResultCode.CHUNK_CORRUPT.number() + " chunk " + chunk + " from " + source);
-                    return Ending.CORRUPT;
+                    return TransferOutcome.CORRUPT;
                 })
                 .whenException(IOException.class, this::fail);
     }
@@ -322,13 +322,13 @@
         planner.originBegun(chunk);
         context.origin()
                 .chunk(version.origin(), file.manifest(), chunk)
-                .then(bytes -> keep(chunk, bytes, "origin"), failure -> Promise.of(Ending.FAILED))
+                .then(bytes -> keep(chunk, bytes, "origin"), failure -> Promise.of(TransferOutcome.FAILED))
                 .whenComplete((ending, failure) -> {
                     originDraws--;
-                    Ending known = failure == null ? ending : Ending.FAILED;
-                    (known == Ending.KEPT ? originKept : originFailed).set(chunk);
+                    TransferOutcome known = failure == null ? ending : TransferOutcome.FAILED;
+                    (known == TransferOutcome.KEPT ? originKept : originFailed).set(chunk);
                     planner.originEnded(chunk, known);
-                    if (ending == Ending.CORRUPT && ++originCorrupt >= ORIGIN_CORRUPT_LIMIT) {
+                    if (ending == TransferOutcome.CORRUPT && ++originCorrupt >= ORIGIN_CORRUPT_LIMIT) {
                         fail(new CopyStoppedException(ResultCode.ORIGIN_CORRUPT));
                         return;
                     }
--- a/standins/src/main/java/org/bankturn/bench/FakeLinkRun.java
+++ b/standins/src/main/java/org/bankturn/bench/FakeLinkRun.java
@@ -10,7 +10,7 @@
 import java.util.Set;
 import org.apache.commons.rng.simple.RandomSource;
 import org.bankturn.distribution.ChunkPlanner;
-import org.bankturn.distribution.ChunkPlanner.Ending;
+import org.bankturn.distribution.ChunkPlanner.TransferOutcome;
 import org.bankturn.distribution.DistributionPolicy;
 import org.bankturn.distribution.NeighbourSelector;
 import org.bankturn.distribution.OriginBudget;
@@ -173,7 +173,7 @@
                 .orElseThrow();
         box.transfers++;
         if (!sender.alive || sender.uplinkFree - now > MOST_BACKLOG_CHUNKS * boxSeconds) {
-            Ending ending = sender.alive ? Ending.BUSY : Ending.FAILED;
+            TransferOutcome ending = sender.alive ? TransferOutcome.BUSY : TransferOutcome.FAILED;
             box.planner.ended(transfer, ending, (long) (now * MILLIS));
             box.transfers--;
             return;
@@ -185,7 +185,7 @@
             double received = Math.max(sent, box.downlinkFree);
             at(received, () -> {
                 box.transfers--;
-                Ending ending = sender.alive ? ending() : Ending.FAILED;
+                TransferOutcome ending = sender.alive ? ending() : TransferOutcome.FAILED;
                 box.planner.ended(transfer, ending, (long) (received * MILLIS));
                 keep(box, transfer.chunk(), ending, received);
             });
@@ -200,10 +200,10 @@
         double received = Math.max(originFree, now + boxSeconds);
         at(received, () -> {
             box.draws--;
-            Ending ending = ending();
+            TransferOutcome ending = ending();
             BitSet kept = new BitSet();
             BitSet failed = new BitSet();
-            (ending == Ending.KEPT ? kept : failed).set(chunk);
+            (ending == TransferOutcome.KEPT ? kept : failed).set(chunk);
             if (box.alive) {
                 budget.ended(kept, failed, (long) (received * MILLIS));
             }
@@ -212,14 +212,14 @@
         });
     }
 
-    private Ending ending() {
+    private TransferOutcome ending() {
         boolean corrupt = random.nextInt(100) < corruptPercent;
         rejected += corrupt ? 1 : 0;
-        return corrupt ? Ending.CORRUPT : Ending.KEPT;
+        return corrupt ? TransferOutcome.CORRUPT : TransferOutcome.KEPT;
     }
 
-    private void keep(FakeBox box, int chunk, Ending ending, double now) {
-        if (box.alive && ending == Ending.KEPT) {
+    private void keep(FakeBox box, int chunk, TransferOutcome ending, double now) {
+        if (box.alive && ending == TransferOutcome.KEPT) {
             box.held.set(chunk);
             if (box.planner.isComplete()) {
                 completions.add(now);
