--- a/core/src/main/java/org/bankturn/distribution/OriginBudget.java
+++ b/core/src/main/java/org/bankturn/distribution/OriginBudget.java
@@ -40,7 +40,7 @@
      * @param underWay the chunks whose last grant has not ended, as a bit set of little-endian longs, not null
      * @param usualMillis how long grants have taken of late
      */
-    public record Saved(int[] grants, long[] grantedMillis, String[] holders, long[] underWay, long usualMillis) {}
+    public record Snapshot(int[] grants, long[] grantedMillis, String[] holders, long[] underWay, long usualMillis) {}
 
     /**
      * What a box asks for.
@@ -76,7 +76,7 @@
      * @param saved what {@link #save()} gave, not null
      * @return the budget, not null
      */
-    public static OriginBudget restore(Saved saved) {
+    public static OriginBudget restore(Snapshot saved) {
         return new OriginBudget(
                 saved.grants().clone(),
                 saved.grantedMillis().clone(),
@@ -99,8 +99,9 @@
     // ---- queries
 
     /** Returns what a snapshot keeps, not null. */
-    public Saved save() {
-        return new Saved(grants.clone(), grantedMillis.clone(), holders.clone(), underWay.toLongArray(), usualMillis);
+    public Snapshot save() {
+        return new Snapshot(
+                grants.clone(), grantedMillis.clone(), holders.clone(), underWay.toLongArray(), usualMillis);
     }
 
     /** Returns the grants given, in copies of the whole version. */
--- a/core/src/main/java/org/bankturn/state/ReplicatedState.java
+++ b/core/src/main/java/org/bankturn/state/ReplicatedState.java
@@ -46,7 +46,7 @@
             List<FileRecord> history,
             List<Lease> leases,
             List<Claim> claims,
-            Map<String, OriginBudget.Saved> originBudgets) {}
+            Map<String, OriginBudget.Snapshot> originBudgets) {}
 
     /** Returns the state before any command, not null. */
     public static ReplicatedState empty() {
@@ -130,7 +130,7 @@
 
     /** Returns the whole state, encoded, not null. */
     public byte[] snapshot() {
-        Map<String, OriginBudget.Saved> budgets = new HashMap<>();
+        Map<String, OriginBudget.Snapshot> budgets = new HashMap<>();
         originBudgets.forEach((manifest, budget) -> budgets.put(manifest, budget.save()));
         return MessagePackCodec.instance()
                 .encode(new Saved(
