--- a/core/src/main/java/org/bankturn/weights/ChangeMethod.java
+++ b/core/src/main/java/org/bankturn/weights/ChangeMethod.java
@@ -8,10 +8,10 @@
     /** It breaks them off and changes at once; whoever asked goes on elsewhere after the last event. */
     AT_ONCE(0.88);
 
-    private final double lastShare;
+    private final double latestStartShare;
 
     ChangeMethod(double lastShare) {
-        this.lastShare = lastShare;
+        this.latestStartShare = lastShare;
     }
 
     /**
@@ -20,7 +20,7 @@
      * <p>What is left of 8 s is for answers of up to 2 s to end, or for weights that are staged to be loaded, which takes 0.3
      * to 0.4 s, and for one more order if the first fails.
      */
-    double lastShare() {
-        return lastShare;
+    double latestStartShare() {
+        return latestStartShare;
     }
 }
--- a/core/src/main/java/org/bankturn/weights/ChangeSchedule.java
+++ b/core/src/main/java/org/bankturn/weights/ChangeSchedule.java
@@ -61,7 +61,7 @@
         double share = Math.max(0, order.indexOf(box)) / (double) Math.max(1, order.size() - 1);
         double whole = (double) wholeMillis;
         double first = Math.max(allowedMillis * FIRST_SHARE, whole);
-        double last = Math.max(allowedMillis * method.lastShare(), whole);
+        double last = Math.max(allowedMillis * method.latestStartShare(), whole);
         return Math.round(first + (last - first) * share);
     }
 
