--- a/core/src/main/java/org/bankturn/weights/ChangeSchedule.java
+++ b/core/src/main/java/org/bankturn/weights/ChangeSchedule.java
@@ -56,7 +56,7 @@
      * @param wholeMillis when the box's copy was whole, in milliseconds after the naming
      * @return milliseconds after the naming, not before the copy was whole
      */
-    public long turnMillis(String box, List<WeightsPeer> boxes, long wholeMillis) {
+    public long startMillis(String box, List<WeightsPeer> boxes, long wholeMillis) {
         List<String> order = order(boxes);
         double share = Math.max(0, order.indexOf(box)) / (double) Math.max(1, order.size() - 1);
         double whole = (double) wholeMillis;
--- a/core/src/test/java/org/bankturn/weights/ChangeScheduleTest.java
+++ b/core/src/test/java/org/bankturn/weights/ChangeScheduleTest.java
@@ -20,18 +20,18 @@
     void every_box_has_its_turn_early_enough_to_empty_itself() {
         List<WeightsPeer> boxes = boxes(5);
         assertThat(boxes)
-                .allSatisfy(box -> assertThat(turns.turnMillis(box.box(), boxes, 0))
+                .allSatisfy(box -> assertThat(turns.startMillis(box.box(), boxes, 0))
                         .isBetween(1L, ALLOWED_MILLIS - EMPTYING_MILLIS));
     }
 
     @Test
     void no_more_boxes_empty_themselves_at_once_than_an_even_spread_needs() {
         List<WeightsPeer> boxes = boxes(8);
-        long first = turns.turnMillis("east-1", boxes, 0);
+        long first = turns.startMillis("east-1", boxes, 0);
         for (long now = first; now < ALLOWED_MILLIS; now += 50) {
             long moment = now;
             long emptying = boxes.stream()
-                    .mapToLong(box -> turns.turnMillis(box.box(), boxes, 0))
+                    .mapToLong(box -> turns.startMillis(box.box(), boxes, 0))
                     .filter(turn -> turn <= moment && moment < turn + EMPTYING_MILLIS)
                     .count();
             assertThat(emptying).isLessThanOrEqualTo(boxes.size() * 6L / 10 + 1);
@@ -41,11 +41,11 @@
     @Test
     void each_hall_keeps_boxes_that_serve_while_others_change() {
         List<WeightsPeer> boxes = boxes(6);
-        long half = (turns.turnMillis("east-1", boxes, 0) + turns.turnMillis("west-6", boxes, 0)) / 2;
+        long half = (turns.startMillis("east-1", boxes, 0) + turns.startMillis("west-6", boxes, 0)) / 2;
         for (String hall : List.of("east", "north", "west")) {
             long before = boxes.stream()
                     .filter(box -> box.dataHall().equals(hall))
-                    .filter(box -> turns.turnMillis(box.box(), boxes, 0) < half)
+                    .filter(box -> turns.startMillis(box.box(), boxes, 0) < half)
                     .count();
             assertThat(before).isBetween(2L, 4L);
         }
@@ -56,7 +56,7 @@
         List<WeightsPeer> boxes = boxes(4);
         long whole = ALLOWED_MILLIS / 2 + 500;
         List<Long> late = boxes.stream()
-                .map(box -> turns.turnMillis(box.box(), boxes, whole))
+                .map(box -> turns.startMillis(box.box(), boxes, whole))
                 .filter(turn -> turn < ALLOWED_MILLIS * 3 / 4)
                 .distinct()
                 .toList();
@@ -75,7 +75,7 @@
         List<WeightsPeer> boxes = boxes(5);
         long whole = 4_100;
         List<Long> inOrder = boxes.stream()
-                .map(box -> atOnce.turnMillis(box.box(), boxes, whole))
+                .map(box -> atOnce.startMillis(box.box(), boxes, whole))
                 .sorted()
                 .toList();
         for (int rank = 1; rank < inOrder.size(); rank++) {
@@ -89,7 +89,7 @@
         ChangeSchedule atOnce = ChangeSchedule.within(ALLOWED_MILLIS, ChangeMethod.AT_ONCE);
         List<WeightsPeer> boxes = boxes(5);
         assertThat(boxes)
-                .allSatisfy(box -> assertThat(atOnce.turnMillis(box.box(), boxes, 0))
+                .allSatisfy(box -> assertThat(atOnce.startMillis(box.box(), boxes, 0))
                         .isLessThanOrEqualTo(ALLOWED_MILLIS - LOADING_MILLIS));
     }
 
@@ -97,14 +97,14 @@
     void boxes_whose_copies_come_when_time_is_up_change_at_once() {
         List<WeightsPeer> boxes = boxes(4);
         assertThat(boxes)
-                .allSatisfy(box -> assertThat(turns.turnMillis(box.box(), boxes, ALLOWED_MILLIS + 1))
+                .allSatisfy(box -> assertThat(turns.startMillis(box.box(), boxes, ALLOWED_MILLIS + 1))
                         .isEqualTo(ALLOWED_MILLIS + 1));
     }
 
     @Test
     void a_single_box_changes_first_and_one_that_is_not_listed_does_not_wait() {
         List<WeightsPeer> one = List.of(new WeightsPeer("east-1", "east", 1));
-        assertThat(turns.turnMillis("east-1", one, 0)).isEqualTo(turns.turnMillis("stranger", one, 0));
+        assertThat(turns.startMillis("east-1", one, 0)).isEqualTo(turns.startMillis("stranger", one, 0));
     }
 
     @Test
--- a/daemon/src/main/java/org/bankturn/daemon/weights/WeightsAgent.java
+++ b/daemon/src/main/java/org/bankturn/daemon/weights/WeightsAgent.java
@@ -245,7 +245,7 @@
         long now = context.clock().millis();
         long named = publishedMillis.getOrDefault(version, now);
         ChangeSchedule schedule = ChangeSchedule.within(settings.deadlineMillis(), changeMethod());
-        return named + schedule.turnMillis(settings.nodeAddress().toString(), boxes(), now - named);
+        return named + schedule.startMillis(settings.nodeAddress().toString(), boxes(), now - named);
     }
 
     /** Returns AT_ONCE if aborted requests can resume at another target, since draining would then only cost capacity. */
