--- a/core/src/main/java/org/bankturn/weights/VersionPriority.java
+++ b/core/src/main/java/org/bankturn/weights/VersionPriority.java
@@ -20,7 +20,7 @@
      *
      * @param shareHere the share of the older version that is here, 0 to 1
      */
-    public static boolean finishesOlder(double shareHere) {
+    public static boolean shouldFinishOlder(double shareHere) {
         return shareHere > WELL_UNDER_WAY_SHARE;
     }
 }
--- a/daemon/src/main/java/org/bankturn/daemon/weights/FetchScheduler.java
+++ b/daemon/src/main/java/org/bankturn/daemon/weights/FetchScheduler.java
@@ -43,7 +43,7 @@
             return false;
         }
         return one.version() < other.version()
-                ? VersionPriority.finishesOlder(one.fetchedShare())
-                : !VersionPriority.finishesOlder(other.fetchedShare());
+                ? VersionPriority.shouldFinishOlder(one.fetchedShare())
+                : !VersionPriority.shouldFinishOlder(other.fetchedShare());
     }
 }
--- a/daemon/src/main/java/org/bankturn/daemon/weights/WeightsCopy.java
+++ b/daemon/src/main/java/org/bankturn/daemon/weights/WeightsCopy.java
@@ -78,7 +78,7 @@
 
     /** Returns true if enough pieces are available that a newer version should wait for this one. */
     boolean hasSubstantialProgress() {
-        return manifest != null && VersionPriority.finishesOlder((double) availablePieces() / pieces.length);
+        return manifest != null && VersionPriority.shouldFinishOlder((double) availablePieces() / pieces.length);
     }
 
     private int availablePieces() {
