--- a/core/src/main/java/org/bankturn/weights/PieceRouting.java
+++ b/core/src/main/java/org/bankturn/weights/PieceRouting.java
@@ -114,7 +114,7 @@
     }
 
     /** Returns true if this box is the one that fetches a piece into its data hall. */
-    public boolean fetchesIntoHall(int piece) {
+    public boolean isHallFetcher(int piece) {
         return hallFetcher(piece, self.dataHall(), 0).filter(this::isSelf).isPresent();
     }
 
--- a/core/src/test/java/org/bankturn/weights/PieceRoutingTest.java
+++ b/core/src/test/java/org/bankturn/weights/PieceRoutingTest.java
@@ -193,7 +193,7 @@
             int fetchers = 0;
             for (WeightsPeer relay : relays) {
                 PieceRouting plan = PieceRouting.of(relay, relays, VERSION, FETCHERS);
-                boolean fetches = plan.fetchesIntoHall(piece);
+                boolean fetches = plan.isHallFetcher(piece);
                 fetchers += fetches ? 1 : 0;
                 fromOrigin += fetches && plan.sourceOf(piece, Set.of()) instanceof PieceSource.Origin ? 1 : 0;
             }
@@ -215,7 +215,7 @@
                         .filter(each -> each.box().equals(asked.box()))
                         .findFirst()
                         .orElseThrow();
-                assertThat(PieceRouting.of(relay, relays, VERSION, FETCHERS).fetchesIntoHall(piece))
+                assertThat(PieceRouting.of(relay, relays, VERSION, FETCHERS).isHallFetcher(piece))
                         .isTrue();
             }
         }
--- a/daemon/src/main/java/org/bankturn/daemon/weights/WeightsRelay.java
+++ b/daemon/src/main/java/org/bankturn/daemon/weights/WeightsRelay.java
@@ -191,7 +191,7 @@
 
         @Override
         public boolean wants(PieceRouting plan, int piece) {
-            return plan.fetchesIntoHall(piece);
+            return plan.isHallFetcher(piece);
         }
 
         @Override
--- a/daemon/src/test/java/org/bankturn/daemon/weights/ScriptedBox.java
+++ b/daemon/src/test/java/org/bankturn/daemon/weights/ScriptedBox.java
@@ -107,7 +107,7 @@
 
     @Override
     public boolean wants(int version, int piece) {
-        return !relay || routing(version).fetchesIntoHall(piece);
+        return !relay || routing(version).isHallFetcher(piece);
     }
 
     @Override
