--- a/core/src/main/java/org/bankturn/weights/PieceRouting.java
+++ b/core/src/main/java/org/bankturn/weights/PieceRouting.java
@@ -109,7 +109,7 @@
      *
      * @param others these boxes, not null
      */
-    public PieceRouting withHoldersAmong(List<WeightsPeer> others) {
+    public PieceRouting withPossibleHolders(List<WeightsPeer> others) {
         return new PieceRouting(self, boxes, version, mostFetchers, others, relayPlan);
     }
 
--- a/core/src/test/java/org/bankturn/weights/PieceRoutingTest.java
+++ b/core/src/test/java/org/bankturn/weights/PieceRoutingTest.java
@@ -225,7 +225,7 @@
     void a_relay_asks_a_box_of_its_hall_that_holds_the_version() {
         List<WeightsPeer> relays = relays(2);
         List<PieceSource> sources = PieceRouting.of(relays.get(0), relays, VERSION, FETCHERS)
-                .withHoldersAmong(boxes(4, VERSION))
+                .withPossibleHolders(boxes(4, VERSION))
                 .sourcesOf(7);
         assertThat(sources.get(0)).isInstanceOfSatisfying(PieceSource.Neighbour.class, neighbour -> {
             assertThat(neighbour.box()).startsWith("north-");
--- a/daemon/src/main/java/org/bankturn/daemon/weights/WeightsRelay.java
+++ b/daemon/src/main/java/org/bankturn/daemon/weights/WeightsRelay.java
@@ -186,7 +186,7 @@
             Set<WeightsPeer> relays = new LinkedHashSet<>(peers.relays());
             relays.add(self);
             return PieceRouting.of(self, List.copyOf(relays), version, peers.originConnections())
-                    .withHoldersAmong(peers.boxesOf(service));
+                    .withPossibleHolders(peers.boxesOf(service));
         }
 
         @Override
--- a/daemon/src/test/java/org/bankturn/daemon/weights/ScriptedBox.java
+++ b/daemon/src/test/java/org/bankturn/daemon/weights/ScriptedBox.java
@@ -89,7 +89,7 @@
     public PieceRouting routing(int version) {
         List<WeightsPeer> relays = holders(true);
         return relay
-                ? PieceRouting.of(self, relays, version, FETCHERS).withHoldersAmong(holders(false))
+                ? PieceRouting.of(self, relays, version, FETCHERS).withPossibleHolders(holders(false))
                 : PieceRouting.of(self, holders(false), version, FETCHERS).withRelays(relays);
     }
 
