--- a/core/src/main/java/org/bankturn/weights/PieceRouting.java
+++ b/core/src/main/java/org/bankturn/weights/PieceRouting.java
@@ -184,7 +184,7 @@
      * @param piece the piece
      * @param turn how often a box was asked besides
      */
-    public Optional<PieceSource.Neighbour> alternate(int piece, int turn) {
+    public Optional<PieceSource.Neighbour> alternateNeighbour(int piece, int turn) {
         List<WeightsPeer> others =
                 boxesOf(self.dataHall()).stream().filter(this::isOther).toList();
         return dealt(piece + turn, others).map(this::neighbour);
--- a/daemon/src/main/java/org/bankturn/daemon/weights/PieceFetcher.java
+++ b/daemon/src/main/java/org/bankturn/daemon/weights/PieceFetcher.java
@@ -230,7 +230,7 @@
     }
 
     private Optional<Neighbour> alternate(int piece, int attempt) {
-        return routing().alternate(piece, attempt).filter(neighbour -> !neighbours.isAvoided(neighbour.box()));
+        return routing().alternateNeighbour(piece, attempt).filter(neighbour -> !neighbours.isAvoided(neighbour.box()));
     }
 
     // ---- transfers
