--- a/core/src/main/java/org/bankturn/weights/PieceSource.java
+++ b/core/src/main/java/org/bankturn/weights/PieceSource.java
@@ -11,5 +11,5 @@
      * @param box the box, not null
      * @param holds true if it is thought to hold the version already, so that waiting there makes no sense
      */
-    record Neighbour(String box, boolean holds) implements PieceSource {}
+    record Neighbour(String box, boolean holdsVersion) implements PieceSource {}
 }
--- a/core/src/test/java/org/bankturn/weights/PieceRoutingTest.java
+++ b/core/src/test/java/org/bankturn/weights/PieceRoutingTest.java
@@ -229,7 +229,7 @@
                 .sourcesOf(7);
         assertThat(sources.get(0)).isInstanceOfSatisfying(PieceSource.Neighbour.class, neighbour -> {
             assertThat(neighbour.box()).startsWith("north-");
-            assertThat(neighbour.holds()).isTrue();
+            assertThat(neighbour.holdsVersion()).isTrue();
         });
     }
 
@@ -257,7 +257,7 @@
             List<PieceSource> sources =
                     PieceRouting.of(box, boxes, VERSION, FETCHERS).sourcesOf(PieceRouting.MANIFEST);
             assertThat(sources)
-                    .noneMatch(source -> source instanceof PieceSource.Neighbour neighbour && neighbour.holds());
+                    .noneMatch(source -> source instanceof PieceSource.Neighbour neighbour && neighbour.holdsVersion());
         }
     }
 
--- a/daemon/src/main/java/org/bankturn/daemon/weights/PieceFetcher.java
+++ b/daemon/src/main/java/org/bankturn/daemon/weights/PieceFetcher.java
@@ -184,7 +184,7 @@
     }
 
     private void fetchFrom(Neighbour neighbour, int piece, int waits) {
-        if (neighbour.holds()) {
+        if (neighbour.holdsVersion()) {
             enqueueTransfer(new PendingTransfer(piece, neighbour));
         } else {
             await(piece, waits, neighbour);
@@ -256,7 +256,7 @@
         while (iterator.hasNext() && neighbours.totalTransfers() < limit) {
             PendingTransfer transfer = iterator.next();
             Set<PieceSource> excluded = failed.containsKey(transfer.piece()) ? excludedFor(transfer.piece()) : avoided;
-            Neighbour from = transfer.from().holds() ? leastLoadedHolder(transfer, excluded) : transfer.from();
+            Neighbour from = transfer.from().holdsVersion() ? leastLoadedHolder(transfer, excluded) : transfer.from();
             if (!isNeeded(transfer.piece())) {
                 iterator.remove();
             } else if (excluded.contains(from)) {
@@ -300,7 +300,7 @@
                 logFailure(transfer.piece(), box, "transfer failed: " + failure.getMessage());
                 neighbours.avoid(box);
                 fetch(transfer.piece(), 0);
-            } else if (bytes == null && transfer.from().holds()) {
+            } else if (bytes == null && transfer.from().holdsVersion()) {
                 logFailure(transfer.piece(), box, "not held");
                 neighbours.markEmpty(box);
                 fetch(transfer.piece(), 0);
