--- a/core/src/main/java/org/bankturn/distribution/OriginBudget.java
+++ b/core/src/main/java/org/bankturn/distribution/OriginBudget.java
@@ -128,7 +128,7 @@
      * @param failed the chunks that did not arrive or did not match, which may be granted again, not null
      * @param nowMillis the leader's time
      */
-    public void ended(BitSet kept, BitSet failed, long nowMillis) {
+    public void completeGrants(BitSet kept, BitSet failed, long nowMillis) {
         kept.stream().filter(underWay::get).forEach(chunk -> {
             long took = nowMillis - grantedMillis[chunk];
             usualMillis += (took - usualMillis) / SMOOTHING;
--- a/core/src/main/java/org/bankturn/state/ReplicatedState.java
+++ b/core/src/main/java/org/bankturn/state/ReplicatedState.java
@@ -259,7 +259,7 @@
     private CommandResult grantOrigin(Command.GrantOrigin grant) {
         OriginBudget budget =
                 originBudgets.computeIfAbsent(grant.manifest(), manifest -> OriginBudget.ofChunks(grant.chunkCount()));
-        budget.ended(BitSet.valueOf(grant.kept()), BitSet.valueOf(grant.failed()), grant.nowMillis());
+        budget.completeGrants(BitSet.valueOf(grant.kept()), BitSet.valueOf(grant.failed()), grant.nowMillis());
         return new CommandResult.OriginGranted(budget.grant(grant.request()));
     }
 }
--- a/core/src/test/java/org/bankturn/distribution/DistributionTest.java
+++ b/core/src/test/java/org/bankturn/distribution/DistributionTest.java
@@ -105,7 +105,7 @@
         OriginBudget budget = OriginBudget.ofChunks(8);
         assertThat(grant(budget, bits(8), 5, 0)).hasSize(5);
         assertThat(grant(budget, bits(8), 5, 1)).hasSize(3);
-        budget.ended(bits(8), new BitSet(), 2);
+        budget.completeGrants(bits(8), new BitSet(), 2);
         long later = 10 * OriginBudget.REPAIR_MILLIS;
         assertThat(grant(budget, bits(8), 5, later)).isEmpty();
         assertThat(budget.hasGrantFor(request(bits(8), 1, DistributionPolicy.ORIGIN_BYTES, later)))
@@ -120,7 +120,7 @@
         kept.set(0);
         BitSet failed = new BitSet();
         failed.set(1);
-        budget.ended(kept, failed, 10);
+        budget.completeGrants(kept, failed, 10);
         assertThat(grant(budget, bits(2), 5, 20)).containsExactly(1);
         assertThat(grant(budget, bits(1), 5, 20 + OriginBudget.REPAIR_MILLIS)).containsExactly(0);
         assertThat(budget.grantedCopies()).isEqualTo(4.0 / 8);
@@ -132,7 +132,7 @@
             OriginBudget budget = OriginBudget.ofChunks(8);
             for (int round = 0; round < 100; round++) {
                 budget.grant(request(bits(8), 8, policy, round * OriginBudget.REPAIR_MILLIS));
-                budget.ended(new BitSet(), bits(8), round * OriginBudget.REPAIR_MILLIS);
+                budget.completeGrants(new BitSet(), bits(8), round * OriginBudget.REPAIR_MILLIS);
                 budget = OriginBudget.restore(budget.save());
             }
             assertThat(budget.grantedCopies()).isEqualTo(DistributionPolicy.MAXIMUM_ORIGIN_COPIES);
@@ -145,7 +145,7 @@
         List<Integer> first = grant(budget, bits(100), 100, 0);
         assertThat(first).hasSize(OriginBudget.MOST_UNDER_WAY);
         assertThat(grant(budget, bits(100), 1, 1)).isEmpty();
-        budget.ended(bits(100), new BitSet(), 30_000);
+        budget.completeGrants(bits(100), new BitSet(), 30_000);
         grant(budget, bits(100), 100, 30_000);
         assertThat(grant(budget, bits(100), 1, 30_000 + 2 * OriginBudget.REPAIR_MILLIS))
                 .isEmpty();
--- a/standins/src/main/java/org/bankturn/bench/FakeLinkRun.java
+++ b/standins/src/main/java/org/bankturn/bench/FakeLinkRun.java
@@ -205,7 +205,7 @@
             BitSet failed = new BitSet();
             (ending == TransferOutcome.KEPT ? kept : failed).set(chunk);
             if (box.alive) {
-                budget.ended(kept, failed, (long) (received * MILLIS));
+                budget.completeGrants(kept, failed, (long) (received * MILLIS));
             }
             box.planner.originEnded(chunk, ending);
             keep(box, chunk, ending, received);
