--- a/core/src/main/java/org/bankturn/distribution/OriginBudget.java
+++ b/core/src/main/java/org/bankturn/distribution/OriginBudget.java
@@ -99,7 +99,7 @@
     // ---- queries
 
     /** Returns what a snapshot keeps, not null. */
-    public Snapshot save() {
+    public Snapshot snapshot() {
         return new Snapshot(
                 grants.clone(), grantedMillis.clone(), holders.clone(), underWay.toLongArray(), usualMillis);
     }
--- a/core/src/main/java/org/bankturn/state/ReplicatedState.java
+++ b/core/src/main/java/org/bankturn/state/ReplicatedState.java
@@ -131,7 +131,7 @@
     /** Returns the whole state, encoded, not null. */
     public byte[] snapshot() {
         Map<String, OriginBudget.Snapshot> budgets = new HashMap<>();
-        originBudgets.forEach((manifest, budget) -> budgets.put(manifest, budget.save()));
+        originBudgets.forEach((manifest, budget) -> budgets.put(manifest, budget.snapshot()));
         return MessagePackCodec.instance()
                 .encode(new Saved(
                         configuration.index(),
--- a/core/src/test/java/org/bankturn/distribution/DistributionTest.java
+++ b/core/src/test/java/org/bankturn/distribution/DistributionTest.java
@@ -133,7 +133,7 @@
             for (int round = 0; round < 100; round++) {
                 budget.grant(request(bits(8), 8, policy, round * OriginBudget.REPAIR_MILLIS));
                 budget.completeGrants(new BitSet(), bits(8), round * OriginBudget.REPAIR_MILLIS);
-                budget = OriginBudget.restore(budget.save());
+                budget = OriginBudget.restore(budget.snapshot());
             }
             assertThat(budget.grantedCopies()).isEqualTo(DistributionPolicy.MAXIMUM_ORIGIN_COPIES);
         }
