--- a/core/src/main/java/org/bankturn/distribution/OriginBudget.java
+++ b/core/src/main/java/org/bankturn/distribution/OriginBudget.java
@@ -16,7 +16,7 @@
  */
 public final class OriginBudget {
     /** Grants under way at a time: enough to fill the origin's link, few enough that none waits long in its queue. */
-    public static final int MOST_UNDER_WAY = 12;
+    public static final int MAX_GRANTS_IN_FLIGHT = 12;
 
     /** A grant counts as lost after this long at least, or after several times as long as grants take. */
     public static final long REPAIR_MILLIS = 4_000;
@@ -167,7 +167,7 @@
     private boolean hasRoom(long nowMillis) {
         long live =
                 underWay.stream().filter(chunk -> !isOverdue(chunk, nowMillis)).count();
-        return live < MOST_UNDER_WAY && total < grants.length * DistributionPolicy.MAXIMUM_ORIGIN_COPIES;
+        return live < MAX_GRANTS_IN_FLIGHT && total < grants.length * DistributionPolicy.MAXIMUM_ORIGIN_COPIES;
     }
 
     private boolean isOverdue(int chunk, long nowMillis) {
--- a/core/src/test/java/org/bankturn/distribution/DistributionTest.java
+++ b/core/src/test/java/org/bankturn/distribution/DistributionTest.java
@@ -143,7 +143,7 @@
     void grants_keep_to_what_the_link_of_the_origin_carries_and_a_slow_origin_is_not_taken_for_a_lost_box() {
         OriginBudget budget = OriginBudget.ofChunks(100);
         List<Integer> first = grant(budget, bits(100), 100, 0);
-        assertThat(first).hasSize(OriginBudget.MOST_UNDER_WAY);
+        assertThat(first).hasSize(OriginBudget.MAX_GRANTS_IN_FLIGHT);
         assertThat(grant(budget, bits(100), 1, 1)).isEmpty();
         budget.completeGrants(bits(100), new BitSet(), 30_000);
         grant(budget, bits(100), 100, 30_000);
