--- a/core/src/main/java/org/bankturn/distribution/OriginBudget.java
+++ b/core/src/main/java/org/bankturn/distribution/OriginBudget.java
@@ -19,7 +19,7 @@
     public static final int MAX_GRANTS_IN_FLIGHT = 12;
 
     /** A grant counts as lost after this long at least, or after several times as long as grants take. */
-    public static final long REPAIR_MILLIS = 4_000;
+    public static final long MIN_GRANT_TIMEOUT_MILLIS = 4_000;
 
     private static final int REPAIR_FACTOR = 4;
     private static final int SMOOTHING = 8;
@@ -171,7 +171,7 @@
     }
 
     private boolean isOverdue(int chunk, long nowMillis) {
-        long limit = Math.max(REPAIR_MILLIS, REPAIR_FACTOR * usualMillis);
+        long limit = Math.max(MIN_GRANT_TIMEOUT_MILLIS, REPAIR_FACTOR * usualMillis);
         return nowMillis - grantedMillis[chunk] >= limit;
     }
 
--- a/core/src/test/java/org/bankturn/distribution/DistributionTest.java
+++ b/core/src/test/java/org/bankturn/distribution/DistributionTest.java
@@ -106,7 +106,7 @@
         assertThat(grant(budget, bits(8), 5, 0)).hasSize(5);
         assertThat(grant(budget, bits(8), 5, 1)).hasSize(3);
         budget.completeGrants(bits(8), new BitSet(), 2);
-        long later = 10 * OriginBudget.REPAIR_MILLIS;
+        long later = 10 * OriginBudget.MIN_GRANT_TIMEOUT_MILLIS;
         assertThat(grant(budget, bits(8), 5, later)).isEmpty();
         assertThat(budget.hasGrantFor(request(bits(8), 1, DistributionPolicy.ORIGIN_BYTES, later)))
                 .isFalse();
@@ -122,7 +122,8 @@
         failed.set(1);
         budget.completeGrants(kept, failed, 10);
         assertThat(grant(budget, bits(2), 5, 20)).containsExactly(1);
-        assertThat(grant(budget, bits(1), 5, 20 + OriginBudget.REPAIR_MILLIS)).containsExactly(0);
+        assertThat(grant(budget, bits(1), 5, 20 + OriginBudget.MIN_GRANT_TIMEOUT_MILLIS))
+                .containsExactly(0);
         assertThat(budget.grantedCopies()).isEqualTo(4.0 / 8);
     }
 
@@ -131,8 +132,8 @@
         for (DistributionPolicy policy : DistributionPolicy.values()) {
             OriginBudget budget = OriginBudget.ofChunks(8);
             for (int round = 0; round < 100; round++) {
-                budget.grant(request(bits(8), 8, policy, round * OriginBudget.REPAIR_MILLIS));
-                budget.completeGrants(new BitSet(), bits(8), round * OriginBudget.REPAIR_MILLIS);
+                budget.grant(request(bits(8), 8, policy, round * OriginBudget.MIN_GRANT_TIMEOUT_MILLIS));
+                budget.completeGrants(new BitSet(), bits(8), round * OriginBudget.MIN_GRANT_TIMEOUT_MILLIS);
                 budget = OriginBudget.restore(budget.snapshot());
             }
             assertThat(budget.grantedCopies()).isEqualTo(DistributionPolicy.MAXIMUM_ORIGIN_COPIES);
@@ -147,7 +148,7 @@
         assertThat(grant(budget, bits(100), 1, 1)).isEmpty();
         budget.completeGrants(bits(100), new BitSet(), 30_000);
         grant(budget, bits(100), 100, 30_000);
-        assertThat(grant(budget, bits(100), 1, 30_000 + 2 * OriginBudget.REPAIR_MILLIS))
+        assertThat(grant(budget, bits(100), 1, 30_000 + 2 * OriginBudget.MIN_GRANT_TIMEOUT_MILLIS))
                 .isEmpty();
     }
 
