--- a/core/src/main/java/org/bankturn/distribution/NeighbourSelector.java
+++ b/core/src/main/java/org/bankturn/distribution/NeighbourSelector.java
@@ -27,7 +27,7 @@
      * @param allowed every box that may hold the same weights, not null
      * @return the neighbours, without {@code self}, not null
      */
-    public static List<Box> choose(Box self, List<Box> allowed) {
+    public static List<Box> select(Box self, List<Box> allowed) {
         List<Box> own = new ArrayList<>();
         List<Box> other = new ArrayList<>();
         for (Box box : allowed) {
