--- a/core/src/main/java/org/bankturn/distribution/NeighbourSelector.java
+++ b/core/src/main/java/org/bankturn/distribution/NeighbourSelector.java
@@ -13,7 +13,7 @@
  */
 public final class NeighbourSelector {
     /** Neighbours in the own hall, at most. */
-    public static final int OWN_HALL = 10;
+    public static final int MAX_IN_OWN_HALL = 10;
 
     /** Neighbours in other halls, at most. */
     public static final int OTHER_HALLS = 3;
@@ -38,7 +38,7 @@
         Random random = new Random(self.name().hashCode());
         Collections.shuffle(own, random);
         Collections.shuffle(other, random);
-        List<Box> chosen = new ArrayList<>(own.subList(0, Math.min(OWN_HALL, own.size())));
+        List<Box> chosen = new ArrayList<>(own.subList(0, Math.min(MAX_IN_OWN_HALL, own.size())));
         chosen.addAll(other.subList(0, Math.min(OTHER_HALLS, other.size())));
         return chosen;
     }
--- a/standins/src/main/java/org/bankturn/bench/FakeLinkRun.java
+++ b/standins/src/main/java/org/bankturn/bench/FakeLinkRun.java
@@ -94,7 +94,7 @@
         List<FakeBox> others = new ArrayList<>(boxes);
         others.remove(box);
         Collections.shuffle(others, random);
-        box.neighbours.addAll(others.subList(0, Math.min(NeighbourSelector.OWN_HALL, others.size())));
+        box.neighbours.addAll(others.subList(0, Math.min(NeighbourSelector.MAX_IN_OWN_HALL, others.size())));
         box.neighbours.forEach(neighbour -> neighbour.followers.add(box));
     }
 
