--- a/core/src/main/java/org/bankturn/distribution/NeighbourSelector.java
+++ b/core/src/main/java/org/bankturn/distribution/NeighbourSelector.java
@@ -16,7 +16,7 @@
     public static final int MAX_IN_OWN_HALL = 10;
 
     /** Neighbours in other halls, at most. */
-    public static final int OTHER_HALLS = 3;
+    public static final int MAX_IN_OTHER_HALLS = 3;
 
     private NeighbourSelector() {}
 
@@ -39,7 +39,7 @@
         Collections.shuffle(own, random);
         Collections.shuffle(other, random);
         List<Box> chosen = new ArrayList<>(own.subList(0, Math.min(MAX_IN_OWN_HALL, own.size())));
-        chosen.addAll(other.subList(0, Math.min(OTHER_HALLS, other.size())));
+        chosen.addAll(other.subList(0, Math.min(MAX_IN_OTHER_HALLS, other.size())));
         return chosen;
     }
 }
