--- a/core/src/main/java/org/bankturn/distribution/ChunkPlanner.java
+++ b/core/src/main/java/org/bankturn/distribution/ChunkPlanner.java
@@ -130,7 +130,7 @@
      * @param nowMillis the box's time
      * @return the transfer, empty if no usable neighbour holds a missing chunk
      */
-    public Optional<Transfer> next(long nowMillis) {
+    public Optional<Transfer> nextTransfer(long nowMillis) {
         BitSet missing = missing();
         int start = missing.isEmpty() ? 0 : random.nextInt(chunkCount);
         int rarest = -1;
--- a/core/src/test/java/org/bankturn/distribution/DistributionTest.java
+++ b/core/src/test/java/org/bankturn/distribution/DistributionTest.java
@@ -157,16 +157,16 @@
         ChunkPlanner planner = planner(4);
         planner.neighbourHolds("one", bits(4));
         planner.neighbourHolds("two", bits(3));
-        Transfer first = planner.next(0).orElseThrow();
+        Transfer first = planner.nextTransfer(0).orElseThrow();
         assertThat(first).isEqualTo(new Transfer(3, "one"));
         List<Transfer> rest = new ArrayList<>();
-        planner.next(0).ifPresent(rest::add);
-        planner.next(0).ifPresent(rest::add);
-        planner.next(0).ifPresent(rest::add);
+        planner.nextTransfer(0).ifPresent(rest::add);
+        planner.nextTransfer(0).ifPresent(rest::add);
+        planner.nextTransfer(0).ifPresent(rest::add);
         assertThat(rest).hasSize(3);
         assertThat(rest.stream().filter(transfer -> transfer.neighbour().equals("one")))
                 .hasSize(1);
-        assertThat(planner.next(0)).isEmpty();
+        assertThat(planner.nextTransfer(0)).isEmpty();
     }
 
     @Test
@@ -174,10 +174,10 @@
         ChunkPlanner planner = planner(8);
         planner.neighbourHolds("bad", bits(8));
         for (int time = 0; time < ChunkPlanner.CORRUPT_LIMIT; time++) {
-            planner.ended(planner.next(0).orElseThrow(), TransferOutcome.CORRUPT, 0);
+            planner.ended(planner.nextTransfer(0).orElseThrow(), TransferOutcome.CORRUPT, 0);
         }
         planner.neighbourHolds("bad", bits(8));
-        assertThat(planner.next(0)).isEmpty();
+        assertThat(planner.nextTransfer(0)).isEmpty();
         assertThat(planner.unreachable()).isEqualTo(bits(8));
     }
 
@@ -185,11 +185,11 @@
     void a_neighbour_whose_link_is_taken_is_left_alone_for_a_while() {
         ChunkPlanner planner = planner(4);
         planner.neighbourHolds("busy", bits(4));
-        planner.ended(planner.next(0).orElseThrow(), TransferOutcome.BUSY, 0);
-        assertThat(planner.next(0)).isEmpty();
+        planner.ended(planner.nextTransfer(0).orElseThrow(), TransferOutcome.BUSY, 0);
+        assertThat(planner.nextTransfer(0)).isEmpty();
         planner.neighbourHolds("free", bits(1));
-        assertThat(planner.next(1)).contains(new Transfer(0, "free"));
-        assertThat(planner.next(ChunkPlanner.BUSY_MILLIS)).isPresent();
+        assertThat(planner.nextTransfer(1)).contains(new Transfer(0, "free"));
+        assertThat(planner.nextTransfer(ChunkPlanner.BUSY_MILLIS)).isPresent();
     }
 
     private static ChunkPlanner planner(int chunks) {
--- a/daemon/src/main/java/org/bankturn/daemon/target/VersionCopy.java
+++ b/daemon/src/main/java/org/bankturn/daemon/target/VersionCopy.java
@@ -205,7 +205,7 @@
             return;
         }
         while (transfers < TRANSFERS_AT_ONCE) {
-            Optional<Transfer> next = planner.next(context.clock().millis());
+            Optional<Transfer> next = planner.nextTransfer(context.clock().millis());
             if (next.isEmpty()) {
                 break;
             }
--- a/standins/src/main/java/org/bankturn/bench/FakeLinkRun.java
+++ b/standins/src/main/java/org/bankturn/bench/FakeLinkRun.java
@@ -145,7 +145,7 @@
             return;
         }
         while (box.transfers < AT_ONCE) {
-            var next = box.planner.next((long) (now * MILLIS));
+            var next = box.planner.nextTransfer((long) (now * MILLIS));
             if (next.isEmpty()) {
                 break;
             }
