--- a/core/src/main/java/org/bankturn/distribution/ChunkPlanner.java
+++ b/core/src/main/java/org/bankturn/distribution/ChunkPlanner.java
@@ -107,7 +107,7 @@
      * @param name the neighbour, not null
      * @param holds its chunks, not null
      */
-    public void neighbourHolds(String name, BitSet holds) {
+    public void updateNeighbour(String name, BitSet holds) {
         Neighbour neighbour = neighbours.computeIfAbsent(name, key -> new Neighbour());
         neighbour.holds = (BitSet) holds.clone();
     }
--- a/core/src/test/java/org/bankturn/distribution/DistributionTest.java
+++ b/core/src/test/java/org/bankturn/distribution/DistributionTest.java
@@ -155,8 +155,8 @@
     @Test
     void the_rarest_chunk_goes_first_and_no_neighbour_is_asked_for_too_much() {
         ChunkPlanner planner = planner(4);
-        planner.neighbourHolds("one", bits(4));
-        planner.neighbourHolds("two", bits(3));
+        planner.updateNeighbour("one", bits(4));
+        planner.updateNeighbour("two", bits(3));
         Transfer first = planner.nextTransfer(0).orElseThrow();
         assertThat(first).isEqualTo(new Transfer(3, "one"));
         List<Transfer> rest = new ArrayList<>();
@@ -172,11 +172,11 @@
     @Test
     void a_neighbour_that_sends_corrupt_chunks_is_not_asked_again() {
         ChunkPlanner planner = planner(8);
-        planner.neighbourHolds("bad", bits(8));
+        planner.updateNeighbour("bad", bits(8));
         for (int time = 0; time < ChunkPlanner.CORRUPT_LIMIT; time++) {
             planner.ended(planner.nextTransfer(0).orElseThrow(), TransferOutcome.CORRUPT, 0);
         }
-        planner.neighbourHolds("bad", bits(8));
+        planner.updateNeighbour("bad", bits(8));
         assertThat(planner.nextTransfer(0)).isEmpty();
         assertThat(planner.unreachable()).isEqualTo(bits(8));
     }
@@ -184,10 +184,10 @@
     @Test
     void a_neighbour_whose_link_is_taken_is_left_alone_for_a_while() {
         ChunkPlanner planner = planner(4);
-        planner.neighbourHolds("busy", bits(4));
+        planner.updateNeighbour("busy", bits(4));
         planner.ended(planner.nextTransfer(0).orElseThrow(), TransferOutcome.BUSY, 0);
         assertThat(planner.nextTransfer(0)).isEmpty();
-        planner.neighbourHolds("free", bits(1));
+        planner.updateNeighbour("free", bits(1));
         assertThat(planner.nextTransfer(1)).contains(new Transfer(0, "free"));
         assertThat(planner.nextTransfer(ChunkPlanner.BUSY_MILLIS)).isPresent();
     }
--- a/daemon/src/main/java/org/bankturn/daemon/target/VersionCopy.java
+++ b/daemon/src/main/java/org/bankturn/daemon/target/VersionCopy.java
@@ -185,7 +185,7 @@
                 .ask(nodeAddress(neighbour), request, HOLDS_TIMEOUT_MILLIS)
                 .whenComplete((reply, failure) -> {
                     if (reply instanceof NodeReply.Holds holds) {
-                        planner.neighbourHolds(neighbour.name(), BitSet.valueOf(holds.chunks()));
+                        planner.updateNeighbour(neighbour.name(), BitSet.valueOf(holds.chunks()));
                         pump();
                         followHolds(neighbour, holds.count());
                     } else {
--- a/standins/src/main/java/org/bankturn/bench/FakeLinkRun.java
+++ b/standins/src/main/java/org/bankturn/bench/FakeLinkRun.java
@@ -228,7 +228,7 @@
                     now + NEWS_SECONDS,
                     () -> box.followers.forEach(follower -> {
                         if (box.alive) {
-                            follower.planner.neighbourHolds(box.name, box.held);
+                            follower.planner.updateNeighbour(box.name, box.held);
                             pump(follower, now + NEWS_SECONDS);
                         }
                     }));
--- a/standins/src/main/java/org/bankturn/bench/PartCosts.java
+++ b/standins/src/main/java/org/bankturn/bench/PartCosts.java
@@ -152,7 +152,7 @@
                 BitSet all = new BitSet();
                 all.set(0, chunks);
                 for (int neighbour = 0; neighbour < 13; neighbour++) {
-                    planner.neighbourHolds("box-" + neighbour, all);
+                    planner.updateNeighbour("box-" + neighbour, all);
                 }
                 while (!planner.isComplete()) {
                     planner.ended(planner.nextTransfer(0).orElseThrow(), ChunkPlanner.TransferOutcome.KEPT, 0);
