--- a/core/src/main/java/org/bankturn/distribution/ChunkPlanner.java
+++ b/core/src/main/java/org/bankturn/distribution/ChunkPlanner.java
@@ -117,7 +117,7 @@
      *
      * @param name the neighbour, not null
      */
-    public void neighbourLost(String name) {
+    public void clearNeighbour(String name) {
         Neighbour neighbour = neighbours.get(name);
         if (neighbour != null) {
             neighbour.holds = new BitSet();
--- a/daemon/src/main/java/org/bankturn/daemon/target/VersionCopy.java
+++ b/daemon/src/main/java/org/bankturn/daemon/target/VersionCopy.java
@@ -189,7 +189,7 @@
                         pump();
                         followHolds(neighbour, holds.count());
                     } else {
-                        planner.neighbourLost(neighbour.name());
+                        planner.clearNeighbour(neighbour.name());
                         Promises.delay(RETRY_MILLIS).whenResult(() -> followHolds(neighbour, -1));
                     }
                 });
--- a/standins/src/main/java/org/bankturn/bench/FakeLinkRun.java
+++ b/standins/src/main/java/org/bankturn/bench/FakeLinkRun.java
@@ -133,7 +133,7 @@
     private void die(FakeBox box) {
         box.alive = false;
         at(deathSeconds + SILENCE_SECONDS, () -> silent.add(box.name));
-        box.followers.forEach(follower -> follower.planner.neighbourLost(box.name));
+        box.followers.forEach(follower -> follower.planner.clearNeighbour(box.name));
     }
 
     private void at(double seconds, Runnable action) {
