--- a/core/src/main/java/org/bankturn/distribution/ChunkPlanner.java
+++ b/core/src/main/java/org/bankturn/distribution/ChunkPlanner.java
@@ -161,7 +161,7 @@
      *
      * @param chunk the chunk's number
      */
-    public void originBegun(int chunk) {
+    public void originFetchStarted(int chunk) {
         underway.set(chunk);
     }
 
--- a/daemon/src/main/java/org/bankturn/daemon/target/VersionCopy.java
+++ b/daemon/src/main/java/org/bankturn/daemon/target/VersionCopy.java
@@ -319,7 +319,7 @@
             return;
         }
         originDraws++;
-        planner.originBegun(chunk);
+        planner.originFetchStarted(chunk);
         context.origin()
                 .chunk(version.origin(), file.manifest(), chunk)
                 .then(bytes -> keep(chunk, bytes, "origin"), failure -> Promise.of(TransferOutcome.FAILED))
--- a/standins/src/main/java/org/bankturn/bench/FakeLinkRun.java
+++ b/standins/src/main/java/org/bankturn/bench/FakeLinkRun.java
@@ -194,7 +194,7 @@
 
     private void draw(FakeBox box, int chunk, double now) {
         box.draws++;
-        box.planner.originBegun(chunk);
+        box.planner.originFetchStarted(chunk);
         originFree = Math.max(originFree, now) + originSeconds;
         originChunks++;
         double received = Math.max(originFree, now + boxSeconds);
