--- a/core/src/main/java/org/bankturn/distribution/ChunkPlanner.java
+++ b/core/src/main/java/org/bankturn/distribution/ChunkPlanner.java
@@ -171,7 +171,7 @@
      * @param chunk the chunk's number
      * @param ending how it ended, not null
      */
-    public void originEnded(int chunk, TransferOutcome ending) {
+    public void originFetchEnded(int chunk, TransferOutcome ending) {
         end(chunk, ending);
     }
 
--- a/daemon/src/main/java/org/bankturn/daemon/target/VersionCopy.java
+++ b/daemon/src/main/java/org/bankturn/daemon/target/VersionCopy.java
@@ -327,7 +327,7 @@
                     originDraws--;
                     TransferOutcome known = failure == null ? ending : TransferOutcome.FAILED;
                     (known == TransferOutcome.KEPT ? originKept : originFailed).set(chunk);
-                    planner.originEnded(chunk, known);
+                    planner.originFetchEnded(chunk, known);
                     if (ending == TransferOutcome.CORRUPT && ++originCorrupt >= ORIGIN_CORRUPT_LIMIT) {
                         fail(new CopyStoppedException(ResultCode.ORIGIN_CORRUPT));
                         return;
--- a/standins/src/main/java/org/bankturn/bench/FakeLinkRun.java
+++ b/standins/src/main/java/org/bankturn/bench/FakeLinkRun.java
@@ -207,7 +207,7 @@
             if (box.alive) {
                 budget.completeGrants(kept, failed, (long) (received * MILLIS));
             }
-            box.planner.originEnded(chunk, ending);
+            box.planner.originFetchEnded(chunk, ending);
             keep(box, chunk, ending, received);
         });
     }
