--- a/core/src/main/java/org/bankturn/distribution/ChunkPlanner.java
+++ b/core/src/main/java/org/bankturn/distribution/ChunkPlanner.java
@@ -182,7 +182,7 @@
      * @param ending how it ended, not null
      * @param nowMillis the box's time
      */
-    public void ended(Transfer transfer, TransferOutcome ending, long nowMillis) {
+    public void transferEnded(Transfer transfer, TransferOutcome ending, long nowMillis) {
         Neighbour neighbour = neighbours.get(transfer.neighbour());
         neighbour.transfers--;
         if (ending == TransferOutcome.CORRUPT) {
--- a/core/src/test/java/org/bankturn/distribution/DistributionTest.java
+++ b/core/src/test/java/org/bankturn/distribution/DistributionTest.java
@@ -174,7 +174,7 @@
         ChunkPlanner planner = planner(8);
         planner.updateNeighbour("bad", bits(8));
         for (int time = 0; time < ChunkPlanner.CORRUPT_LIMIT; time++) {
-            planner.ended(planner.nextTransfer(0).orElseThrow(), TransferOutcome.CORRUPT, 0);
+            planner.transferEnded(planner.nextTransfer(0).orElseThrow(), TransferOutcome.CORRUPT, 0);
         }
         planner.updateNeighbour("bad", bits(8));
         assertThat(planner.nextTransfer(0)).isEmpty();
@@ -185,7 +185,7 @@
     void a_neighbour_whose_link_is_taken_is_left_alone_for_a_while() {
         ChunkPlanner planner = planner(4);
         planner.updateNeighbour("busy", bits(4));
-        planner.ended(planner.nextTransfer(0).orElseThrow(), TransferOutcome.BUSY, 0);
+        planner.transferEnded(planner.nextTransfer(0).orElseThrow(), TransferOutcome.BUSY, 0);
         assertThat(planner.nextTransfer(0)).isEmpty();
         planner.updateNeighbour("free", bits(1));
         assertThat(planner.nextTransfer(1)).contains(new Transfer(0, "free"));
--- a/daemon/src/main/java/org/bankturn/daemon/target/VersionCopy.java
+++ b/daemon/src/main/java/org/bankturn/daemon/target/VersionCopy.java
@@ -228,7 +228,7 @@
                 .then(reply -> receivedFromPeer(transfer.chunk(), reply), failure -> Promise.of(TransferOutcome.FAILED))
                 .whenComplete((ending, failure) -> {
                     TransferOutcome known = failure == null ? ending : TransferOutcome.FAILED;
-                    planner.ended(transfer, known, context.clock().millis());
+                    planner.transferEnded(transfer, known, context.clock().millis());
                     transfers--;
                     pump();
                     if (known == TransferOutcome.BUSY) {
--- a/standins/src/main/java/org/bankturn/bench/FakeLinkRun.java
+++ b/standins/src/main/java/org/bankturn/bench/FakeLinkRun.java
@@ -174,7 +174,7 @@
         box.transfers++;
         if (!sender.alive || sender.uplinkFree - now > MOST_BACKLOG_CHUNKS * boxSeconds) {
             TransferOutcome ending = sender.alive ? TransferOutcome.BUSY : TransferOutcome.FAILED;
-            box.planner.ended(transfer, ending, (long) (now * MILLIS));
+            box.planner.transferEnded(transfer, ending, (long) (now * MILLIS));
             box.transfers--;
             return;
         }
@@ -186,7 +186,7 @@
             at(received, () -> {
                 box.transfers--;
                 TransferOutcome ending = sender.alive ? ending() : TransferOutcome.FAILED;
-                box.planner.ended(transfer, ending, (long) (received * MILLIS));
+                box.planner.transferEnded(transfer, ending, (long) (received * MILLIS));
                 keep(box, transfer.chunk(), ending, received);
             });
         });
--- a/standins/src/main/java/org/bankturn/bench/PartCosts.java
+++ b/standins/src/main/java/org/bankturn/bench/PartCosts.java
@@ -155,7 +155,7 @@
                     planner.updateNeighbour("box-" + neighbour, all);
                 }
                 while (!planner.isComplete()) {
-                    planner.ended(planner.nextTransfer(0).orElseThrow(), ChunkPlanner.TransferOutcome.KEPT, 0);
+                    planner.transferEnded(planner.nextTransfer(0).orElseThrow(), ChunkPlanner.TransferOutcome.KEPT, 0);
                 }
             });
             out.addObject().put("chunks", chunks).put("chooseMicros", micros / chunks);
