--- a/core/src/main/java/org/bankturn/distribution/ChunkFile.java
+++ b/core/src/main/java/org/bankturn/distribution/ChunkFile.java
@@ -75,7 +75,7 @@
      * @return false if they are not the chunk's and were dropped
      * @throws IOException if they cannot be written
      */
-    public boolean keep(int chunk, byte[] bytes) throws IOException {
+    public boolean store(int chunk, byte[] bytes) throws IOException {
         if (!manifest.matches(chunk, bytes)) {
             return false;
         }
--- a/core/src/test/java/org/bankturn/distribution/DistributionTest.java
+++ b/core/src/test/java/org/bankturn/distribution/DistributionTest.java
@@ -51,9 +51,9 @@
     @Test
     void a_corrupt_chunk_is_neither_kept_nor_handed_out() throws IOException {
         try (ChunkFile file = ChunkFile.open(folder, manifest())) {
-            assertThat(file.keep(0, new byte[] {1, 2, 9})).isFalse();
+            assertThat(file.store(0, new byte[] {1, 2, 9})).isFalse();
             assertThat(file.read(0)).isNull();
-            assertThat(file.keep(0, chunk(0))).isTrue();
+            assertThat(file.store(0, chunk(0))).isTrue();
             assertThat(file.read(0)).containsExactly(1, 2, 3);
             assertThat(file.isComplete()).isFalse();
             assertThat(file.verifyWhole()).isFalse();
@@ -65,7 +65,7 @@
         Path path;
         try (ChunkFile file = ChunkFile.open(folder, manifest())) {
             for (int number = 0; number < 3; number++) {
-                file.keep(number, chunk(number));
+                file.store(number, chunk(number));
             }
             assertThat(file.verifyWhole()).isTrue();
             path = file.path();
@@ -82,7 +82,7 @@
     void damage_after_the_chunks_were_kept_is_found_before_the_copy_counts_as_whole() throws IOException {
         try (ChunkFile file = ChunkFile.open(folder, manifest())) {
             for (int number = 0; number < 3; number++) {
-                file.keep(number, chunk(number));
+                file.store(number, chunk(number));
             }
             byte[] damaged = Files.readAllBytes(file.path());
             damaged[0] = 99;
--- a/daemon/src/main/java/org/bankturn/daemon/target/VersionCopy.java
+++ b/daemon/src/main/java/org/bankturn/daemon/target/VersionCopy.java
@@ -251,7 +251,7 @@
     private Promise<TransferOutcome> keep(int chunk, byte[] bytes, String source) {
         long delay = context.download().arrivalDelayMillis(bytes.length);
         return Promises.delay(delay)
-                .then(nothing -> Promise.ofBlocking(context.files(), () -> file.keep(chunk, bytes)))
+                .then(nothing -> Promise.ofBlocking(context.files(), () -> file.store(chunk, bytes)))
                 .map(kept -> {
                     if (kept) {
                         context.telemetry().chunkKept(source, bytes.length);
