--- a/core/src/main/java/org/bankturn/distribution/ChunkFile.java
+++ b/core/src/main/java/org/bankturn/distribution/ChunkFile.java
@@ -21,7 +21,7 @@
     private final Manifest manifest;
     private final Path path;
     private final FileChannel channel;
-    private final BitSet kept = new BitSet();
+    private final BitSet storedChunks = new BitSet();
 
     /**
      * Opens the file of a version, making it if need be, and checks what is in it.
@@ -58,13 +58,13 @@
     }
 
     /** Returns the chunks that are kept, as a copy, not null. */
-    public synchronized BitSet kept() {
-        return (BitSet) kept.clone();
+    public synchronized BitSet storedChunks() {
+        return (BitSet) storedChunks.clone();
     }
 
     /** Returns true if every chunk is kept. */
     public synchronized boolean isComplete() {
-        return kept.cardinality() == manifest.chunkCount();
+        return storedChunks.cardinality() == manifest.chunkCount();
     }
 
     /**
@@ -81,7 +81,7 @@
         }
         synchronized (this) {
             write(manifest.offsetOf(chunk), bytes);
-            kept.set(chunk);
+            storedChunks.set(chunk);
         }
         return true;
     }
@@ -94,7 +94,7 @@
      * @throws IOException if it cannot be read
      */
     public synchronized byte[] read(int chunk) throws IOException {
-        return kept.get(chunk) ? readAt(chunk) : null;
+        return storedChunks.get(chunk) ? readAt(chunk) : null;
     }
 
     /**
@@ -118,7 +118,7 @@
      * @throws IOException if it cannot be deleted
      */
     public synchronized void delete() throws IOException {
-        kept.clear();
+        storedChunks.clear();
         channel.close();
         Files.deleteIfExists(path);
     }
@@ -129,11 +129,11 @@
     }
 
     private synchronized void checkAll() throws IOException {
-        kept.clear();
+        storedChunks.clear();
         for (int chunk = 0; chunk < manifest.chunkCount(); chunk++) {
             boolean present = channel.size() >= manifest.offsetOf(chunk) + manifest.sizeOf(chunk);
             if (present && manifest.matches(chunk, readAt(chunk))) {
-                kept.set(chunk);
+                storedChunks.set(chunk);
             }
         }
     }
--- a/core/src/test/java/org/bankturn/distribution/DistributionTest.java
+++ b/core/src/test/java/org/bankturn/distribution/DistributionTest.java
@@ -74,7 +74,7 @@
         damaged[4] = 99;
         Files.write(path, damaged);
         try (ChunkFile reopened = ChunkFile.open(folder, manifest())) {
-            assertThat(reopened.kept()).isEqualTo(BitSet.valueOf(new long[] {0b101}));
+            assertThat(reopened.storedChunks()).isEqualTo(BitSet.valueOf(new long[] {0b101}));
         }
     }
 
--- a/daemon/src/main/java/org/bankturn/daemon/target/ChunkServer.java
+++ b/daemon/src/main/java/org/bankturn/daemon/target/ChunkServer.java
@@ -86,12 +86,12 @@
 
     private int countOf(String manifest) {
         ChunkFile file = served.get(manifest);
-        return file == null ? 0 : file.kept().cardinality();
+        return file == null ? 0 : file.storedChunks().cardinality();
     }
 
     private NodeReply holdsReply(String manifest) {
         ChunkFile file = served.get(manifest);
-        BitSet kept = file == null ? new BitSet() : file.kept();
+        BitSet kept = file == null ? new BitSet() : file.storedChunks();
         return new NodeReply.Holds(kept.toLongArray(), kept.cardinality());
     }
 }
--- a/daemon/src/main/java/org/bankturn/daemon/target/VersionCopy.java
+++ b/daemon/src/main/java/org/bankturn/daemon/target/VersionCopy.java
@@ -171,7 +171,7 @@
     private ChunkPlanner newPlanner() {
         return ChunkPlanner.of(
                 file.manifest().chunkCount(),
-                file.kept(),
+                file.storedChunks(),
                 TRANSFERS_PER_NEIGHBOUR,
                 RandomSource.XO_RO_SHI_RO_128_PP.create());
     }
