--- a/core/src/main/java/org/bankturn/distribution/ChunkFile.java
+++ b/core/src/main/java/org/bankturn/distribution/ChunkFile.java
@@ -103,7 +103,7 @@
      * @return true if the copy is whole
      * @throws IOException if it cannot be read
      */
-    public synchronized boolean verifyWhole() throws IOException {
+    public synchronized boolean verifyAll() throws IOException {
         if (!isComplete()) {
             return false;
         }
--- a/core/src/test/java/org/bankturn/distribution/DistributionTest.java
+++ b/core/src/test/java/org/bankturn/distribution/DistributionTest.java
@@ -56,7 +56,7 @@
             assertThat(file.store(0, chunk(0))).isTrue();
             assertThat(file.read(0)).containsExactly(1, 2, 3);
             assertThat(file.isComplete()).isFalse();
-            assertThat(file.verifyWhole()).isFalse();
+            assertThat(file.verifyAll()).isFalse();
         }
     }
 
@@ -67,7 +67,7 @@
             for (int number = 0; number < 3; number++) {
                 file.store(number, chunk(number));
             }
-            assertThat(file.verifyWhole()).isTrue();
+            assertThat(file.verifyAll()).isTrue();
             path = file.path();
         }
         byte[] damaged = Files.readAllBytes(path);
@@ -87,7 +87,7 @@
             byte[] damaged = Files.readAllBytes(file.path());
             damaged[0] = 99;
             Files.write(file.path(), damaged);
-            assertThat(file.verifyWhole()).isFalse();
+            assertThat(file.verifyAll()).isFalse();
         }
     }
 
--- a/daemon/src/main/java/org/bankturn/daemon/target/VersionCopy.java
+++ b/daemon/src/main/java/org/bankturn/daemon/target/VersionCopy.java
@@ -343,7 +343,7 @@
             return;
         }
         verifying = true;
-        Promise.ofBlocking(context.files(), file::verifyWhole).whenComplete((isWhole, failure) -> {
+        Promise.ofBlocking(context.files(), file::verifyAll).whenComplete((isWhole, failure) -> {
             verifying = false;
             if (failure != null) {
                 fail(failure);
