--- a/core/src/main/java/org/bankturn/distribution/DistributionPolicy.java
+++ b/core/src/main/java/org/bankturn/distribution/DistributionPolicy.java
@@ -5,14 +5,14 @@
     /** Least time until N boxes serve: each chunk may be drawn from the origin by several boxes. */
     TIME_TO_REPLICAS {
         @Override
-        public int copiesOfChunk() {
+        public int maxCopiesPerChunk() {
             return 3;
         }
     },
     /** Least bytes from the origin: each chunk is drawn once, and again only if every holder was lost. */
     ORIGIN_BYTES {
         @Override
-        public int copiesOfChunk() {
+        public int maxCopiesPerChunk() {
             return 1;
         }
     };
@@ -21,5 +21,5 @@
     public static final int MAXIMUM_ORIGIN_COPIES = 4;
 
     /** Returns how many boxes may draw the same chunk from the origin when nothing fails. */
-    public abstract int copiesOfChunk();
+    public abstract int maxCopiesPerChunk();
 }
--- a/core/src/main/java/org/bankturn/distribution/OriginBudget.java
+++ b/core/src/main/java/org/bankturn/distribution/OriginBudget.java
@@ -190,7 +190,7 @@
         for (int chunk = unreachable.nextSetBit(0);
                 chunk >= 0 && chunk < grants.length;
                 chunk = unreachable.nextSetBit(chunk + 1)) {
-            boolean firstPass = grants[chunk] < request.policy().copiesOfChunk();
+            boolean firstPass = grants[chunk] < request.policy().maxCopiesPerChunk();
             boolean open = (firstPass || isLost(chunk, request)) && !taken.contains(chunk);
             if (open && (best < 0 || grants[chunk] < grants[best])) {
                 best = chunk;
