--- a/daemon/src/main/java/org/bankturn/daemon/weights/WeightsRelay.java
+++ b/daemon/src/main/java/org/bankturn/daemon/weights/WeightsRelay.java
@@ -106,7 +106,7 @@
     }
 
     /** Returns the versions of a model that are cached or being fetched, oldest first, not null. */
-    List<Integer> versionsKept(String model) {
+    List<Integer> cachedVersions(String model) {
         return List.copyOf(copies.getOrDefault(model, new TreeMap<>()).keySet());
     }
 
--- a/daemon/src/test/java/org/bankturn/daemon/weights/WeightsRelayTest.java
+++ b/daemon/src/test/java/org/bankturn/daemon/weights/WeightsRelayTest.java
@@ -78,7 +78,7 @@
             relay.update(published(100, 5));
             return Promise.of(true);
         });
-        assertThat(run(() -> Promise.of(relay.versionsKept(PlainWeightsDialect.MODEL))))
+        assertThat(run(() -> Promise.of(relay.cachedVersions(PlainWeightsDialect.MODEL))))
                 .containsExactly(5);
     }
 
@@ -90,7 +90,7 @@
             relay.update(published(100, 7));
             return await(3);
         });
-        assertThat(run(() -> Promise.of(relay.versionsKept(PlainWeightsDialect.MODEL))))
+        assertThat(run(() -> Promise.of(relay.cachedVersions(PlainWeightsDialect.MODEL))))
                 .containsExactly(6, 7);
     }
 
@@ -100,7 +100,7 @@
             relay.update(published(TOO_LARGE, 5));
             return Promise.of(true);
         });
-        assertThat(run(() -> Promise.of(relay.versionsKept(PlainWeightsDialect.MODEL))))
+        assertThat(run(() -> Promise.of(relay.cachedVersions(PlainWeightsDialect.MODEL))))
                 .isEmpty();
     }
 
