--- a/daemon/src/test/java/org/bankturn/daemon/weights/ScriptedOrigin.java
+++ b/daemon/src/test/java/org/bankturn/daemon/weights/ScriptedOrigin.java
@@ -32,7 +32,7 @@
         return pieces[piece];
     }
 
-    long sends(int piece) {
+    long sendCount(int piece) {
         return requests.stream().filter(("piece/" + piece)::equals).count();
     }
 
--- a/daemon/src/test/java/org/bankturn/daemon/weights/WeightsCopyTest.java
+++ b/daemon/src/test/java/org/bankturn/daemon/weights/WeightsCopyTest.java
@@ -45,7 +45,7 @@
         copyToAll();
         assertAllStaged();
         for (int piece = 0; piece < PIECES; piece++) {
-            assertThat(origin.sends(piece)).isEqualTo(1);
+            assertThat(origin.sendCount(piece)).isEqualTo(1);
         }
     }
 
@@ -73,7 +73,7 @@
         copyToAll();
         assertAllStaged();
         for (int piece = 0; piece < PIECES; piece++) {
-            assertThat(origin.sends(piece)).isLessThanOrEqualTo(2);
+            assertThat(origin.sendCount(piece)).isLessThanOrEqualTo(2);
         }
     }
 
@@ -84,7 +84,7 @@
         copyTo("north-1", "north-2", "south-1", "south-2");
         assertAllStaged("north-1", "north-2", "south-1", "south-2");
         for (int piece = 0; piece < PIECES; piece++) {
-            assertThat(origin.sends(piece)).isEqualTo(1);
+            assertThat(origin.sendCount(piece)).isEqualTo(1);
         }
         assertThat(boxes.get("north-1").awaitCounts.keySet()).containsExactlyInAnyOrder("north-8", "north-9");
     }
@@ -97,7 +97,7 @@
         copyTo("north-1", "south-1", "south-2");
         assertAllStaged("north-1", "south-1", "south-2");
         for (int piece = 0; piece < PIECES; piece++) {
-            assertThat(origin.sends(piece)).isLessThanOrEqualTo(2);
+            assertThat(origin.sendCount(piece)).isLessThanOrEqualTo(2);
         }
     }
 
