--- a/core/src/main/java/org/bankturn/weights/ChangeMethod.java
+++ b/core/src/main/java/org/bankturn/weights/ChangeMethod.java
@@ -1,11 +1,11 @@
 package org.bankturn.weights;
 
-/** What an engine does with the answers under way when it is told to take up other weights. */
+/** How an engine treats its active requests when it is ordered to change weights. */
 public enum ChangeMethod {
-    /** It ends them first and takes nothing new meanwhile, which takes as long as the longest answer. */
+    /** Completes active requests first and accepts no new ones meanwhile. */
     AFTER_ANSWERS(0.75),
 
-    /** It breaks them off and changes at once; whoever asked goes on elsewhere after the last event. */
+    /** Aborts active requests and changes immediately; callers resume at another target after the last event. */
     AT_ONCE(0.88);
 
     private final double latestStartShare;
@@ -15,10 +15,9 @@
     }
 
     /**
-     * Returns the share of the time allowed at which the last engine is told to change.
+     * Returns the share of the allowed time after which the last engine is ordered to change.
      *
-     * <p>What is left of 8 s is for answers of up to 2 s to end, or for weights that are staged to be loaded, which takes 0.3
-     * to 0.4 s, and for one more order if the first fails.
+     * <p>The rest is reserved for active requests to complete or for staged weights to load, and for one retry of the order.
      */
     double latestStartShare() {
         return latestStartShare;
--- a/core/src/main/java/org/bankturn/weights/PieceRouting.java
+++ b/core/src/main/java/org/bankturn/weights/PieceRouting.java
@@ -11,61 +11,61 @@
 import java.util.stream.Stream;
 
 /**
- * Says where one box fetches each piece of a version from.
+ * Determines from which source one box fetches each piece of a version.
  *
- * <p>Every box computes the same plan without talking. Pieces are dealt out in turn: each has one box that fetches it from
- * the origin, and in each other data hall one box that fetches it from there; the rest ask the box of their own hall. So
- * the origin sends one copy, each hall takes one in, and every box hands on about as much as it takes. Boxes that hold the
- * version already are asked first, and a source that failed is passed over by the attempt number.
+ * <p>Every box computes the same routing without coordination. Pieces are assigned round-robin: for each piece one box fetches
+ * it from the origin, one box in every other data hall fetches it from that box, and the rest fetch it from the assigned box
+ * of their own hall. So the origin sends one copy, each hall receives one copy, and every box uploads about as much as it
+ * downloads. Boxes that already hold the version are preferred, and failed sources are skipped.
  *
- * <p>Where there are relays, processes on wider links that keep pieces in memory, they deal the pieces out among
- * themselves by a plan of the same kind, and a box asks the relays of its own hall before anything else.
+ * <p>Relays are processes on faster links that cache pieces in memory. They partition the pieces among themselves by a routing
+ * of the same kind, and a box prefers the relays of its own hall to any other source.
  *
- * <p>PieceRouting is immutable and thread-safe.
+ * <p>This class is immutable and thread-safe.
  */
 public final class PieceRouting {
-    /** The number under which the manifest travels; a box that holds a version already may lack its manifest. */
+    /** The piece number of the manifest; a box that holds a version may lack its manifest. */
     public static final int MANIFEST = -1;
 
     private final WeightsPeer self;
     private final List<WeightsPeer> boxes;
     private final List<WeightsPeer> possibleHolders;
     private final int version;
-    private final int mostFetchers;
+    private final int maxFetchers;
     private final List<String> halls;
     private final Map<String, List<WeightsPeer>> boxesOfHall;
     private final List<WeightsPeer> holders;
     private final List<WeightsPeer> holdersNearby;
 
-    /** The plan that relays follow, as this box sees it; null if there are none. */
-    private final PieceRouting relayPlan;
+    /** The routing among the relays; null if there are none. */
+    private final PieceRouting relayRouting;
 
     /**
-     * Returns the plan of one box, not null.
+     * Returns the routing of one box, not null.
      *
      * @param self the box, not null
      * @param boxes all boxes that take part, not null
      * @param version the version that is distributed
-     * @param mostFetchers about how many boxes may fetch from the origin, which takes few connections
+     * @param maxFetchers the approximate limit of boxes that fetch from the origin, at least 1
      */
-    public static PieceRouting of(WeightsPeer self, List<WeightsPeer> boxes, int version, int mostFetchers) {
-        if (mostFetchers < 1) {
-            throw new IllegalArgumentException("fetchers must be 1 or more, not " + mostFetchers);
+    public static PieceRouting of(WeightsPeer self, List<WeightsPeer> boxes, int version, int maxFetchers) {
+        if (maxFetchers < 1) {
+            throw new IllegalArgumentException("maxFetchers must be positive: " + maxFetchers);
         }
-        return new PieceRouting(self, boxes, version, mostFetchers, boxes, null);
+        return new PieceRouting(self, boxes, version, maxFetchers, boxes, null);
     }
 
     private PieceRouting(
             WeightsPeer self,
             List<WeightsPeer> boxes,
             int version,
-            int mostFetchers,
+            int maxFetchers,
             List<WeightsPeer> possibleHolders,
-            PieceRouting relayPlan) {
+            PieceRouting relayRouting) {
         this.self = self;
         this.possibleHolders = List.copyOf(possibleHolders);
-        this.relayPlan = relayPlan;
-        this.mostFetchers = mostFetchers;
+        this.relayRouting = relayRouting;
+        this.maxFetchers = maxFetchers;
         this.version = version;
         this.boxes =
                 boxes.stream().sorted(Comparator.comparing(WeightsPeer::box)).toList();
@@ -79,53 +79,58 @@
     }
 
     /**
-     * Returns this plan as it is when some boxes hold nothing, whatever is published of them.
+     * Returns this routing with the given boxes not treated as holders of the version.
      *
-     * @param empty the names of these boxes, not null
+     * @param empty the names of the boxes that do not hold the version, not null
      */
     public PieceRouting withoutHolders(Set<String> empty) {
         return new PieceRouting(
-                self, emptied(boxes, empty), version, mostFetchers, emptied(possibleHolders, empty), relayPlan);
+                self,
+                withoutVersion(boxes, empty),
+                version,
+                maxFetchers,
+                withoutVersion(possibleHolders, empty),
+                relayRouting);
     }
 
-    private static List<WeightsPeer> emptied(List<WeightsPeer> some, Set<String> empty) {
-        return some.stream()
+    private static List<WeightsPeer> withoutVersion(List<WeightsPeer> candidates, Set<String> empty) {
+        return candidates.stream()
                 .map(box -> empty.contains(box.box()) ? new WeightsPeer(box.box(), box.dataHall(), 0) : box)
                 .toList();
     }
 
     /**
-     * Returns this plan for a box that may ask relays.
+     * Returns this routing with relays as preferred sources.
      *
-     * @param relays all relays, not null; none of them is a box of this plan
+     * @param relays all relays, not null; none of them is among the boxes of this routing
      */
     public PieceRouting withRelays(List<WeightsPeer> relays) {
-        PieceRouting plan = relays.isEmpty() ? null : PieceRouting.of(self, relays, version, mostFetchers);
-        return new PieceRouting(self, boxes, version, mostFetchers, possibleHolders, plan);
+        PieceRouting relayRouting = relays.isEmpty() ? null : PieceRouting.of(self, relays, version, maxFetchers);
+        return new PieceRouting(self, boxes, version, maxFetchers, possibleHolders, relayRouting);
     }
 
     /**
-     * Returns this plan as it is when boxes outside it may hold the version as well.
+     * Returns this routing with other boxes, outside it, as the possible holders of the version.
      *
-     * @param others these boxes, not null
+     * @param others the possible holders, not null
      */
     public PieceRouting withPossibleHolders(List<WeightsPeer> others) {
-        return new PieceRouting(self, boxes, version, mostFetchers, others, relayPlan);
+        return new PieceRouting(self, boxes, version, maxFetchers, others, relayRouting);
     }
 
-    /** Returns true if this box is the one that fetches a piece into its data hall. */
+    /** Returns true if this box is assigned to fetch a piece into its data hall. */
     public boolean isHallFetcher(int piece) {
         return hallFetcher(piece, self.dataHall(), 0).filter(this::isSelf).isPresent();
     }
 
     /**
-     * Returns where to fetch a piece from.
+     * Returns the best source of a piece that has not failed.
      *
-     * <p>The plan may change between two failures, so these are told apart by source and not counted: a box that was
-     * wrongly thought to hold the piece may well be the one to wait for later.
+     * <p>Failures are tracked by source instead of counted, because the routing may change between attempts: a box that
+     * failed as a holder may still be a valid source to poll.
      *
      * @param piece the piece
-     * @param failed the sources that failed for it, not null
+     * @param failed the sources that failed for the piece, not null
      */
     public PieceSource sourceOf(int piece, Set<PieceSource> failed) {
         return sourcesOf(piece).stream()
@@ -135,62 +140,62 @@
     }
 
     /**
-     * Returns the sources of a piece, best first; the origin is the last resort.
+     * Returns the sources of a piece in order of preference, with the origin last.
      *
-     * <p>Relays of the own hall come first, then boxes that hold the version. Then come the box that fetches the piece
-     * into the hall, the one that fetches it from the origin, and a deputy of each for the case that it does not answer. A
-     * box waits only for boxes that come before it in that order, so no two ever wait for each other.
+     * <p>Relays of the own hall come first, then holders of the version, then the box assigned to fetch the piece into the
+     * hall, the box assigned to fetch it from the origin, and a deputy of each. A box polls only boxes of a lower rank, which
+     * rules out circular waits.
      */
     public List<PieceSource> sourcesOf(int piece) {
         List<PieceSource> sources = new ArrayList<>();
-        relaysFor(piece).forEach(relay -> add(sources, relay));
+        relaysFor(piece).forEach(relay -> addNeighbour(sources, relay));
         if (piece != MANIFEST) {
             holdersNearby(piece).forEach(sources::add);
-            dealt(piece, holders).ifPresent(box -> add(sources, box));
+            assigned(piece, holders).ifPresent(box -> addNeighbour(sources, box));
         }
         int ownRank = rankOf(self, piece);
         for (int deputy = 0; deputy < 2; deputy++) {
-            hallFetcher(piece, self.dataHall(), deputy).ifPresent(box -> addIfBefore(sources, box, piece, ownRank));
-            originFetcher(piece, deputy).ifPresent(box -> addIfBefore(sources, box, piece, ownRank));
+            hallFetcher(piece, self.dataHall(), deputy).ifPresent(box -> addIfLowerRank(sources, box, piece, ownRank));
+            originFetcher(piece, deputy).ifPresent(box -> addIfLowerRank(sources, box, piece, ownRank));
         }
         sources.add(new PieceSource.Origin());
         return sources;
     }
 
-    /** Returns true if there is a relay in this box's hall. */
+    /** Returns true if this box's hall has a relay. */
     public boolean hasRelays() {
         return !relaysFor(0).isEmpty();
     }
 
-    /** Returns the relay that fetches a piece into this box's hall, and its deputy. */
+    /** Returns the relay assigned to fetch a piece into this box's hall, and its deputy. */
     private List<WeightsPeer> relaysFor(int piece) {
-        if (relayPlan == null) {
+        if (relayRouting == null) {
             return List.of();
         }
         return Stream.of(0, 1)
-                .flatMap(deputy -> relayPlan.hallFetcher(piece, self.dataHall(), deputy).stream())
+                .flatMap(deputy -> relayRouting.hallFetcher(piece, self.dataHall(), deputy).stream())
                 .distinct()
                 .toList();
     }
 
-    /** Returns the other boxes of the hall that hold the version, in an order that differs by piece, not null. */
+    /** Returns the other holders in the hall, rotated by piece to balance load, not null. */
     public List<PieceSource.Neighbour> holdersNearby(int piece) {
         return rotated(piece, holdersNearby).stream().map(this::neighbour).toList();
     }
 
     /**
-     * Returns a box of the hall to ask besides the one whose turn it is; it may well have the piece by then.
+     * Returns another box of the hall to poll instead of the assigned one, empty if there is none.
      *
      * @param piece the piece
-     * @param turn how often a box was asked besides
+     * @param attempt the number of earlier alternates for the piece
      */
-    public Optional<PieceSource.Neighbour> alternateNeighbour(int piece, int turn) {
+    public Optional<PieceSource.Neighbour> alternateNeighbour(int piece, int attempt) {
         List<WeightsPeer> others =
                 boxesOf(self.dataHall()).stream().filter(this::isOther).toList();
-        return dealt(piece + turn, others).map(this::neighbour);
+        return assigned(piece + attempt, others).map(this::neighbour);
     }
 
-    /** Returns a box's place among those that a piece passes: a lower one never waits for a higher one. */
+    /** Returns a box's rank on the path of a piece; a box polls only boxes of a lower rank. */
     private int rankOf(WeightsPeer box, int piece) {
         List<Optional<String>> order = Stream.of(
                         originFetcher(piece, 0),
@@ -203,14 +208,14 @@
         return rank < 0 ? order.size() : rank;
     }
 
-    private void addIfBefore(List<PieceSource> sources, WeightsPeer box, int piece, int ownRank) {
+    private void addIfLowerRank(List<PieceSource> sources, WeightsPeer box, int piece, int ownRank) {
         boolean mayHave = piece != MANIFEST || !holds(box);
         if (mayHave && isOther(box) && rankOf(box, piece) < ownRank) {
-            add(sources, box);
+            addNeighbour(sources, box);
         }
     }
 
-    private void add(List<PieceSource> sources, WeightsPeer box) {
+    private void addNeighbour(List<PieceSource> sources, WeightsPeer box) {
         PieceSource source = neighbour(box);
         if (!sources.contains(source)) {
             sources.add(source);
@@ -221,39 +226,41 @@
         return new PieceSource.Neighbour(box.box(), holds(box));
     }
 
-    /** Returns the box that fetches a piece from the origin, or its deputy: that of a hall that takes its turn. */
+    /** Returns the box assigned to fetch a piece from the origin, or its deputy; halls alternate by piece. */
     private Optional<WeightsPeer> originFetcher(int piece, int deputy) {
         if (halls.isEmpty()) {
             return Optional.empty();
         }
         String hall = halls.get(Math.floorMod(piece + deputy, halls.size()));
-        List<WeightsPeer> some = boxesOf(hall);
-        int fetchers = Math.min(some.size(), Math.max(1, mostFetchers / halls.size()));
-        int turn = Math.floorDiv(piece, halls.size()) + (halls.size() == 1 ? deputy : 0);
-        return dealt(turn, some.subList(0, fetchers));
+        List<WeightsPeer> candidates = boxesOf(hall);
+        int fetchers = Math.min(candidates.size(), Math.max(1, maxFetchers / halls.size()));
+        int index = Math.floorDiv(piece, halls.size()) + (halls.size() == 1 ? deputy : 0);
+        return assigned(index, candidates.subList(0, fetchers));
     }
 
-    /** Returns the box that fetches a piece into a hall, or its deputy. */
+    /** Returns the box assigned to fetch a piece into a hall, or its deputy. */
     private Optional<WeightsPeer> hallFetcher(int piece, String hall, int deputy) {
-        return dealt(Math.floorDiv(piece, Math.max(1, halls.size())) + deputy, boxesOf(hall));
+        return assigned(Math.floorDiv(piece, Math.max(1, halls.size())) + deputy, boxesOf(hall));
     }
 
     private List<WeightsPeer> boxesOf(String hall) {
         return boxesOfHall.getOrDefault(hall, List.of());
     }
 
-    /** Returns the box, among some, that a number falls on. */
-    private static Optional<WeightsPeer> dealt(int number, List<WeightsPeer> some) {
-        return some.isEmpty() ? Optional.empty() : Optional.of(some.get(Math.floorMod(number, some.size())));
+    /** Returns the box at an index modulo the number of boxes, empty if there are none. */
+    private static Optional<WeightsPeer> assigned(int index, List<WeightsPeer> candidates) {
+        return candidates.isEmpty()
+                ? Optional.empty()
+                : Optional.of(candidates.get(Math.floorMod(index, candidates.size())));
     }
 
-    /** Returns some of the boxes, beginning with the one that a number falls on. */
-    private static List<WeightsPeer> rotated(int number, List<WeightsPeer> some) {
-        List<WeightsPeer> turned = new ArrayList<>(some);
-        if (!turned.isEmpty()) {
-            Collections.rotate(turned, -Math.floorMod(number, turned.size()));
+    /** Returns the boxes rotated to begin at an index modulo their number. */
+    private static List<WeightsPeer> rotated(int index, List<WeightsPeer> candidates) {
+        List<WeightsPeer> rotated = new ArrayList<>(candidates);
+        if (!rotated.isEmpty()) {
+            Collections.rotate(rotated, -Math.floorMod(index, rotated.size()));
         }
-        return turned;
+        return rotated;
     }
 
     private boolean isSelf(WeightsPeer box) {
--- a/core/src/main/java/org/bankturn/weights/PieceSource.java
+++ b/core/src/main/java/org/bankturn/weights/PieceSource.java
@@ -1,15 +1,15 @@
 package org.bankturn.weights;
 
-/** Where a piece is fetched from. */
+/** A source from which a piece can be fetched. */
 public sealed interface PieceSource {
     /** The origin of weights. */
     record Origin() implements PieceSource {}
 
     /**
-     * Another box, named as in {@link WeightsPeer}.
+     * Another box that takes part in the distribution.
      *
-     * @param box the box, not null
-     * @param holds true if it is thought to hold the version already, so that waiting there makes no sense
+     * @param box the name of the box as in {@link WeightsPeer}, not null
+     * @param holdsVersion true if the box is published as a holder of the version, so that it need not be polled
      */
     record Neighbour(String box, boolean holdsVersion) implements PieceSource {}
 }
--- a/core/src/main/java/org/bankturn/weights/WeightsPeer.java
+++ b/core/src/main/java/org/bankturn/weights/WeightsPeer.java
@@ -1,10 +1,10 @@
 package org.bankturn.weights;
 
 /**
- * A box that takes part in a distribution.
+ * A box that takes part in the distribution of weights.
  *
- * @param box the box, named by where its process is reached, not null
- * @param dataHall the data hall it is in, not null
- * @param heldVersion the version that its engine holds whole, 0 for none
+ * @param box the name of the box, which is the address of its process, not null
+ * @param dataHall the data hall of the box, not null
+ * @param heldVersion the version that its engine has loaded completely, 0 for none
  */
 public record WeightsPeer(String box, String dataHall, int heldVersion) {}
--- a/core/src/main/java/org/bankturn/weights/package-info.java
+++ b/core/src/main/java/org/bankturn/weights/package-info.java
@@ -1,2 +1,2 @@
-/** Which box asks which other for a piece of weights, so that the origin and links between data halls carry one copy. */
+/** Routing of weight pieces between boxes, such that the origin and each inter-hall link carry a single copy. */
 package org.bankturn.weights;
