--- a/core/src/test/java/org/bankturn/weights/ChangeScheduleTest.java
+++ b/core/src/test/java/org/bankturn/weights/ChangeScheduleTest.java
@@ -9,106 +9,102 @@
 
 class ChangeScheduleTest {
     private static final long ALLOWED_MILLIS = 8_000;
-    private static final long EMPTYING_MILLIS = 1_500;
+    private static final long DRAIN_MILLIS = 1_500;
 
-    /** Twice what engines take to load staged weights. */
-    private static final long LOADING_MILLIS = 800;
+    /** Time reserved for engines to load staged weights. */
+    private static final long LOAD_MILLIS = 800;
 
-    private final ChangeSchedule turns = ChangeSchedule.within(ALLOWED_MILLIS, ChangeMethod.AFTER_ANSWERS);
+    private final ChangeSchedule schedule = ChangeSchedule.within(ALLOWED_MILLIS, ChangeMethod.AFTER_ANSWERS);
 
     @Test
-    void every_box_has_its_turn_early_enough_to_empty_itself() {
+    void every_box_starts_early_enough_to_drain() {
         List<WeightsPeer> boxes = boxes(5);
         assertThat(boxes)
-                .allSatisfy(box -> assertThat(turns.startMillis(box.box(), boxes, 0))
-                        .isBetween(1L, ALLOWED_MILLIS - EMPTYING_MILLIS));
+                .allSatisfy(box -> assertThat(schedule.startMillis(box.box(), boxes, 0))
+                        .isBetween(1L, ALLOWED_MILLIS - DRAIN_MILLIS));
     }
 
     @Test
-    void no_more_boxes_empty_themselves_at_once_than_an_even_spread_needs() {
+    void draining_boxes_are_limited_to_an_even_spread() {
         List<WeightsPeer> boxes = boxes(8);
-        long first = turns.startMillis("east-1", boxes, 0);
+        long first = schedule.startMillis("east-1", boxes, 0);
         for (long now = first; now < ALLOWED_MILLIS; now += 50) {
             long moment = now;
-            long emptying = boxes.stream()
-                    .mapToLong(box -> turns.startMillis(box.box(), boxes, 0))
-                    .filter(turn -> turn <= moment && moment < turn + EMPTYING_MILLIS)
+            long draining = boxes.stream()
+                    .mapToLong(box -> schedule.startMillis(box.box(), boxes, 0))
+                    .filter(start -> start <= moment && moment < start + DRAIN_MILLIS)
                     .count();
-            assertThat(emptying).isLessThanOrEqualTo(boxes.size() * 6L / 10 + 1);
+            assertThat(draining).isLessThanOrEqualTo(boxes.size() * 6L / 10 + 1);
         }
     }
 
     @Test
-    void each_hall_keeps_boxes_that_serve_while_others_change() {
+    void each_hall_keeps_serving_boxes_during_change() {
         List<WeightsPeer> boxes = boxes(6);
-        long half = (turns.startMillis("east-1", boxes, 0) + turns.startMillis("west-6", boxes, 0)) / 2;
+        long half = (schedule.startMillis("east-1", boxes, 0) + schedule.startMillis("west-6", boxes, 0)) / 2;
         for (String hall : List.of("east", "north", "west")) {
             long before = boxes.stream()
                     .filter(box -> box.dataHall().equals(hall))
-                    .filter(box -> turns.startMillis(box.box(), boxes, 0) < half)
+                    .filter(box -> schedule.startMillis(box.box(), boxes, 0) < half)
                     .count();
             assertThat(before).isBetween(2L, 4L);
         }
     }
 
     @Test
-    void boxes_whose_copies_come_late_change_one_after_the_other_while_there_is_time() {
+    void late_copies_start_one_after_the_other_within_the_allowed_time() {
         List<WeightsPeer> boxes = boxes(4);
-        long whole = ALLOWED_MILLIS / 2 + 500;
+        long completed = ALLOWED_MILLIS / 2 + 500;
         List<Long> late = boxes.stream()
-                .map(box -> turns.startMillis(box.box(), boxes, whole))
-                .filter(turn -> turn < ALLOWED_MILLIS * 3 / 4)
+                .map(box -> schedule.startMillis(box.box(), boxes, completed))
+                .filter(start -> start < ALLOWED_MILLIS * 3 / 4)
                 .distinct()
                 .toList();
         assertThat(late).hasSizeGreaterThan(boxes.size() / 2);
-        assertThat(late).allMatch(turn -> turn >= whole);
+        assertThat(late).allMatch(start -> start >= completed);
     }
 
-    /**
-     * On links of 7.3 Mbit/s beside requests, the copies of 15 boxes were whole 4.06 to 4.17 s after the naming, when six
-     * boxes had missed their turns. These followed each other 126 ms apart, among the planned turns of the others, and all
-     * engines had changed after 1.9 s; 2 s more would have been allowed. A second of that span earned 0.63 of its credit.
-     */
+    /** Guards against late boxes changing in quick succession, which removes more capacity at a time than necessary. */
     @Test
-    void boxes_whose_copies_come_late_together_share_evenly_what_is_left_of_the_time() {
+    void simultaneous_late_copies_spread_evenly_over_remaining_time() {
         ChangeSchedule atOnce = ChangeSchedule.within(ALLOWED_MILLIS, ChangeMethod.AT_ONCE);
         List<WeightsPeer> boxes = boxes(5);
-        long whole = 4_100;
+        long completed = 4_100;
         List<Long> inOrder = boxes.stream()
-                .map(box -> atOnce.startMillis(box.box(), boxes, whole))
+                .map(box -> atOnce.startMillis(box.box(), boxes, completed))
                 .sorted()
                 .toList();
         for (int rank = 1; rank < inOrder.size(); rank++) {
             assertThat(inOrder.get(rank) - inOrder.get(rank - 1)).isBetween(190L, 220L);
         }
-        assertThat(inOrder.get(0)).isEqualTo(whole);
+        assertThat(inOrder.get(0)).isEqualTo(completed);
     }
 
     @Test
-    void engines_that_break_off_at_once_have_time_left_to_load_their_weights() {
+    void aborting_engines_have_time_left_to_load() {
         ChangeSchedule atOnce = ChangeSchedule.within(ALLOWED_MILLIS, ChangeMethod.AT_ONCE);
         List<WeightsPeer> boxes = boxes(5);
         assertThat(boxes)
                 .allSatisfy(box -> assertThat(atOnce.startMillis(box.box(), boxes, 0))
-                        .isLessThanOrEqualTo(ALLOWED_MILLIS - LOADING_MILLIS));
+                        .isLessThanOrEqualTo(ALLOWED_MILLIS - LOAD_MILLIS));
     }
 
     @Test
-    void boxes_whose_copies_come_when_time_is_up_change_at_once() {
+    void copies_after_the_allowed_time_start_immediately() {
         List<WeightsPeer> boxes = boxes(4);
         assertThat(boxes)
-                .allSatisfy(box -> assertThat(turns.startMillis(box.box(), boxes, ALLOWED_MILLIS + 1))
+                .allSatisfy(box -> assertThat(schedule.startMillis(box.box(), boxes, ALLOWED_MILLIS + 1))
                         .isEqualTo(ALLOWED_MILLIS + 1));
     }
 
     @Test
-    void a_single_box_changes_first_and_one_that_is_not_listed_does_not_wait() {
+    void unlisted_box_starts_like_a_single_box() {
         List<WeightsPeer> one = List.of(new WeightsPeer("east-1", "east", 1));
-        assertThat(turns.startMillis("east-1", one, 0)).isEqualTo(turns.startMillis("stranger", one, 0));
+        assertThat(schedule.startMillis("east-1", one, 0)).isEqualTo(schedule.startMillis("unlisted", one, 0));
     }
 
     @Test
-    void a_time_allowed_of_nothing_is_refused() {
+    void zero_allowed_time_is_rejected() {
         assertThatThrownBy(() -> ChangeSchedule.within(0, ChangeMethod.AT_ONCE))
                 .isInstanceOf(IllegalArgumentException.class);
     }
--- a/core/src/test/java/org/bankturn/weights/PieceRoutingTest.java
+++ b/core/src/test/java/org/bankturn/weights/PieceRoutingTest.java
@@ -36,7 +36,7 @@
     }
 
     @Test
-    void every_box_hands_on_about_as_much_as_the_others() {
+    void uploads_are_balanced_between_boxes() {
         List<WeightsPeer> boxes = boxes(4, 1);
         Map<String, Integer> sends = new HashMap<>();
         for (int piece = 0; piece < PIECES; piece++) {
@@ -53,7 +53,7 @@
     }
 
     @Test
-    void sources_lead_to_the_origin_without_a_circle() {
+    void source_chains_end_at_origin_without_cycles() {
         List<WeightsPeer> boxes = boxes(4, 1);
         for (int piece = 0; piece < PIECES; piece++) {
             for (WeightsPeer box : boxes) {
@@ -63,7 +63,7 @@
     }
 
     @Test
-    void an_empty_box_asks_a_holder_of_its_own_hall_first() {
+    void empty_box_prefers_holder_of_own_hall() {
         List<WeightsPeer> boxes = new ArrayList<>(boxes(3, VERSION));
         WeightsPeer empty = new WeightsPeer("north-new", "north", 0);
         boxes.add(empty);
@@ -78,9 +78,9 @@
         }
     }
 
-    /** A box that waited for one that waits for it would hold both up for as long as they are patient. */
+    /** Guards against circular waits, which block both boxes until they give up. */
     @Test
-    void no_two_boxes_wait_for_each_other_whatever_attempt_they_are_at() {
+    void no_circular_waits_between_boxes() {
         List<WeightsPeer> boxes = boxes(4, 1);
         for (int piece = 0; piece < PIECES; piece++) {
             for (WeightsPeer box : boxes) {
@@ -105,9 +105,9 @@
                         && (neighbour.box().equals(other) || mayWaitFor(neighbour.box(), other, boxes, piece)));
     }
 
-    /** After a power loss the list still names holders that lost everything; that must not send all boxes to the origin. */
+    /** Guards against all boxes falling back to the origin when published holders have restarted empty. */
     @Test
-    void holders_that_turn_out_to_hold_nothing_do_not_send_more_boxes_to_the_origin() {
+    void empty_published_holders_do_not_add_origin_fetchers() {
         List<WeightsPeer> stale = boxes(4, VERSION);
         List<WeightsPeer> fresh = boxes(4, 0);
         for (int piece = 0; piece < PIECES; piece++) {
@@ -127,7 +127,7 @@
     }
 
     @Test
-    void no_more_boxes_fetch_from_the_origin_than_it_has_connections_for() {
+    void origin_fetchers_are_limited_by_origin_connections() {
         List<WeightsPeer> boxes = boxes(15, 1);
         Set<String> fetchers = new HashSet<>();
         for (int piece = 0; piece < PIECES; piece++) {
@@ -141,7 +141,7 @@
     }
 
     @Test
-    void when_the_box_that_fetches_a_piece_does_not_answer_its_deputy_goes_to_the_origin_and_no_other() {
+    void only_the_deputy_replaces_an_unresponsive_origin_fetcher() {
         List<WeightsPeer> boxes = boxes(4, 1);
         for (int piece = 0; piece < PIECES; piece++) {
             String silent = originFetcher(boxes, piece);
@@ -157,7 +157,7 @@
     }
 
     @Test
-    void a_box_that_is_listed_twice_never_waits_for_itself() {
+    void duplicate_box_never_polls_itself() {
         List<WeightsPeer> boxes = new ArrayList<>(boxes(3, 0));
         boxes.addAll(boxes(3, VERSION));
         for (int piece = 0; piece < PIECES; piece++) {
@@ -170,7 +170,7 @@
     }
 
     @Test
-    void a_box_asks_the_relays_of_its_own_hall_before_anything_else() {
+    void relays_of_own_hall_are_preferred() {
         List<WeightsPeer> boxes = boxes(4, VERSION);
         List<WeightsPeer> relays = relays(2);
         Set<String> first = new HashSet<>();
@@ -186,7 +186,7 @@
     }
 
     @Test
-    void among_relays_each_piece_leaves_the_origin_once_and_each_hall_has_one_that_fetches_it() {
+    void each_piece_has_one_relay_per_hall_and_leaves_origin_once() {
         List<WeightsPeer> relays = relays(3);
         for (int piece = 0; piece < PIECES; piece++) {
             int fromOrigin = 0;
@@ -203,7 +203,7 @@
     }
 
     @Test
-    void boxes_and_relays_agree_on_who_fetches_a_piece_into_a_hall() {
+    void boxes_and_relays_agree_on_hall_fetcher() {
         List<WeightsPeer> boxes = boxes(4, 1);
         List<WeightsPeer> relays = relays(3);
         for (int piece = 0; piece < PIECES; piece++) {
@@ -222,7 +222,7 @@
     }
 
     @Test
-    void a_relay_asks_a_box_of_its_hall_that_holds_the_version() {
+    void relay_prefers_holder_of_own_hall() {
         List<WeightsPeer> relays = relays(2);
         List<PieceSource> sources = PieceRouting.of(relays.get(0), relays, VERSION, FETCHERS)
                 .withPossibleHolders(boxes(4, VERSION))
@@ -248,7 +248,7 @@
                 .box();
     }
 
-    /** Holders have no manifest to give; that they do not must not look as if they held nothing. */
+    /** Holders may lack the manifest and must not be mistaken for empty boxes because of that. */
     @Test
     void holders_are_not_asked_for_the_manifest() {
         List<WeightsPeer> boxes = new ArrayList<>(boxes(3, VERSION));
@@ -262,7 +262,7 @@
     }
 
     @Test
-    void the_origin_is_the_last_resort() {
+    void origin_is_last_source() {
         List<WeightsPeer> boxes = boxes(3, 1);
         List<PieceSource> sources =
                 PieceRouting.of(boxes.get(0), boxes, VERSION, FETCHERS).sourcesOf(5);
