--- a/core/src/main/java/org/bankturn/distribution/ChunkFile.java
+++ b/core/src/main/java/org/bankturn/distribution/ChunkFile.java
@@ -10,12 +10,12 @@
 import org.bankturn.configuration.Digest;
 
 /**
- * One version's weights on a box, chunk by chunk.
+ * A file with the chunks of one version's weights.
  *
- * <p>A chunk is checked before it is kept; only kept chunks are handed out. Chunks found on opening are checked again.
- * The file is whole once every chunk is kept and {@link #verifyWhole()} has read all of it back.
+ * <p>Chunks are verified before they are stored, and again when the file is opened; only stored chunks can be read. The file
+ * is complete once every chunk is stored and {@link #verifyAll()} has read all of it back.
  *
- * <p>ChunkFile is thread-safe: its methods exclude each other.
+ * <p>This class is thread-safe.
  */
 public final class ChunkFile implements AutoCloseable {
     private final Manifest manifest;
@@ -24,12 +24,12 @@
     private final BitSet storedChunks = new BitSet();
 
     /**
-     * Opens the file of a version, making it if need be, and checks what is in it.
+     * Opens the file of a version, creating it if necessary, and verifies its chunks.
      *
-     * @param folder the chunk folder, not null
-     * @param manifest the version, not null
+     * @param folder the directory of chunk files, not null
+     * @param manifest the manifest of the version, not null
      * @return the file, not null
-     * @throws IOException if it cannot be made or read, as when the disk is full
+     * @throws IOException if the file cannot be created or read
      */
     public static ChunkFile open(Path folder, Manifest manifest) throws IOException {
         Files.createDirectories(folder);
@@ -37,7 +37,7 @@
         FileChannel channel =
                 FileChannel.open(path, StandardOpenOption.CREATE, StandardOpenOption.READ, StandardOpenOption.WRITE);
         ChunkFile file = new ChunkFile(manifest, path, channel);
-        file.checkAll();
+        file.verifyChunks();
         return file;
     }
 
@@ -47,33 +47,33 @@
         this.channel = channel;
     }
 
-    /** Returns the version, not null. */
+    /** Returns the manifest of the version, not null. */
     public Manifest manifest() {
         return manifest;
     }
 
-    /** Returns where the weights are, for the engine to load once whole, not null. */
+    /** Returns the path of the file, from which the engine loads the weights once complete, not null. */
     public Path path() {
         return path;
     }
 
-    /** Returns the chunks that are kept, as a copy, not null. */
+    /** Returns a copy of the set of stored chunks, not null. */
     public synchronized BitSet storedChunks() {
         return (BitSet) storedChunks.clone();
     }
 
-    /** Returns true if every chunk is kept. */
+    /** Returns true if every chunk is stored. */
     public synchronized boolean isComplete() {
         return storedChunks.cardinality() == manifest.chunkCount();
     }
 
     /**
-     * Keeps a chunk if it is what the manifest says.
+     * Stores a chunk if it matches the manifest.
      *
      * @param chunk the chunk's number
-     * @param bytes the bytes as they arrived, not null
-     * @return false if they are not the chunk's and were dropped
-     * @throws IOException if they cannot be written
+     * @param bytes the received bytes, not null
+     * @return false if the bytes do not match and were discarded
+     * @throws IOException if the chunk cannot be written
      */
     public boolean store(int chunk, byte[] bytes) throws IOException {
         if (!manifest.matches(chunk, bytes)) {
@@ -87,35 +87,35 @@
     }
 
     /**
-     * Reads a kept chunk.
+     * Reads a stored chunk.
      *
      * @param chunk the chunk's number
-     * @return its bytes, or null if it is not kept
-     * @throws IOException if it cannot be read
+     * @return the bytes, null if the chunk is not stored
+     * @throws IOException if the chunk cannot be read
      */
     public synchronized byte[] read(int chunk) throws IOException {
         return storedChunks.get(chunk) ? readAt(chunk) : null;
     }
 
     /**
-     * Reads every chunk back and checks it; chunks that fail are no longer kept.
+     * Reads back and verifies every chunk; corrupt chunks no longer count as stored.
      *
-     * @return true if the copy is whole
-     * @throws IOException if it cannot be read
+     * @return true if every chunk is stored and valid
+     * @throws IOException if the file cannot be read
      */
     public synchronized boolean verifyAll() throws IOException {
         if (!isComplete()) {
             return false;
         }
         channel.force(true);
-        checkAll();
+        verifyChunks();
         return isComplete();
     }
 
     /**
      * Closes and deletes the file.
      *
-     * @throws IOException if it cannot be deleted
+     * @throws IOException if the file cannot be deleted
      */
     public synchronized void delete() throws IOException {
         storedChunks.clear();
@@ -128,7 +128,7 @@
         channel.close();
     }
 
-    private synchronized void checkAll() throws IOException {
+    private synchronized void verifyChunks() throws IOException {
         storedChunks.clear();
         for (int chunk = 0; chunk < manifest.chunkCount(); chunk++) {
             boolean present = channel.size() >= manifest.offsetOf(chunk) + manifest.sizeOf(chunk);
@@ -144,7 +144,7 @@
         while (buffer.hasRemaining()) {
             int count = channel.read(buffer, position + buffer.position());
             if (count < 0) {
-                throw new IOException("weights file ends within chunk " + chunk + ": " + path);
+                throw new IOException("unexpected end of weights file in chunk " + chunk + ": " + path);
             }
         }
         return buffer.array();
@@ -158,11 +158,11 @@
     }
 
     /**
-     * Digests the whole content of a file, as an engine does that names what it loaded.
+     * Returns the digest of a whole file.
      *
      * @param path the file, not null
-     * @return the SHA-256 of its bytes, not null
-     * @throws IOException if it cannot be read
+     * @return the SHA-256 of the content in hexadecimal, not null
+     * @throws IOException if the file cannot be read
      */
     public static String digestOf(Path path) throws IOException {
         return Digest.of(Files.readAllBytes(path));
--- a/core/src/main/java/org/bankturn/distribution/ChunkPlanner.java
+++ b/core/src/main/java/org/bankturn/distribution/ChunkPlanner.java
@@ -9,44 +9,44 @@
 import org.apache.commons.rng.UniformRandomProvider;
 
 /**
- * Decides which chunk a box takes next and from which neighbour: the rarest it can get, from the least busy holder.
+ * Selects the next chunk to fetch and its source: the rarest available chunk from the least busy neighbour.
  *
- * <p>One planner serves one copy of one version. Tell it what neighbours hold, ask {@link #next} while there is room
- * for more transfers, and say how each ended. It does no I/O.
+ * <p>A planner serves one copy of one version and performs no I/O. The caller reports the chunks of neighbours, requests
+ * transfers with {@link #nextTransfer} and reports their outcomes.
  *
- * <p>ChunkPlanner is mutable and not thread-safe.
+ * <p>This class is mutable and not thread-safe.
  */
 public final class ChunkPlanner {
-    /** Corrupt chunks from one neighbour after which nothing more is asked of it. */
+    /** The number of corrupt chunks after which a neighbour is no longer used. */
     public static final int CORRUPT_LIMIT = 3;
 
-    /** A neighbour whose link is taken is left alone for this long, and others are asked instead. */
+    /** The time for which a busy neighbour is not used. */
     public static final long BUSY_MILLIS = 60;
 
     private final int chunkCount;
     private final UniformRandomProvider random;
     private final int transfersPerNeighbour;
     private final BitSet held;
-    private final BitSet underway = new BitSet();
+    private final BitSet inFlight = new BitSet();
     private final Map<String, Neighbour> neighbours = new HashMap<>();
 
     /**
      * A transfer to start.
      *
      * @param chunk the chunk's number
-     * @param neighbour whom to ask, not null
+     * @param neighbour the name of the source, not null
      */
     public record Transfer(int chunk, String neighbour) {}
 
-    /** How a transfer ended. */
+    /** The outcome of a transfer. */
     public enum TransferOutcome {
-        /** The chunk was verified and kept. */
+        /** The chunk was verified and stored. */
         KEPT,
         /** The chunk did not match its digest. */
         CORRUPT,
-        /** The neighbour did not answer, or not in time. */
+        /** The source did not answer in time. */
         FAILED,
-        /** The neighbour has too many transfers at the moment. */
+        /** The neighbour rejected the request because of too many transfers. */
         BUSY
     }
 
@@ -60,10 +60,10 @@
     /**
      * Creates a planner.
      *
-     * @param chunkCount the number of chunks, from 1
-     * @param held the chunks that the box holds already, not null
-     * @param transfersPerNeighbour transfers from one neighbour at a time, at most
-     * @param random breaks ties, so that boxes do not all take the same chunk, not null
+     * @param chunkCount the number of chunks, at least 1
+     * @param held the chunks that the box already holds, not null
+     * @param transfersPerNeighbour the limit of concurrent transfers from one neighbour
+     * @param random the source of randomness for ties, so that boxes select different chunks, not null
      * @return the planner, not null
      */
     public static ChunkPlanner of(
@@ -83,7 +83,7 @@
         return held.cardinality() == chunkCount;
     }
 
-    /** Returns the chunks that neither the box nor any neighbour holds, nor any transfer is bringing, not null. */
+    /** Returns the missing chunks that no usable neighbour holds, not null. */
     public BitSet unreachable() {
         BitSet missing = missing();
         neighbours.values().stream()
@@ -92,20 +92,20 @@
         return missing;
     }
 
-    /** Returns the chunks that the box lacks and no transfer is bringing, not null. */
+    /** Returns the chunks that are neither held nor in flight, not null. */
     public BitSet missing() {
         BitSet missing = new BitSet();
         missing.set(0, chunkCount);
         missing.andNot(held);
-        missing.andNot(underway);
+        missing.andNot(inFlight);
         return missing;
     }
 
     /**
-     * Takes in what a neighbour holds.
+     * Updates the chunks that a neighbour holds.
      *
-     * @param name the neighbour, not null
-     * @param holds its chunks, not null
+     * @param name the name of the neighbour, not null
+     * @param holds the chunks of the neighbour, not null
      */
     public void updateNeighbour(String name, BitSet holds) {
         Neighbour neighbour = neighbours.computeIfAbsent(name, key -> new Neighbour());
@@ -113,9 +113,9 @@
     }
 
     /**
-     * Forgets a neighbour that does not answer.
+     * Clears the chunks of a neighbour that does not respond.
      *
-     * @param name the neighbour, not null
+     * @param name the name of the neighbour, not null
      */
     public void clearNeighbour(String name) {
         Neighbour neighbour = neighbours.get(name);
@@ -125,9 +125,9 @@
     }
 
     /**
-     * Chooses the next transfer and counts it as begun.
+     * Selects the next transfer and marks its chunk as in flight.
      *
-     * @param nowMillis the box's time
+     * @param nowMillis the current time
      * @return the transfer, empty if no usable neighbour holds a missing chunk
      */
     public Optional<Transfer> nextTransfer(long nowMillis) {
@@ -152,53 +152,53 @@
         }
         String neighbour = leastBusyHolder(rarest, nowMillis).orElseThrow();
         neighbours.get(neighbour).transfers++;
-        underway.set(rarest);
+        inFlight.set(rarest);
         return Optional.of(new Transfer(rarest, neighbour));
     }
 
     /**
-     * Counts a chunk as being drawn from the origin.
+     * Marks a chunk as in flight from the origin.
      *
      * @param chunk the chunk's number
      */
     public void originFetchStarted(int chunk) {
-        underway.set(chunk);
+        inFlight.set(chunk);
     }
 
     /**
-     * Takes in how a draw from the origin ended.
+     * Records the outcome of a fetch from the origin.
      *
      * @param chunk the chunk's number
-     * @param ending how it ended, not null
+     * @param outcome the outcome, not null
      */
-    public void originFetchEnded(int chunk, TransferOutcome ending) {
-        end(chunk, ending);
+    public void originFetchEnded(int chunk, TransferOutcome outcome) {
+        recordOutcome(chunk, outcome);
     }
 
     /**
-     * Takes in how a transfer ended.
+     * Records the outcome of a transfer.
      *
      * @param transfer the transfer, not null
-     * @param ending how it ended, not null
-     * @param nowMillis the box's time
+     * @param outcome the outcome, not null
+     * @param nowMillis the current time
      */
-    public void transferEnded(Transfer transfer, TransferOutcome ending, long nowMillis) {
+    public void transferEnded(Transfer transfer, TransferOutcome outcome, long nowMillis) {
         Neighbour neighbour = neighbours.get(transfer.neighbour());
         neighbour.transfers--;
-        if (ending == TransferOutcome.CORRUPT) {
+        if (outcome == TransferOutcome.CORRUPT) {
             neighbour.corrupt++;
             neighbour.holds.clear(transfer.chunk());
-        } else if (ending == TransferOutcome.BUSY) {
+        } else if (outcome == TransferOutcome.BUSY) {
             neighbour.busyUntilMillis = nowMillis + BUSY_MILLIS;
-        } else if (ending == TransferOutcome.FAILED) {
+        } else if (outcome == TransferOutcome.FAILED) {
             neighbour.holds.clear(transfer.chunk());
         }
-        end(transfer.chunk(), ending);
+        recordOutcome(transfer.chunk(), outcome);
     }
 
-    private void end(int chunk, TransferOutcome ending) {
-        underway.clear(chunk);
-        if (ending == TransferOutcome.KEPT) {
+    private void recordOutcome(int chunk, TransferOutcome outcome) {
+        inFlight.clear(chunk);
+        if (outcome == TransferOutcome.KEPT) {
             held.set(chunk);
         }
     }
--- a/core/src/main/java/org/bankturn/distribution/DistributionPolicy.java
+++ b/core/src/main/java/org/bankturn/distribution/DistributionPolicy.java
@@ -1,15 +1,15 @@
 package org.bankturn.distribution;
 
-/** What a burst of a model prefers. */
+/** The optimization goal of a model's distribution. */
 public enum DistributionPolicy {
-    /** Least time until N boxes serve: each chunk may be drawn from the origin by several boxes. */
+    /** Minimizes the time until enough boxes serve: several boxes may fetch the same chunk from the origin. */
     TIME_TO_REPLICAS {
         @Override
         public int maxCopiesPerChunk() {
             return 3;
         }
     },
-    /** Least bytes from the origin: each chunk is drawn once, and again only if every holder was lost. */
+    /** Minimizes origin traffic: each chunk is fetched once, and again only if it was lost. */
     ORIGIN_BYTES {
         @Override
         public int maxCopiesPerChunk() {
@@ -17,9 +17,9 @@
         }
     };
 
-    /** The origin's link carries about this many copies in the time wanted; no policy and no repair goes beyond. */
+    /** The limit of copies fetched from the origin, including repeated fetches of lost chunks. */
     public static final int MAXIMUM_ORIGIN_COPIES = 4;
 
-    /** Returns how many boxes may draw the same chunk from the origin when nothing fails. */
+    /** Returns the number of boxes that may fetch the same chunk from the origin if no fetch fails. */
     public abstract int maxCopiesPerChunk();
 }
--- a/core/src/main/java/org/bankturn/distribution/LinkRateLimiter.java
+++ b/core/src/main/java/org/bankturn/distribution/LinkRateLimiter.java
@@ -3,16 +3,16 @@
 import org.bankturn.time.Clock;
 
 /**
- * Paces transfers over a link so that they take no more than their share of it.
+ * Limits the rate of transfers over a link.
  *
- * <p>Ask {@link #delayMillis} before each transfer and wait that long. A limit lower than the link's rate leaves room for
- * the regulated traffic that shares it.
+ * <p>Call {@link #delayMillis} before each transfer and wait for the returned time. A limit below the link's bandwidth leaves
+ * capacity for other traffic on the link.
  *
- * <p>LinkRateLimiter is thread-safe: its methods exclude each other.
+ * <p>This class is thread-safe.
  */
 public final class LinkRateLimiter {
     private static final double MILLIS_PER_SECOND = 1_000.0;
-    private static final double MOST_WAITING = 1.5;
+    private static final double MAX_QUEUED_TRANSFERS = 1.5;
 
     private final Clock clock;
     private final double bytesPerMilli;
@@ -20,12 +20,12 @@
     private double freeAtMillis;
 
     /**
-     * Creates a limit.
+     * Creates a rate limiter.
      *
-     * @param bytesPerSecond the rate, from 1
-     * @param burstMillis how much unused time may be caught up on
-     * @param clock the time, not null
-     * @return the limit, not null
+     * @param bytesPerSecond the rate, at least 1
+     * @param burstMillis the unused time that a later transfer may use
+     * @param clock the time source, not null
+     * @return the rate limiter, not null
      */
     public static LinkRateLimiter of(long bytesPerSecond, long burstMillis, Clock clock) {
         return new LinkRateLimiter(bytesPerSecond, burstMillis, clock);
@@ -42,10 +42,10 @@
     }
 
     /**
-     * Takes room for a transfer.
+     * Reserves capacity for a transfer.
      *
-     * @param bytes its size
-     * @return milliseconds until the transfer would be through at this rate, 0 or more
+     * @param bytes the size of the transfer
+     * @return the milliseconds until the transfer completes at this rate, 0 or more
      */
     public synchronized long delayMillis(long bytes) {
         double now = clock.millis();
@@ -54,25 +54,25 @@
     }
 
     /**
-     * Takes room for a transfer that has just come in, and so was on its way while the link was free.
+     * Reserves capacity for a transfer that has just been received, which may have used idle time of the link.
      *
-     * @param bytes its size
-     * @return milliseconds until it may count as through at this rate, 0 or more
+     * @param bytes the size of the transfer
+     * @return the milliseconds until the transfer counts as complete at this rate, 0 or more
      */
     public synchronized long arrivalDelayMillis(long bytes) {
         double now = clock.millis();
-        double takes = bytes / bytesPerMilli;
-        freeAtMillis = Math.max(freeAtMillis, now - takes) + takes;
+        double durationMillis = bytes / bytesPerMilli;
+        freeAtMillis = Math.max(freeAtMillis, now - durationMillis) + durationMillis;
         return Math.max(0, Math.round(freeAtMillis - now));
     }
 
     /**
-     * Tells whether the link has more waiting than it should: a queue keeps it full, a long one only makes peers wait.
+     * Returns true if the queue of the link is too long: a longer one only adds delay.
      *
      * @param bytes the size of one more transfer
-     * @return true if more than one and a half transfers of that size wait already
+     * @return true if more than one and a half transfers of that size are queued
      */
     public synchronized boolean isBusyFor(long bytes) {
-        return freeAtMillis - clock.millis() > MOST_WAITING * bytes / bytesPerMilli;
+        return freeAtMillis - clock.millis() > MAX_QUEUED_TRANSFERS * bytes / bytesPerMilli;
     }
 }
--- a/core/src/main/java/org/bankturn/distribution/Manifest.java
+++ b/core/src/main/java/org/bankturn/distribution/Manifest.java
@@ -7,11 +7,11 @@
 import org.bankturn.configuration.Digest;
 
 /**
- * What a version consists of: chunks of equal size, the last one shorter, each with its SHA-256.
+ * Lists the SHA-256 digests of a version's chunks, which are of equal size except for the last.
  *
- * <p>A version is named by the digest of its manifest's text, so a manifest from anyone can be checked.
+ * <p>A version is identified by the digest of its manifest's text, so a manifest from an untrusted source can be verified.
  *
- * <p>Manifest is thread-safe and immutable.
+ * <p>This class is immutable and thread-safe.
  */
 public final class Manifest {
     private static final String FIRST_LINE = "bankturn-manifest 1";
@@ -25,10 +25,10 @@
     private final String digest;
 
     /**
-     * Describes weights.
+     * Creates a manifest.
      *
-     * @param totalBytes the size of the weights, from 1
-     * @param chunkBytes the size of every chunk but the last, from 1
+     * @param totalBytes the size of the weights, at least 1
+     * @param chunkBytes the size of every chunk but the last, at least 1
      * @param chunkDigests the SHA-256 of each chunk, in order, not null
      * @return the manifest, not null
      */
@@ -37,11 +37,11 @@
     }
 
     /**
-     * Reads a manifest and checks it against the digest that names it.
+     * Parses a manifest and verifies it against its digest.
      *
-     * @param text the text, not null
-     * @param expectedDigest the digest, not null
-     * @return the manifest, empty if the text is not the one that the digest names
+     * @param text the text of the manifest, not null
+     * @param expectedDigest the digest that identifies the version, not null
+     * @return the manifest, empty if the text is malformed or does not match the digest
      */
     public static Optional<Manifest> parse(String text, String expectedDigest) {
         if (!Digest.of(text).equals(expectedDigest)) {
@@ -61,13 +61,15 @@
 
     private Manifest(long totalBytes, int chunkBytes, List<String> chunkDigests) {
         if (totalBytes < 1 || chunkBytes < 1) {
-            throw new IllegalArgumentException("sizes must be positive: " + totalBytes + ", " + chunkBytes);
+            throw new IllegalArgumentException(
+                    "sizes must be positive: totalBytes=" + totalBytes + ", chunkBytes=" + chunkBytes);
         }
         if ((totalBytes + chunkBytes - 1) / chunkBytes != chunkDigests.size()) {
-            throw new IllegalArgumentException("wrong number of chunks: " + chunkDigests.size());
+            throw new IllegalArgumentException(
+                    "number of chunk digests does not match the sizes: " + chunkDigests.size());
         }
         if (chunkDigests.stream().anyMatch(chunk -> chunk.length() != DIGEST_LENGTH)) {
-            throw new IllegalArgumentException("a chunk's digest is not a SHA-256");
+            throw new IllegalArgumentException("chunk digest is not a SHA-256 in hexadecimal");
         }
         this.totalBytes = totalBytes;
         this.chunkBytes = chunkBytes;
@@ -78,12 +80,12 @@
         this.digest = Digest.of(text.getBytes(StandardCharsets.UTF_8));
     }
 
-    /** Returns the SHA-256 of {@link #text()}, which names the version, not null. */
+    /** Returns the SHA-256 of {@link #text()}, which identifies the version, not null. */
     public String digest() {
         return digest;
     }
 
-    /** Returns the text that is fetched and checked, not null. */
+    /** Returns the text format of the manifest, not null. */
     public String text() {
         return text;
     }
@@ -93,13 +95,13 @@
         return totalBytes;
     }
 
-    /** Returns the number of chunks, from 1. */
+    /** Returns the number of chunks, at least 1. */
     public int chunkCount() {
         return chunkDigests.size();
     }
 
     /**
-     * Returns where a chunk begins.
+     * Returns the offset of a chunk.
      *
      * @param chunk the chunk's number, from 0
      * @return the offset in bytes
@@ -119,11 +121,11 @@
     }
 
     /**
-     * Tells whether bytes are a chunk.
+     * Returns true if bytes match a chunk.
      *
      * @param chunk the chunk's number, from 0
      * @param bytes the bytes, not null
-     * @return true if their size and digest are the chunk's
+     * @return true if the size and the digest match
      */
     public boolean matches(int chunk, byte[] bytes) {
         return bytes.length == sizeOf(chunk) && Digest.of(bytes).equals(chunkDigests.get(chunk));
--- a/core/src/main/java/org/bankturn/distribution/NeighbourSelector.java
+++ b/core/src/main/java/org/bankturn/distribution/NeighbourSelector.java
@@ -7,24 +7,24 @@
 import org.bankturn.configuration.Box;
 
 /**
- * Chooses the boxes that a box exchanges chunks with: most in its own hall, some in other allowed halls.
+ * Selects the boxes with which a box exchanges chunks, mostly in its own hall.
  *
- * <p>The choice is random but the same for the same box, so that the boxes form a fixed random graph.
+ * <p>The selection is seeded with the name of the box, so that the boxes form a stable random graph.
  */
 public final class NeighbourSelector {
-    /** Neighbours in the own hall, at most. */
+    /** The limit of neighbours in the box's own hall. */
     public static final int MAX_IN_OWN_HALL = 10;
 
-    /** Neighbours in other halls, at most. */
+    /** The limit of neighbours in other halls. */
     public static final int MAX_IN_OTHER_HALLS = 3;
 
     private NeighbourSelector() {}
 
     /**
-     * Chooses neighbours.
+     * Selects neighbours.
      *
-     * @param self the box that chooses, not null
-     * @param allowed every box that may hold the same weights, not null
+     * @param self the box whose neighbours are selected, not null
+     * @param allowed all boxes that may hold the same weights, not null
      * @return the neighbours, without {@code self}, not null
      */
     public static List<Box> select(Box self, List<Box> allowed) {
@@ -38,8 +38,8 @@
         Random random = new Random(self.name().hashCode());
         Collections.shuffle(own, random);
         Collections.shuffle(other, random);
-        List<Box> chosen = new ArrayList<>(own.subList(0, Math.min(MAX_IN_OWN_HALL, own.size())));
-        chosen.addAll(other.subList(0, Math.min(MAX_IN_OTHER_HALLS, other.size())));
-        return chosen;
+        List<Box> selected = new ArrayList<>(own.subList(0, Math.min(MAX_IN_OWN_HALL, own.size())));
+        selected.addAll(other.subList(0, Math.min(MAX_IN_OTHER_HALLS, other.size())));
+        return selected;
     }
 }
--- a/core/src/main/java/org/bankturn/distribution/OriginBudget.java
+++ b/core/src/main/java/org/bankturn/distribution/OriginBudget.java
@@ -7,21 +7,21 @@
 import java.util.Set;
 
 /**
- * How often each chunk of one version was granted for drawing from the origin; part of the agreed state.
+ * Counts the grants to fetch each chunk of one version from the origin; part of the replicated state.
  *
- * <p>A box draws from the origin only with a grant and once per grant, and a grant counts when it is given, so no loss,
- * restart or change of leader lets more be drawn than {@link DistributionPolicy#MAXIMUM_ORIGIN_COPIES} copies.
+ * <p>Every fetch from the origin requires a grant, which is counted when it is given. So the limit of
+ * {@link DistributionPolicy#MAXIMUM_ORIGIN_COPIES} copies holds despite message loss, restarts and changes of leader.
  *
- * <p>OriginBudget is mutable and not thread-safe.
+ * <p>This class is mutable and not thread-safe.
  */
 public final class OriginBudget {
-    /** Grants under way at a time: enough to fill the origin's link, few enough that none waits long in its queue. */
+    /** The limit of grants in flight, high enough to saturate the origin's link without a long queue. */
     public static final int MAX_GRANTS_IN_FLIGHT = 12;
 
-    /** A grant counts as lost after this long at least, or after several times as long as grants take. */
+    /** The least time after which a grant counts as overdue; slow grants raise it to a multiple of the usual duration. */
     public static final long MIN_GRANT_TIMEOUT_MILLIS = 4_000;
 
-    private static final int REPAIR_FACTOR = 4;
+    private static final int TIMEOUT_FACTOR = 4;
     private static final int SMOOTHING = 8;
 
     private final int[] grants;
@@ -32,25 +32,25 @@
     private int total;
 
     /**
-     * What a snapshot keeps.
+     * The state of a budget in snapshots.
      *
-     * @param grants the grants by chunk, not null
-     * @param grantedMillis the leader's time of each chunk's last grant, not null
-     * @param holders the box that was last granted each chunk, null if none was, not null
-     * @param underWay the chunks whose last grant has not ended, as a bit set of little-endian longs, not null
-     * @param usualMillis how long grants have taken of late
+     * @param grants the number of grants by chunk, not null
+     * @param grantedMillis the time of the last grant by chunk, on the leader's clock, not null
+     * @param holders the box with the last grant by chunk, null entries without a grant, not null
+     * @param underWay the chunks whose last grant is in flight, as the longs of a bit set, not null
+     * @param usualMillis the moving average of the duration of grants
      */
     public record Snapshot(int[] grants, long[] grantedMillis, String[] holders, long[] underWay, long usualMillis) {}
 
     /**
-     * What a box asks for.
+     * A request of a box for grants.
      *
-     * @param box the box, not null
-     * @param unreachable the chunks that neither it nor any box it knows holds, not null
-     * @param wanted how many at most
-     * @param policy how many boxes may draw the same chunk, not null
-     * @param silentBoxes boxes that the leader no longer hears from, not null
-     * @param nowMillis the leader's time
+     * @param box the name of the box, not null
+     * @param unreachable the chunks that neither the box nor any of its neighbours holds, not null
+     * @param wanted the limit of chunks to grant
+     * @param policy the policy, which limits grants per chunk, not null
+     * @param silentBoxes the boxes without recent heartbeats, not null
+     * @param nowMillis the current time on the leader's clock
      */
     public record Request(
             String box,
@@ -61,9 +61,9 @@
             long nowMillis) {}
 
     /**
-     * Creates a budget with nothing granted.
+     * Creates a budget without grants.
      *
-     * @param chunkCount the number of chunks, from 1
+     * @param chunkCount the number of chunks, at least 1
      * @return the budget, not null
      */
     public static OriginBudget ofChunks(int chunkCount) {
@@ -71,9 +71,9 @@
     }
 
     /**
-     * Restores a budget.
+     * Restores a budget from a snapshot.
      *
-     * @param saved what {@link #save()} gave, not null
+     * @param saved the result of {@link #snapshot()}, not null
      * @return the budget, not null
      */
     public static OriginBudget restore(Snapshot saved) {
@@ -98,40 +98,40 @@
 
     // ---- queries
 
-    /** Returns what a snapshot keeps, not null. */
+    /** Returns a snapshot of this budget, not null. */
     public Snapshot snapshot() {
         return new Snapshot(
                 grants.clone(), grantedMillis.clone(), holders.clone(), underWay.toLongArray(), usualMillis);
     }
 
-    /** Returns the grants given, in copies of the whole version. */
+    /** Returns the number of grants, in copies of the whole version. */
     public double grantedCopies() {
         return (double) total / grants.length;
     }
 
     /**
-     * Tells whether {@link #grant} would grant anything, without doing so.
+     * Returns true if {@link #grant} would grant at least one chunk.
      *
-     * @param request what is asked for, not null
-     * @return true if at least one chunk would be granted
+     * @param request the request, not null
+     * @return true if a chunk would be granted
      */
     public boolean hasGrantFor(Request request) {
-        return hasRoom(request.nowMillis()) && next(request, List.of()).isPresent();
+        return hasCapacity(request.nowMillis()) && nextChunk(request, List.of()).isPresent();
     }
 
     // ---- commands
 
     /**
-     * Takes in that draws have ended, which makes room for others.
+     * Completes grants, which frees capacity for others.
      *
-     * @param kept the chunks that the box now holds, not null
-     * @param failed the chunks that did not arrive or did not match, which may be granted again, not null
-     * @param nowMillis the leader's time
+     * @param stored the chunks that the box has stored, not null
+     * @param failed the chunks that were lost or corrupt, which may be granted again, not null
+     * @param nowMillis the current time on the leader's clock
      */
-    public void completeGrants(BitSet kept, BitSet failed, long nowMillis) {
-        kept.stream().filter(underWay::get).forEach(chunk -> {
-            long took = nowMillis - grantedMillis[chunk];
-            usualMillis += (took - usualMillis) / SMOOTHING;
+    public void completeGrants(BitSet stored, BitSet failed, long nowMillis) {
+        stored.stream().filter(underWay::get).forEach(chunk -> {
+            long durationMillis = nowMillis - grantedMillis[chunk];
+            usualMillis += (durationMillis - usualMillis) / SMOOTHING;
             underWay.clear(chunk);
         });
         failed.stream().filter(underWay::get).forEach(chunk -> {
@@ -141,19 +141,19 @@
     }
 
     /**
-     * Grants chunks, least granted first.
+     * Grants chunks, those with the fewest grants first.
      *
-     * @param request what is asked for, not null
-     * @return the chunks granted, maybe none, not null
+     * @param request the request, not null
+     * @return the granted chunks, may be empty, not null
      */
     public List<Integer> grant(Request request) {
         List<Integer> granted = new ArrayList<>();
-        while (granted.size() < request.wanted() && hasRoom(request.nowMillis())) {
-            Optional<Integer> next = next(request, granted);
-            if (next.isEmpty()) {
+        while (granted.size() < request.wanted() && hasCapacity(request.nowMillis())) {
+            Optional<Integer> nextChunk = nextChunk(request, granted);
+            if (nextChunk.isEmpty()) {
                 break;
             }
-            int chunk = next.get();
+            int chunk = nextChunk.get();
             grants[chunk]++;
             grantedMillis[chunk] = request.nowMillis();
             holders[chunk] = request.box();
@@ -164,35 +164,35 @@
         return granted;
     }
 
-    private boolean hasRoom(long nowMillis) {
-        long live =
+    private boolean hasCapacity(long nowMillis) {
+        long activeGrants =
                 underWay.stream().filter(chunk -> !isOverdue(chunk, nowMillis)).count();
-        return live < MAX_GRANTS_IN_FLIGHT && total < grants.length * DistributionPolicy.MAXIMUM_ORIGIN_COPIES;
+        return activeGrants < MAX_GRANTS_IN_FLIGHT && total < grants.length * DistributionPolicy.MAXIMUM_ORIGIN_COPIES;
     }
 
     private boolean isOverdue(int chunk, long nowMillis) {
-        long limit = Math.max(MIN_GRANT_TIMEOUT_MILLIS, REPAIR_FACTOR * usualMillis);
+        long limit = Math.max(MIN_GRANT_TIMEOUT_MILLIS, TIMEOUT_FACTOR * usualMillis);
         return nowMillis - grantedMillis[chunk] >= limit;
     }
 
-    /** A chunk is lost if its draw failed or takes too long, or if the box that drew it last fell silent. */
+    /** Returns true if the last fetch of a chunk failed or is overdue, or if its holder has gone silent. */
     private boolean isLost(int chunk, Request request) {
         if (holders[chunk] == null) {
             return true;
         }
-        boolean late = isOverdue(chunk, request.nowMillis());
-        return late && (underWay.get(chunk) || request.silentBoxes().contains(holders[chunk]));
+        boolean overdue = isOverdue(chunk, request.nowMillis());
+        return overdue && (underWay.get(chunk) || request.silentBoxes().contains(holders[chunk]));
     }
 
-    private Optional<Integer> next(Request request, List<Integer> taken) {
+    private Optional<Integer> nextChunk(Request request, List<Integer> taken) {
         int best = -1;
         BitSet unreachable = request.unreachable();
         for (int chunk = unreachable.nextSetBit(0);
                 chunk >= 0 && chunk < grants.length;
                 chunk = unreachable.nextSetBit(chunk + 1)) {
-            boolean firstPass = grants[chunk] < request.policy().maxCopiesPerChunk();
-            boolean open = (firstPass || isLost(chunk, request)) && !taken.contains(chunk);
-            if (open && (best < 0 || grants[chunk] < grants[best])) {
+            boolean belowPolicyLimit = grants[chunk] < request.policy().maxCopiesPerChunk();
+            boolean eligible = (belowPolicyLimit || isLost(chunk, request)) && !taken.contains(chunk);
+            if (eligible && (best < 0 || grants[chunk] < grants[best])) {
                 best = chunk;
             }
         }
--- a/core/src/main/java/org/bankturn/distribution/package-info.java
+++ b/core/src/main/java/org/bankturn/distribution/package-info.java
@@ -1,4 +1,2 @@
-/**
- * Moving weights: manifests, verified chunk files, which chunk to take from whom, and the budget of the origin. Sizes are in bytes, rates in bytes a second.
- */
+/** Chunked distribution of weights: manifests, verified chunk files, chunk selection and the budget of the origin. */
 package org.bankturn.distribution;
