--- a/core/src/test/java/org/bankturn/distribution/DistributionTest.java
+++ b/core/src/test/java/org/bankturn/distribution/DistributionTest.java
@@ -41,7 +41,7 @@
     }
 
     @Test
-    void a_manifest_that_does_not_match_its_name_is_not_read() {
+    void manifest_with_wrong_digest_is_rejected() {
         Manifest manifest = manifest();
         assertThat(Manifest.parse(manifest.text(), manifest.digest())).isPresent();
         assertThat(Manifest.parse(manifest.text().replace("7", "8"), manifest.digest()))
@@ -49,7 +49,7 @@
     }
 
     @Test
-    void a_corrupt_chunk_is_neither_kept_nor_handed_out() throws IOException {
+    void corrupt_chunk_is_neither_stored_nor_readable() throws IOException {
         try (ChunkFile file = ChunkFile.open(folder, manifest())) {
             assertThat(file.store(0, new byte[] {1, 2, 9})).isFalse();
             assertThat(file.read(0)).isNull();
@@ -61,7 +61,7 @@
     }
 
     @Test
-    void what_is_on_the_disk_after_a_restart_is_checked_again() throws IOException {
+    void stored_chunks_are_verified_on_open() throws IOException {
         Path path;
         try (ChunkFile file = ChunkFile.open(folder, manifest())) {
             for (int number = 0; number < 3; number++) {
@@ -79,7 +79,7 @@
     }
 
     @Test
-    void damage_after_the_chunks_were_kept_is_found_before_the_copy_counts_as_whole() throws IOException {
+    void corruption_of_stored_chunks_is_detected_by_verification() throws IOException {
         try (ChunkFile file = ChunkFile.open(folder, manifest())) {
             for (int number = 0; number < 3; number++) {
                 file.store(number, chunk(number));
@@ -93,7 +93,7 @@
 
     private static OriginBudget.Request request(
             BitSet unreachable, int wanted, DistributionPolicy policy, long nowMillis) {
-        return new OriginBudget.Request("asker", unreachable, wanted, policy, Set.of("silent"), nowMillis);
+        return new OriginBudget.Request("requester", unreachable, wanted, policy, Set.of("silent"), nowMillis);
     }
 
     private static List<Integer> grant(OriginBudget budget, BitSet unreachable, int wanted, long nowMillis) {
@@ -101,7 +101,7 @@
     }
 
     @Test
-    void preferring_origin_bytes_grants_each_chunk_once() {
+    void origin_bytes_policy_grants_each_chunk_once() {
         OriginBudget budget = OriginBudget.ofChunks(8);
         assertThat(grant(budget, bits(8), 5, 0)).hasSize(5);
         assertThat(grant(budget, bits(8), 5, 1)).hasSize(3);
@@ -113,7 +113,7 @@
     }
 
     @Test
-    void a_chunk_is_granted_again_when_its_draw_failed_or_its_holder_fell_silent() {
+    void failed_or_lost_chunk_is_granted_again() {
         OriginBudget budget = OriginBudget.ofChunks(8);
         budget.grant(new OriginBudget.Request("silent", bits(2), 2, DistributionPolicy.ORIGIN_BYTES, Set.of(), 0));
         BitSet kept = new BitSet();
@@ -128,7 +128,7 @@
     }
 
     @Test
-    void no_policy_and_no_repair_grants_more_than_four_copies() {
+    void grants_never_exceed_maximum_origin_copies() {
         for (DistributionPolicy policy : DistributionPolicy.values()) {
             OriginBudget budget = OriginBudget.ofChunks(8);
             for (int round = 0; round < 100; round++) {
@@ -141,7 +141,7 @@
     }
 
     @Test
-    void grants_keep_to_what_the_link_of_the_origin_carries_and_a_slow_origin_is_not_taken_for_a_lost_box() {
+    void grants_in_flight_are_limited_and_timeout_adapts_to_slow_origin() {
         OriginBudget budget = OriginBudget.ofChunks(100);
         List<Integer> first = grant(budget, bits(100), 100, 0);
         assertThat(first).hasSize(OriginBudget.MAX_GRANTS_IN_FLIGHT);
@@ -153,7 +153,7 @@
     }
 
     @Test
-    void the_rarest_chunk_goes_first_and_no_neighbour_is_asked_for_too_much() {
+    void rarest_chunk_is_first_and_transfers_per_neighbour_are_limited() {
         ChunkPlanner planner = planner(4);
         planner.updateNeighbour("one", bits(4));
         planner.updateNeighbour("two", bits(3));
@@ -170,7 +170,7 @@
     }
 
     @Test
-    void a_neighbour_that_sends_corrupt_chunks_is_not_asked_again() {
+    void neighbour_with_corrupt_chunks_is_not_used_again() {
         ChunkPlanner planner = planner(8);
         planner.updateNeighbour("bad", bits(8));
         for (int time = 0; time < ChunkPlanner.CORRUPT_LIMIT; time++) {
@@ -182,7 +182,7 @@
     }
 
     @Test
-    void a_neighbour_whose_link_is_taken_is_left_alone_for_a_while() {
+    void busy_neighbour_is_not_used_for_a_while() {
         ChunkPlanner planner = planner(4);
         planner.updateNeighbour("busy", bits(4));
         planner.transferEnded(planner.nextTransfer(0).orElseThrow(), TransferOutcome.BUSY, 0);
@@ -197,7 +197,7 @@
     }
 
     @Test
-    void a_link_is_never_filled_beyond_its_rate() {
+    void rate_limit_is_never_exceeded() {
         ManualClock clock = ManualClock.startingAt(0);
         LinkRateLimiter link = LinkRateLimiter.of(1_000, 0, clock);
         assertThat(link.delayMillis(500)).isEqualTo(500);
