--- a/core/src/main/java/org/bankturn/state/ReplicatedState.java
+++ b/core/src/main/java/org/bankturn/state/ReplicatedState.java
@@ -46,7 +46,7 @@
             List<FileRecord> history,
             List<Lease> leases,
             List<Claim> claims,
-            Map<String, OriginBudget.Saved> originBudgets) {}
+            Map<String, OriginBudget.Snapshot> originBudgets) {}
 
     /** Returns the initial state, not null. */
     public static ReplicatedState empty() {
@@ -130,8 +130,8 @@
 
     /** Returns the encoded state, not null. */
     public byte[] snapshot() {
-        Map<String, OriginBudget.Saved> budgets = new HashMap<>();
-        originBudgets.forEach((manifest, budget) -> budgets.put(manifest, budget.save()));
+        Map<String, OriginBudget.Snapshot> budgets = new HashMap<>();
+        originBudgets.forEach((manifest, budget) -> budgets.put(manifest, budget.snapshot()));
         return MessagePackCodec.instance()
                 .encode(new EncodedState(
                         configuration.index(),
@@ -259,7 +259,7 @@
     private CommandResult grantOrigin(Command.GrantOrigin grant) {
         OriginBudget budget =
                 originBudgets.computeIfAbsent(grant.manifest(), manifest -> OriginBudget.ofChunks(grant.chunkCount()));
-        budget.ended(BitSet.valueOf(grant.kept()), BitSet.valueOf(grant.failed()), grant.nowMillis());
+        budget.completeGrants(BitSet.valueOf(grant.kept()), BitSet.valueOf(grant.failed()), grant.nowMillis());
         return new CommandResult.OriginGranted(budget.grant(grant.request()));
     }
 }
--- a/core/src/test/java/org/bankturn/distribution/DistributionTest.java
+++ b/core/src/test/java/org/bankturn/distribution/DistributionTest.java
@@ -11,8 +11,8 @@
 import java.util.Set;
 import org.apache.commons.rng.simple.RandomSource;
 import org.bankturn.configuration.Digest;
-import org.bankturn.distribution.ChunkPlanner.Ending;
 import org.bankturn.distribution.ChunkPlanner.Transfer;
+import org.bankturn.distribution.ChunkPlanner.TransferOutcome;
 import org.bankturn.time.ManualClock;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
@@ -41,7 +41,7 @@
     }
 
     @Test
-    void a_manifest_that_does_not_match_its_name_is_not_read() {
+    void manifest_with_wrong_digest_is_rejected() {
         Manifest manifest = manifest();
         assertThat(Manifest.parse(manifest.text(), manifest.digest())).isPresent();
         assertThat(Manifest.parse(manifest.text().replace("7", "8"), manifest.digest()))
@@ -49,145 +49,147 @@
     }
 
     @Test
-    void a_corrupt_chunk_is_neither_kept_nor_handed_out() throws IOException {
+    void corrupt_chunk_is_neither_stored_nor_readable() throws IOException {
         try (ChunkFile file = ChunkFile.open(folder, manifest())) {
-            assertThat(file.keep(0, new byte[] {1, 2, 9})).isFalse();
+            assertThat(file.store(0, new byte[] {1, 2, 9})).isFalse();
             assertThat(file.read(0)).isNull();
-            assertThat(file.keep(0, chunk(0))).isTrue();
+            assertThat(file.store(0, chunk(0))).isTrue();
             assertThat(file.read(0)).containsExactly(1, 2, 3);
             assertThat(file.isComplete()).isFalse();
-            assertThat(file.verifyWhole()).isFalse();
+            assertThat(file.verifyAll()).isFalse();
         }
     }
 
     @Test
-    void what_is_on_the_disk_after_a_restart_is_checked_again() throws IOException {
+    void stored_chunks_are_verified_on_open() throws IOException {
         Path path;
         try (ChunkFile file = ChunkFile.open(folder, manifest())) {
             for (int number = 0; number < 3; number++) {
-                file.keep(number, chunk(number));
+                file.store(number, chunk(number));
             }
-            assertThat(file.verifyWhole()).isTrue();
+            assertThat(file.verifyAll()).isTrue();
             path = file.path();
         }
         byte[] damaged = Files.readAllBytes(path);
         damaged[4] = 99;
         Files.write(path, damaged);
         try (ChunkFile reopened = ChunkFile.open(folder, manifest())) {
-            assertThat(reopened.kept()).isEqualTo(BitSet.valueOf(new long[] {0b101}));
+            assertThat(reopened.storedChunks()).isEqualTo(BitSet.valueOf(new long[] {0b101}));
         }
     }
 
     @Test
-    void damage_after_the_chunks_were_kept_is_found_before_the_copy_counts_as_whole() throws IOException {
+    void corruption_of_stored_chunks_is_detected_by_verification() throws IOException {
         try (ChunkFile file = ChunkFile.open(folder, manifest())) {
             for (int number = 0; number < 3; number++) {
-                file.keep(number, chunk(number));
+                file.store(number, chunk(number));
             }
             byte[] damaged = Files.readAllBytes(file.path());
             damaged[0] = 99;
             Files.write(file.path(), damaged);
-            assertThat(file.verifyWhole()).isFalse();
+            assertThat(file.verifyAll()).isFalse();
         }
     }
 
-    private static OriginBudget.Request request(BitSet unreachable, int wanted, BurstPolicy policy, long nowMillis) {
-        return new OriginBudget.Request("asker", unreachable, wanted, policy, Set.of("silent"), nowMillis);
+    private static OriginBudget.Request request(
+            BitSet unreachable, int wanted, DistributionPolicy policy, long nowMillis) {
+        return new OriginBudget.Request("requester", unreachable, wanted, policy, Set.of("silent"), nowMillis);
     }
 
     private static List<Integer> grant(OriginBudget budget, BitSet unreachable, int wanted, long nowMillis) {
-        return budget.grant(request(unreachable, wanted, BurstPolicy.ORIGIN_BYTES, nowMillis));
+        return budget.grant(request(unreachable, wanted, DistributionPolicy.ORIGIN_BYTES, nowMillis));
     }
 
     @Test
-    void preferring_origin_bytes_grants_each_chunk_once() {
+    void origin_bytes_policy_grants_each_chunk_once() {
         OriginBudget budget = OriginBudget.ofChunks(8);
         assertThat(grant(budget, bits(8), 5, 0)).hasSize(5);
         assertThat(grant(budget, bits(8), 5, 1)).hasSize(3);
-        budget.ended(bits(8), new BitSet(), 2);
-        long later = 10 * OriginBudget.REPAIR_MILLIS;
+        budget.completeGrants(bits(8), new BitSet(), 2);
+        long later = 10 * OriginBudget.MIN_GRANT_TIMEOUT_MILLIS;
         assertThat(grant(budget, bits(8), 5, later)).isEmpty();
-        assertThat(budget.hasGrantFor(request(bits(8), 1, BurstPolicy.ORIGIN_BYTES, later)))
+        assertThat(budget.hasGrantFor(request(bits(8), 1, DistributionPolicy.ORIGIN_BYTES, later)))
                 .isFalse();
     }
 
     @Test
-    void a_chunk_is_granted_again_when_its_draw_failed_or_its_holder_fell_silent() {
+    void failed_or_lost_chunk_is_granted_again() {
         OriginBudget budget = OriginBudget.ofChunks(8);
-        budget.grant(new OriginBudget.Request("silent", bits(2), 2, BurstPolicy.ORIGIN_BYTES, Set.of(), 0));
+        budget.grant(new OriginBudget.Request("silent", bits(2), 2, DistributionPolicy.ORIGIN_BYTES, Set.of(), 0));
         BitSet kept = new BitSet();
         kept.set(0);
         BitSet failed = new BitSet();
         failed.set(1);
-        budget.ended(kept, failed, 10);
+        budget.completeGrants(kept, failed, 10);
         assertThat(grant(budget, bits(2), 5, 20)).containsExactly(1);
-        assertThat(grant(budget, bits(1), 5, 20 + OriginBudget.REPAIR_MILLIS)).containsExactly(0);
+        assertThat(grant(budget, bits(1), 5, 20 + OriginBudget.MIN_GRANT_TIMEOUT_MILLIS))
+                .containsExactly(0);
         assertThat(budget.grantedCopies()).isEqualTo(4.0 / 8);
     }
 
     @Test
-    void no_policy_and_no_repair_grants_more_than_four_copies() {
-        for (BurstPolicy policy : BurstPolicy.values()) {
+    void grants_never_exceed_maximum_origin_copies() {
+        for (DistributionPolicy policy : DistributionPolicy.values()) {
             OriginBudget budget = OriginBudget.ofChunks(8);
             for (int round = 0; round < 100; round++) {
-                budget.grant(request(bits(8), 8, policy, round * OriginBudget.REPAIR_MILLIS));
-                budget.ended(new BitSet(), bits(8), round * OriginBudget.REPAIR_MILLIS);
-                budget = OriginBudget.restore(budget.save());
+                budget.grant(request(bits(8), 8, policy, round * OriginBudget.MIN_GRANT_TIMEOUT_MILLIS));
+                budget.completeGrants(new BitSet(), bits(8), round * OriginBudget.MIN_GRANT_TIMEOUT_MILLIS);
+                budget = OriginBudget.restore(budget.snapshot());
             }
-            assertThat(budget.grantedCopies()).isEqualTo(BurstPolicy.MAXIMUM_ORIGIN_COPIES);
+            assertThat(budget.grantedCopies()).isEqualTo(DistributionPolicy.MAXIMUM_ORIGIN_COPIES);
         }
     }
 
     @Test
-    void grants_keep_to_what_the_link_of_the_origin_carries_and_a_slow_origin_is_not_taken_for_a_lost_box() {
+    void grants_in_flight_are_limited_and_timeout_adapts_to_slow_origin() {
         OriginBudget budget = OriginBudget.ofChunks(100);
         List<Integer> first = grant(budget, bits(100), 100, 0);
-        assertThat(first).hasSize(OriginBudget.MOST_UNDER_WAY);
+        assertThat(first).hasSize(OriginBudget.MAX_GRANTS_IN_FLIGHT);
         assertThat(grant(budget, bits(100), 1, 1)).isEmpty();
-        budget.ended(bits(100), new BitSet(), 30_000);
+        budget.completeGrants(bits(100), new BitSet(), 30_000);
         grant(budget, bits(100), 100, 30_000);
-        assertThat(grant(budget, bits(100), 1, 30_000 + 2 * OriginBudget.REPAIR_MILLIS))
+        assertThat(grant(budget, bits(100), 1, 30_000 + 2 * OriginBudget.MIN_GRANT_TIMEOUT_MILLIS))
                 .isEmpty();
     }
 
     @Test
-    void the_rarest_chunk_goes_first_and_no_neighbour_is_asked_for_too_much() {
+    void rarest_chunk_is_first_and_transfers_per_neighbour_are_limited() {
         ChunkPlanner planner = planner(4);
-        planner.neighbourHolds("one", bits(4));
-        planner.neighbourHolds("two", bits(3));
-        Transfer first = planner.next(0).orElseThrow();
+        planner.updateNeighbour("one", bits(4));
+        planner.updateNeighbour("two", bits(3));
+        Transfer first = planner.nextTransfer(0).orElseThrow();
         assertThat(first).isEqualTo(new Transfer(3, "one"));
         List<Transfer> rest = new ArrayList<>();
-        planner.next(0).ifPresent(rest::add);
-        planner.next(0).ifPresent(rest::add);
-        planner.next(0).ifPresent(rest::add);
+        planner.nextTransfer(0).ifPresent(rest::add);
+        planner.nextTransfer(0).ifPresent(rest::add);
+        planner.nextTransfer(0).ifPresent(rest::add);
         assertThat(rest).hasSize(3);
         assertThat(rest.stream().filter(transfer -> transfer.neighbour().equals("one")))
                 .hasSize(1);
-        assertThat(planner.next(0)).isEmpty();
+        assertThat(planner.nextTransfer(0)).isEmpty();
     }
 
     @Test
-    void a_neighbour_that_sends_corrupt_chunks_is_not_asked_again() {
+    void neighbour_with_corrupt_chunks_is_not_used_again() {
         ChunkPlanner planner = planner(8);
-        planner.neighbourHolds("bad", bits(8));
+        planner.updateNeighbour("bad", bits(8));
         for (int time = 0; time < ChunkPlanner.CORRUPT_LIMIT; time++) {
-            planner.ended(planner.next(0).orElseThrow(), Ending.CORRUPT, 0);
+            planner.transferEnded(planner.nextTransfer(0).orElseThrow(), TransferOutcome.CORRUPT, 0);
         }
-        planner.neighbourHolds("bad", bits(8));
-        assertThat(planner.next(0)).isEmpty();
+        planner.updateNeighbour("bad", bits(8));
+        assertThat(planner.nextTransfer(0)).isEmpty();
         assertThat(planner.unreachable()).isEqualTo(bits(8));
     }
 
     @Test
-    void a_neighbour_whose_link_is_taken_is_left_alone_for_a_while() {
+    void busy_neighbour_is_not_used_for_a_while() {
         ChunkPlanner planner = planner(4);
-        planner.neighbourHolds("busy", bits(4));
-        planner.ended(planner.next(0).orElseThrow(), Ending.BUSY, 0);
-        assertThat(planner.next(0)).isEmpty();
-        planner.neighbourHolds("free", bits(1));
-        assertThat(planner.next(1)).contains(new Transfer(0, "free"));
-        assertThat(planner.next(ChunkPlanner.BUSY_MILLIS)).isPresent();
+        planner.updateNeighbour("busy", bits(4));
+        planner.transferEnded(planner.nextTransfer(0).orElseThrow(), TransferOutcome.BUSY, 0);
+        assertThat(planner.nextTransfer(0)).isEmpty();
+        planner.updateNeighbour("free", bits(1));
+        assertThat(planner.nextTransfer(1)).contains(new Transfer(0, "free"));
+        assertThat(planner.nextTransfer(ChunkPlanner.BUSY_MILLIS)).isPresent();
     }
 
     private static ChunkPlanner planner(int chunks) {
@@ -195,9 +197,9 @@
     }
 
     @Test
-    void a_link_is_never_filled_beyond_its_rate() {
+    void rate_limit_is_never_exceeded() {
         ManualClock clock = ManualClock.startingAt(0);
-        LinkLimit link = LinkLimit.of(1_000, 0, clock);
+        LinkRateLimiter link = LinkRateLimiter.of(1_000, 0, clock);
         assertThat(link.delayMillis(500)).isEqualTo(500);
         assertThat(link.delayMillis(500)).isEqualTo(1_000);
         clock.advance(2_000);
--- a/daemon/src/main/java/org/bankturn/daemon/target/ChunkServer.java
+++ b/daemon/src/main/java/org/bankturn/daemon/target/ChunkServer.java
@@ -12,7 +12,7 @@
 import org.bankturn.daemon.wire.NodeReply;
 import org.bankturn.daemon.wire.NodeRequest;
 import org.bankturn.distribution.ChunkFile;
-import org.bankturn.distribution.LinkLimit;
+import org.bankturn.distribution.LinkRateLimiter;
 
 /**
  * Serves the chunks that this box holds to its peers, no faster than its link allows.
@@ -23,11 +23,11 @@
     private static final long NEWS_PAUSE_MILLIS = 20;
 
     private final Executor files;
-    private final LinkLimit upload;
+    private final LinkRateLimiter upload;
     private final Map<String, ChunkFile> served = new HashMap<>();
     private List<SettablePromise<Void>> waiting = new ArrayList<>();
 
-    ChunkServer(Executor files, LinkLimit upload) {
+    ChunkServer(Executor files, LinkRateLimiter upload) {
         this.files = files;
         this.upload = upload;
     }
@@ -86,12 +86,12 @@
 
     private int countOf(String manifest) {
         ChunkFile file = served.get(manifest);
-        return file == null ? 0 : file.kept().cardinality();
+        return file == null ? 0 : file.storedChunks().cardinality();
     }
 
     private NodeReply holdsReply(String manifest) {
         ChunkFile file = served.get(manifest);
-        BitSet kept = file == null ? new BitSet() : file.kept();
+        BitSet kept = file == null ? new BitSet() : file.storedChunks();
         return new NodeReply.Holds(kept.toLongArray(), kept.cardinality());
     }
 }
--- a/daemon/src/main/java/org/bankturn/daemon/target/VersionCopy.java
+++ b/daemon/src/main/java/org/bankturn/daemon/target/VersionCopy.java
@@ -22,8 +22,8 @@
 import org.bankturn.daemon.wire.NodeRequest;
 import org.bankturn.distribution.ChunkFile;
 import org.bankturn.distribution.ChunkPlanner;
-import org.bankturn.distribution.ChunkPlanner.Ending;
 import org.bankturn.distribution.ChunkPlanner.Transfer;
+import org.bankturn.distribution.ChunkPlanner.TransferOutcome;
 import org.bankturn.distribution.Manifest;
 import org.bankturn.result.ResultCode;
 import org.bankturn.state.command.Command;
@@ -171,7 +171,7 @@
     private ChunkPlanner newPlanner() {
         return ChunkPlanner.of(
                 file.manifest().chunkCount(),
-                file.kept(),
+                file.storedChunks(),
                 TRANSFERS_PER_NEIGHBOUR,
                 RandomSource.XO_RO_SHI_RO_128_PP.create());
     }
@@ -185,11 +185,11 @@
                 .ask(nodeAddress(neighbour), request, HOLDS_TIMEOUT_MILLIS)
                 .whenComplete((reply, failure) -> {
                     if (reply instanceof NodeReply.Holds holds) {
-                        planner.neighbourHolds(neighbour.name(), BitSet.valueOf(holds.chunks()));
+                        planner.updateNeighbour(neighbour.name(), BitSet.valueOf(holds.chunks()));
                         pump();
                         followHolds(neighbour, holds.count());
                     } else {
-                        planner.neighbourLost(neighbour.name());
+                        planner.clearNeighbour(neighbour.name());
                         Promises.delay(RETRY_MILLIS).whenResult(() -> followHolds(neighbour, -1));
                     }
                 });
@@ -205,7 +205,7 @@
             return;
         }
         while (transfers < TRANSFERS_AT_ONCE) {
-            Optional<Transfer> next = planner.next(context.clock().millis());
+            Optional<Transfer> next = planner.nextTransfer(context.clock().millis());
             if (next.isEmpty()) {
                 break;
             }
@@ -225,42 +225,42 @@
         NodeRequest request = new NodeRequest.GetChunk(version.manifest(), transfer.chunk());
         context.clients()
                 .ask(nodeAddress(neighbour), request, CHUNK_TIMEOUT_MILLIS)
-                .then(reply -> receivedFromPeer(transfer.chunk(), reply), failure -> Promise.of(Ending.FAILED))
+                .then(reply -> receivedFromPeer(transfer.chunk(), reply), failure -> Promise.of(TransferOutcome.FAILED))
                 .whenComplete((ending, failure) -> {
-                    Ending known = failure == null ? ending : Ending.FAILED;
-                    planner.ended(transfer, known, context.clock().millis());
+                    TransferOutcome known = failure == null ? ending : TransferOutcome.FAILED;
+                    planner.transferEnded(transfer, known, context.clock().millis());
                     transfers--;
                     pump();
-                    if (known == Ending.BUSY) {
+                    if (known == TransferOutcome.BUSY) {
                         Promises.delay(ChunkPlanner.BUSY_MILLIS).whenResult(this::pump);
                     }
                 });
     }
 
-    private Promise<Ending> receivedFromPeer(int chunk, NodeReply reply) {
+    private Promise<TransferOutcome> receivedFromPeer(int chunk, NodeReply reply) {
         if (!(reply instanceof NodeReply.Chunk answer)) {
-            return Promise.of(Ending.FAILED);
+            return Promise.of(TransferOutcome.FAILED);
         }
         if (answer.bytes() == null) {
-            return Promise.of(answer.busy() ? Ending.BUSY : Ending.FAILED);
+            return Promise.of(answer.busy() ? TransferOutcome.BUSY : TransferOutcome.FAILED);
         }
         return keep(chunk, answer.bytes(), "peer");
     }
 
     /** Waits until the own link would have let the bytes through, checks them and keeps them. */
-    private Promise<Ending> keep(int chunk, byte[] bytes, String source) {
+    private Promise<TransferOutcome> keep(int chunk, byte[] bytes, String source) {
         long delay = context.download().arrivalDelayMillis(bytes.length);
         return Promises.delay(delay)
-                .then(nothing -> Promise.ofBlocking(context.files(), () -> file.keep(chunk, bytes)))
+                .then(nothing -> Promise.ofBlocking(context.files(), () -> file.store(chunk, bytes)))
                 .map(kept -> {
                     if (kept) {
                         context.telemetry().chunkKept(source, bytes.length);
                         server.chunkKept();
-                        return Ending.KEPT;
+                        return TransferOutcome.KEPT;
                     }
                     context.telemetry().chunkRejected(source);
                     LOG.log(Level.WARNING, ResultCode.CHUNK_CORRUPT.number() + " chunk " + chunk + " from " + source);
-                    return Ending.CORRUPT;
+                    return TransferOutcome.CORRUPT;
                 })
                 .whenException(IOException.class, this::fail);
     }
@@ -319,16 +319,16 @@
             return;
         }
         originDraws++;
-        planner.originBegun(chunk);
+        planner.originFetchStarted(chunk);
         context.origin()
                 .chunk(version.origin(), file.manifest(), chunk)
-                .then(bytes -> keep(chunk, bytes, "origin"), failure -> Promise.of(Ending.FAILED))
+                .then(bytes -> keep(chunk, bytes, "origin"), failure -> Promise.of(TransferOutcome.FAILED))
                 .whenComplete((ending, failure) -> {
                     originDraws--;
-                    Ending known = failure == null ? ending : Ending.FAILED;
-                    (known == Ending.KEPT ? originKept : originFailed).set(chunk);
-                    planner.originEnded(chunk, known);
-                    if (ending == Ending.CORRUPT && ++originCorrupt >= ORIGIN_CORRUPT_LIMIT) {
+                    TransferOutcome known = failure == null ? ending : TransferOutcome.FAILED;
+                    (known == TransferOutcome.KEPT ? originKept : originFailed).set(chunk);
+                    planner.originFetchEnded(chunk, known);
+                    if (ending == TransferOutcome.CORRUPT && ++originCorrupt >= ORIGIN_CORRUPT_LIMIT) {
                         fail(new CopyStoppedException(ResultCode.ORIGIN_CORRUPT));
                         return;
                     }
@@ -343,7 +343,7 @@
             return;
         }
         verifying = true;
-        Promise.ofBlocking(context.files(), file::verifyWhole).whenComplete((isWhole, failure) -> {
+        Promise.ofBlocking(context.files(), file::verifyAll).whenComplete((isWhole, failure) -> {
             verifying = false;
             if (failure != null) {
                 fail(failure);
--- a/daemon/src/test/java/org/bankturn/daemon/weights/ScriptedBox.java
+++ b/daemon/src/test/java/org/bankturn/daemon/weights/ScriptedBox.java
@@ -18,21 +18,21 @@
 import org.bankturn.daemon.wire.NodeRequest;
 import org.bankturn.service.WeightsLayout;
 import org.bankturn.time.Clock;
-import org.bankturn.weights.PieceHolder;
 import org.bankturn.weights.PieceRouting;
+import org.bankturn.weights.WeightsPeer;
 
-/** A box with an engine in memory and a copy on its way; its neighbours are boxes of the same test. */
-final class ScriptedBox implements WeightsSurroundings {
+/** A simulated box with an in-memory engine and one copy of weights; its neighbours are the other boxes of the test. */
+final class ScriptedBox implements CopyContext {
     private static final int FETCHERS = 100;
 
-    final PieceHolder self;
+    final WeightsPeer self;
     final Map<Integer, byte[]> staged = new HashMap<>();
     final List<String> orders = new ArrayList<>();
-    final Set<Integer> rotsOnce = new HashSet<>();
-    final Set<Integer> rotsAlways = new HashSet<>();
+    final Set<Integer> corruptOnce = new HashSet<>();
+    final Set<Integer> alwaysCorrupt = new HashSet<>();
     boolean frozen;
     boolean relay;
-    final Map<String, Integer> waitsFor = new HashMap<>();
+    final Map<String, Integer> awaitCounts = new HashMap<>();
     WeightsCopy copy;
     private final Eventloop reactor;
     private final ScriptedOrigin origin;
@@ -41,7 +41,7 @@
     private final DecisionLog log = DecisionLog.startTo(OutputStream.nullOutputStream(), "box", clock);
     private final ServingMetrics metrics = ServingMetrics.of(log);
 
-    ScriptedBox(Eventloop reactor, ScriptedOrigin origin, Map<String, ScriptedBox> boxes, PieceHolder self) {
+    ScriptedBox(Eventloop reactor, ScriptedOrigin origin, Map<String, ScriptedBox> boxes, WeightsPeer self) {
         this.reactor = reactor;
         this.origin = origin;
         this.boxes = boxes;
@@ -49,10 +49,10 @@
         boxes.put(self.box(), this);
     }
 
-    void begin(int pieces) {
+    void startCopy(int pieces) {
         copy = new WeightsCopy(
                 this, new WeightsLayout(PlainWeightsDialect.MODEL, 1, pieces, 100), PlainWeightsDialect.VERSION);
-        copy.begin();
+        copy.start();
     }
 
     @Override
@@ -87,13 +87,13 @@
 
     @Override
     public PieceRouting routing(int version) {
-        List<PieceHolder> relays = holders(true);
+        List<WeightsPeer> relays = holders(true);
         return relay
-                ? PieceRouting.of(self, relays, version, FETCHERS).withHoldersAmong(holders(false))
+                ? PieceRouting.of(self, relays, version, FETCHERS).withPossibleHolders(holders(false))
                 : PieceRouting.of(self, holders(false), version, FETCHERS).withRelays(relays);
     }
 
-    private List<PieceHolder> holders(boolean relays) {
+    private List<WeightsPeer> holders(boolean relays) {
         return boxes.values().stream()
                 .filter(box -> box.relay == relays)
                 .map(box -> box.self)
@@ -101,13 +101,13 @@
     }
 
     @Override
-    public int originCallsAtOnce() {
+    public int maxOriginCalls() {
         return 1;
     }
 
     @Override
     public boolean wants(int version, int piece) {
-        return !relay || routing(version).fetchesIntoHall(piece);
+        return !relay || routing(version).isHallFetcher(piece);
     }
 
     @Override
@@ -124,13 +124,13 @@
     }
 
     @Override
-    public Promise<HttpCalls.Answer> askEngine(HttpHead head) {
+    public Promise<HttpCalls.Answer> queryEngine(HttpHead head) {
         return callEngine(head, new byte[0]);
     }
 
     private void put(int piece, byte[] body) {
-        boolean rots = rotsAlways.contains(piece) || rotsOnce.remove(piece);
-        staged.put(piece, rots ? new byte[] {7} : body);
+        boolean corrupt = alwaysCorrupt.contains(piece) || corruptOnce.remove(piece);
+        staged.put(piece, corrupt ? new byte[] {7} : body);
     }
 
     @Override
@@ -139,27 +139,27 @@
     }
 
     @Override
-    public Promise<byte[]> askNeighbour(String box, NodeRequest.GetPiece request) {
-        ScriptedBox asked = boxes.get(box);
-        if (asked.frozen) {
+    public Promise<byte[]> requestPiece(String box, NodeRequest.GetPiece request) {
+        ScriptedBox neighbour = boxes.get(box);
+        if (neighbour.frozen) {
             return Promise.ofException(new IOException("frozen"));
         }
-        return Promise.of(asked.copy == null ? null : asked.copy.piece(request.piece()));
+        return Promise.of(neighbour.copy == null ? null : neighbour.copy.piece(request.piece()));
     }
 
     @Override
     public Promise<Boolean> awaitNeighbour(String box, NodeRequest.AwaitPiece request) {
-        ScriptedBox asked = boxes.get(box);
-        if (asked.frozen) {
+        ScriptedBox neighbour = boxes.get(box);
+        if (neighbour.frozen) {
             return Promise.ofException(new IOException("frozen"));
         }
-        if (asked.copy == null) {
+        if (neighbour.copy == null) {
             return Promise.of(false);
         }
-        waitsFor.merge(box, 1, Integer::sum);
-        if (asked.relay) {
-            asked.copy.demand(request.piece());
+        awaitCounts.merge(box, 1, Integer::sum);
+        if (neighbour.relay) {
+            neighbour.copy.request(request.piece());
         }
-        return asked.copy.whenHere(request.piece(), request.waitMillis());
+        return neighbour.copy.awaitPiece(request.piece(), request.waitMillis());
     }
 }
--- a/standins/src/main/java/org/bankturn/bench/FakeLinkRun.java
+++ b/standins/src/main/java/org/bankturn/bench/FakeLinkRun.java
@@ -9,10 +9,10 @@
 import java.util.Random;
 import java.util.Set;
 import org.apache.commons.rng.simple.RandomSource;
-import org.bankturn.distribution.BurstPolicy;
 import org.bankturn.distribution.ChunkPlanner;
-import org.bankturn.distribution.ChunkPlanner.Ending;
-import org.bankturn.distribution.NeighbourChoice;
+import org.bankturn.distribution.ChunkPlanner.TransferOutcome;
+import org.bankturn.distribution.DistributionPolicy;
+import org.bankturn.distribution.NeighbourSelector;
 import org.bankturn.distribution.OriginBudget;
 
 /**
@@ -35,7 +35,7 @@
     private final int chunks;
     private final double originSeconds;
     private final double boxSeconds;
-    private final BurstPolicy policy;
+    private final DistributionPolicy policy;
     private final Random random;
     private final OriginBudget budget;
     private final List<FakeBox> boxes = new ArrayList<>();
@@ -77,7 +77,7 @@
         }
     }
 
-    FakeLinkRun(int count, int chunks, double originRate, double boxRate, BurstPolicy policy, long seed) {
+    FakeLinkRun(int count, int chunks, double originRate, double boxRate, DistributionPolicy policy, long seed) {
         this.chunks = chunks;
         this.originSeconds = 1 / originRate;
         this.boxSeconds = 1 / boxRate;
@@ -94,7 +94,7 @@
         List<FakeBox> others = new ArrayList<>(boxes);
         others.remove(box);
         Collections.shuffle(others, random);
-        box.neighbours.addAll(others.subList(0, Math.min(NeighbourChoice.OWN_HALL, others.size())));
+        box.neighbours.addAll(others.subList(0, Math.min(NeighbourSelector.MAX_IN_OWN_HALL, others.size())));
         box.neighbours.forEach(neighbour -> neighbour.followers.add(box));
     }
 
@@ -133,7 +133,7 @@
     private void die(FakeBox box) {
         box.alive = false;
         at(deathSeconds + SILENCE_SECONDS, () -> silent.add(box.name));
-        box.followers.forEach(follower -> follower.planner.neighbourLost(box.name));
+        box.followers.forEach(follower -> follower.planner.clearNeighbour(box.name));
     }
 
     private void at(double seconds, Runnable action) {
@@ -145,7 +145,7 @@
             return;
         }
         while (box.transfers < AT_ONCE) {
-            var next = box.planner.next((long) (now * MILLIS));
+            var next = box.planner.nextTransfer((long) (now * MILLIS));
             if (next.isEmpty()) {
                 break;
             }
@@ -173,8 +173,8 @@
                 .orElseThrow();
         box.transfers++;
         if (!sender.alive || sender.uplinkFree - now > MOST_BACKLOG_CHUNKS * boxSeconds) {
-            Ending ending = sender.alive ? Ending.BUSY : Ending.FAILED;
-            box.planner.ended(transfer, ending, (long) (now * MILLIS));
+            TransferOutcome ending = sender.alive ? TransferOutcome.BUSY : TransferOutcome.FAILED;
+            box.planner.transferEnded(transfer, ending, (long) (now * MILLIS));
             box.transfers--;
             return;
         }
@@ -185,8 +185,8 @@
             double received = Math.max(sent, box.downlinkFree);
             at(received, () -> {
                 box.transfers--;
-                Ending ending = sender.alive ? ending() : Ending.FAILED;
-                box.planner.ended(transfer, ending, (long) (received * MILLIS));
+                TransferOutcome ending = sender.alive ? ending() : TransferOutcome.FAILED;
+                box.planner.transferEnded(transfer, ending, (long) (received * MILLIS));
                 keep(box, transfer.chunk(), ending, received);
             });
         });
@@ -194,32 +194,32 @@
 
     private void draw(FakeBox box, int chunk, double now) {
         box.draws++;
-        box.planner.originBegun(chunk);
+        box.planner.originFetchStarted(chunk);
         originFree = Math.max(originFree, now) + originSeconds;
         originChunks++;
         double received = Math.max(originFree, now + boxSeconds);
         at(received, () -> {
             box.draws--;
-            Ending ending = ending();
+            TransferOutcome ending = ending();
             BitSet kept = new BitSet();
             BitSet failed = new BitSet();
-            (ending == Ending.KEPT ? kept : failed).set(chunk);
+            (ending == TransferOutcome.KEPT ? kept : failed).set(chunk);
             if (box.alive) {
-                budget.ended(kept, failed, (long) (received * MILLIS));
+                budget.completeGrants(kept, failed, (long) (received * MILLIS));
             }
-            box.planner.originEnded(chunk, ending);
+            box.planner.originFetchEnded(chunk, ending);
             keep(box, chunk, ending, received);
         });
     }
 
-    private Ending ending() {
+    private TransferOutcome ending() {
         boolean corrupt = random.nextInt(100) < corruptPercent;
         rejected += corrupt ? 1 : 0;
-        return corrupt ? Ending.CORRUPT : Ending.KEPT;
+        return corrupt ? TransferOutcome.CORRUPT : TransferOutcome.KEPT;
     }
 
-    private void keep(FakeBox box, int chunk, Ending ending, double now) {
-        if (box.alive && ending == Ending.KEPT) {
+    private void keep(FakeBox box, int chunk, TransferOutcome ending, double now) {
+        if (box.alive && ending == TransferOutcome.KEPT) {
             box.held.set(chunk);
             if (box.planner.isComplete()) {
                 completions.add(now);
@@ -228,7 +228,7 @@
                     now + NEWS_SECONDS,
                     () -> box.followers.forEach(follower -> {
                         if (box.alive) {
-                            follower.planner.neighbourHolds(box.name, box.held);
+                            follower.planner.updateNeighbour(box.name, box.held);
                             pump(follower, now + NEWS_SECONDS);
                         }
                     }));
--- a/standins/src/main/java/org/bankturn/bench/PartCosts.java
+++ b/standins/src/main/java/org/bankturn/bench/PartCosts.java
@@ -152,10 +152,10 @@
                 BitSet all = new BitSet();
                 all.set(0, chunks);
                 for (int neighbour = 0; neighbour < 13; neighbour++) {
-                    planner.neighbourHolds("box-" + neighbour, all);
+                    planner.updateNeighbour("box-" + neighbour, all);
                 }
                 while (!planner.isComplete()) {
-                    planner.ended(planner.next(0).orElseThrow(), ChunkPlanner.Ending.KEPT, 0);
+                    planner.transferEnded(planner.nextTransfer(0).orElseThrow(), ChunkPlanner.TransferOutcome.KEPT, 0);
                 }
             });
             out.addObject().put("chunks", chunks).put("chooseMicros", micros / chunks);
