--- a/daemon/src/main/java/org/bankturn/daemon/group/DisputedAddresses.java
+++ b/daemon/src/main/java/org/bankturn/daemon/group/AddressConflictResolver.java
@@ -20,9 +20,9 @@
  * of a dead start would displace the live one, which then gets nothing. So whoever is at the address is asked by name; where
  * that tells nothing, a start that speaks again a heartbeat later is there, since a dead one does not.
  *
- * <p>DisputedAddresses is confined to its reactor's thread.
+ * <p>AddressConflictResolver is confined to its reactor's thread.
  */
-final class DisputedAddresses {
+final class AddressConflictResolver {
     /** A target on a narrow link that is full answers within that, and its heartbeat waits no longer. */
     private static final long LOOK_MILLIS = 400;
 
@@ -48,12 +48,12 @@
      * @param log the decision log, not null
      * @param heartbeatMillis how often targets speak
      */
-    static DisputedAddresses of(
+    static AddressConflictResolver of(
             NioReactor reactor, Clock clock, ControlDialect dialect, DecisionLog log, long heartbeatMillis) {
-        return new DisputedAddresses(reactor, clock, dialect, log, heartbeatMillis);
+        return new AddressConflictResolver(reactor, clock, dialect, log, heartbeatMillis);
     }
 
-    private DisputedAddresses(
+    private AddressConflictResolver(
             NioReactor reactor, Clock clock, ControlDialect dialect, DecisionLog log, long heartbeatMillis) {
         this.reactor = reactor;
         this.clock = clock;
--- a/daemon/src/main/java/org/bankturn/daemon/group/GroupNode.java
+++ b/daemon/src/main/java/org/bankturn/daemon/group/GroupNode.java
@@ -134,7 +134,8 @@
                 clock);
         this.reads = DocumentReads.of(reactor, clients, member);
         this.targetWatch = TargetWatch.of(reactor, clients, member, log, clock, settings.heartbeatMillis());
-        DisputedAddresses addresses = DisputedAddresses.of(reactor, clock, dialect, log, settings.heartbeatMillis());
+        AddressConflictResolver addresses =
+                AddressConflictResolver.of(reactor, clock, dialect, log, settings.heartbeatMillis());
         this.targetCalls = TargetCalls.of(reactor, member, targetWatch, addresses, format, this::isFresh, this::change);
     }
 
--- a/daemon/src/main/java/org/bankturn/daemon/group/TargetCalls.java
+++ b/daemon/src/main/java/org/bankturn/daemon/group/TargetCalls.java
@@ -25,7 +25,7 @@
     private final Eventloop reactor;
     private final GroupMember member;
     private final TargetWatch watch;
-    private final DisputedAddresses addresses;
+    private final AddressConflictResolver addresses;
     private final DocumentFormat format;
     private final BooleanSupplier isFresh;
     private final Function<PublicationCommand, Promise<ControlAnswer>> change;
@@ -47,7 +47,7 @@
             Eventloop reactor,
             GroupMember member,
             TargetWatch watch,
-            DisputedAddresses addresses,
+            AddressConflictResolver addresses,
             DocumentFormat format,
             BooleanSupplier isFresh,
             Function<PublicationCommand, Promise<ControlAnswer>> change) {
@@ -58,7 +58,7 @@
             Eventloop reactor,
             GroupMember member,
             TargetWatch watch,
-            DisputedAddresses addresses,
+            AddressConflictResolver addresses,
             DocumentFormat format,
             BooleanSupplier isFresh,
             Function<PublicationCommand, Promise<ControlAnswer>> change) {
--- a/daemon/src/test/java/org/bankturn/daemon/group/DisputedAddressesTest.java
+++ b/daemon/src/test/java/org/bankturn/daemon/group/DisputedAddressesTest.java
@@ -25,7 +25,7 @@
 
     private final ManualClock clock = ManualClock.startingAt(1_000_000);
     private final Eventloop reactor = Eventloop.create();
-    private final DisputedAddresses addresses = DisputedAddresses.of(
+    private final AddressConflictResolver addresses = AddressConflictResolver.of(
             reactor, clock, new PlainControlDialect(), DecisionLog.start("test", clock), HEARTBEAT_MILLIS);
     private HttpServer server;
 
