--- a/daemon/src/test/java/org/bankturn/daemon/group/DisputedAddressesTest.java
+++ b/daemon/src/test/java/org/bankturn/daemon/group/AddressConflictResolverTest.java
@@ -20,7 +20,7 @@
  * does; where nobody can be asked, the one that goes on speaking.
  */
 @Timeout(30)
-class DisputedAddressesTest {
+class AddressConflictResolverTest {
     private static final long HEARTBEAT_MILLIS = 1_000;
 
     private final ManualClock clock = ManualClock.startingAt(1_000_000);
