--- a/daemon/src/main/java/org/bankturn/daemon/group/GroupNode.java
+++ b/daemon/src/main/java/org/bankturn/daemon/group/GroupNode.java
@@ -122,7 +122,7 @@
         this.nodeServer = NodeServer.create(reactor, settings.listenAddress(), this::answer);
         this.listener = HttpListener.create(
                 reactor, clock, settings.callAddress().toSocketAddress(), () -> ServerLimits.CONTROL, this::handle);
-        QuietGroup quiet = QuietGroup.of(TIMING, clock, log, this::distrust);
+        QuorumContactMonitor quiet = QuorumContactMonitor.of(TIMING, clock, log, this::distrust);
         this.member = GroupMember.of(
                 new GroupMember.Wiring(
                         this::openFolder,
--- a/daemon/src/main/java/org/bankturn/daemon/group/QuietGroup.java
+++ b/daemon/src/main/java/org/bankturn/daemon/group/QuorumContactMonitor.java
@@ -13,9 +13,9 @@
 /**
  * Has connections replaced while a member's group is quiet, and writes a line when that begins and when it ends.
  *
- * <p>QuietGroup is confined to the member's thread.
+ * <p>QuorumContactMonitor is confined to the member's thread.
  */
-final class QuietGroup {
+final class QuorumContactMonitor {
     private static final String GROUP = "group";
 
     private final AgreementSettings settings;
@@ -32,11 +32,11 @@
      * @param log the decision log, not null
      * @param distrust takes until when connections must have been heard last to be replaced, not null
      */
-    static QuietGroup of(AgreementSettings settings, Clock clock, DecisionLog log, LongConsumer distrust) {
-        return new QuietGroup(settings, clock, log, distrust);
+    static QuorumContactMonitor of(AgreementSettings settings, Clock clock, DecisionLog log, LongConsumer distrust) {
+        return new QuorumContactMonitor(settings, clock, log, distrust);
     }
 
-    private QuietGroup(AgreementSettings settings, Clock clock, DecisionLog log, LongConsumer distrust) {
+    private QuorumContactMonitor(AgreementSettings settings, Clock clock, DecisionLog log, LongConsumer distrust) {
         this.settings = settings;
         this.clock = clock;
         this.log = log;
