--- a/daemon/src/main/java/org/bankturn/daemon/group/GroupNode.java
+++ b/daemon/src/main/java/org/bankturn/daemon/group/GroupNode.java
@@ -129,7 +129,7 @@
                         (to, message) -> clients.tell(Address.parse(to.address()), new NodeRequest.Agree(message)),
                         this::contacts,
                         this::applied,
-                        quiet::look,
+                        quiet::observe,
                         log),
                 clock);
         this.reads = DocumentReads.of(reactor, clients, member);
--- a/daemon/src/main/java/org/bankturn/daemon/group/QuorumContactMonitor.java
+++ b/daemon/src/main/java/org/bankturn/daemon/group/QuorumContactMonitor.java
@@ -44,7 +44,7 @@
     }
 
     /** Looks at a member after a step of it. */
-    void look(Agreement member) {
+    void observe(Agreement member) {
         long now = clock.millis();
         OptionalLong until = GroupSilence.distrustedUntilMillis(member, settings, now);
         // found out by lost messages alone, a silence cost 1,730 and 1,937 ms without a leader (two groups of three)
