--- a/daemon/src/main/java/org/bankturn/daemon/group/GroupNode.java
+++ b/daemon/src/main/java/org/bankturn/daemon/group/GroupNode.java
@@ -73,7 +73,7 @@
     private final GroupMember member;
     private final Watchers watchers;
     private final DocumentReads reads;
-    private final TargetWatch targetWatch;
+    private final TargetLivenessMonitor targetWatch;
     private final TargetCalls targetCalls;
 
     /**
@@ -133,7 +133,7 @@
                         log),
                 clock);
         this.reads = DocumentReads.of(reactor, clients, member);
-        this.targetWatch = TargetWatch.of(reactor, clients, member, log, clock, settings.heartbeatMillis());
+        this.targetWatch = TargetLivenessMonitor.of(reactor, clients, member, log, clock, settings.heartbeatMillis());
         AddressConflictResolver addresses =
                 AddressConflictResolver.of(reactor, clock, dialect, log, settings.heartbeatMillis());
         this.targetCalls = TargetCalls.of(reactor, member, targetWatch, addresses, format, this::isFresh, this::change);
--- a/daemon/src/main/java/org/bankturn/daemon/group/TargetCalls.java
+++ b/daemon/src/main/java/org/bankturn/daemon/group/TargetCalls.java
@@ -24,7 +24,7 @@
 final class TargetCalls {
     private final Eventloop reactor;
     private final GroupMember member;
-    private final TargetWatch watch;
+    private final TargetLivenessMonitor watch;
     private final AddressConflictResolver addresses;
     private final DocumentFormat format;
     private final BooleanSupplier isFresh;
@@ -46,7 +46,7 @@
     static TargetCalls of(
             Eventloop reactor,
             GroupMember member,
-            TargetWatch watch,
+            TargetLivenessMonitor watch,
             AddressConflictResolver addresses,
             DocumentFormat format,
             BooleanSupplier isFresh,
@@ -57,7 +57,7 @@
     private TargetCalls(
             Eventloop reactor,
             GroupMember member,
-            TargetWatch watch,
+            TargetLivenessMonitor watch,
             AddressConflictResolver addresses,
             DocumentFormat format,
             BooleanSupplier isFresh,
--- a/daemon/src/main/java/org/bankturn/daemon/group/TargetWatch.java
+++ b/daemon/src/main/java/org/bankturn/daemon/group/TargetLivenessMonitor.java
@@ -19,9 +19,9 @@
  * Notices targets that fall silent.
  *
  * <p>Targets call any control process; each tells the leader whom it heard, and the leader has those removed that nobody
- * heard for long. TargetWatch is confined to its reactor's thread.
+ * heard for long. TargetLivenessMonitor is confined to its reactor's thread.
  */
-final class TargetWatch {
+final class TargetLivenessMonitor {
     /** How often the targets that were heard here are told to the leader, all together. */
     private static final long FORWARD_MILLIS = 400;
 
@@ -36,17 +36,17 @@
     private final Set<String> heardHere = new LinkedHashSet<>();
     private boolean ledBefore;
 
-    static TargetWatch of(
+    static TargetLivenessMonitor of(
             Eventloop reactor,
             NodeClients clients,
             GroupMember member,
             DecisionLog log,
             Clock clock,
             long heartbeatMillis) {
-        return new TargetWatch(reactor, clients, member, log, clock, heartbeatMillis);
+        return new TargetLivenessMonitor(reactor, clients, member, log, clock, heartbeatMillis);
     }
 
-    private TargetWatch(
+    private TargetLivenessMonitor(
             Eventloop reactor,
             NodeClients clients,
             GroupMember member,
