--- a/daemon/src/main/java/org/bankturn/daemon/group/GroupNode.java
+++ b/daemon/src/main/java/org/bankturn/daemon/group/GroupNode.java
@@ -74,7 +74,7 @@
     private final Watchers watchers;
     private final DocumentReads reads;
     private final TargetLivenessMonitor targetWatch;
-    private final TargetCalls targetCalls;
+    private final TargetCallHandler targetCalls;
 
     /**
      * Creates a control process that does not run yet.
@@ -136,7 +136,8 @@
         this.targetWatch = TargetLivenessMonitor.of(reactor, clients, member, log, clock, settings.heartbeatMillis());
         AddressConflictResolver addresses =
                 AddressConflictResolver.of(reactor, clock, dialect, log, settings.heartbeatMillis());
-        this.targetCalls = TargetCalls.of(reactor, member, targetWatch, addresses, format, this::isFresh, this::change);
+        this.targetCalls =
+                TargetCallHandler.of(reactor, member, targetWatch, addresses, format, this::isFresh, this::change);
     }
 
     /** Starts to serve; call on the reactor's thread. */
--- a/daemon/src/main/java/org/bankturn/daemon/group/TargetCalls.java
+++ b/daemon/src/main/java/org/bankturn/daemon/group/TargetCallHandler.java
@@ -19,9 +19,9 @@
 /**
  * What targets say to a control process: that they are there, and that they leave.
  *
- * <p>TargetCalls is confined to its reactor's thread.
+ * <p>TargetCallHandler is confined to its reactor's thread.
  */
-final class TargetCalls {
+final class TargetCallHandler {
     private final Eventloop reactor;
     private final GroupMember member;
     private final TargetLivenessMonitor watch;
@@ -43,7 +43,7 @@
      * @param isFresh tells whether the member was in touch with a majority of late, not null
      * @param change has the group commit a command, not null
      */
-    static TargetCalls of(
+    static TargetCallHandler of(
             Eventloop reactor,
             GroupMember member,
             TargetLivenessMonitor watch,
@@ -51,10 +51,10 @@
             DocumentFormat format,
             BooleanSupplier isFresh,
             Function<PublicationCommand, Promise<ControlAnswer>> change) {
-        return new TargetCalls(reactor, member, watch, addresses, format, isFresh, change);
+        return new TargetCallHandler(reactor, member, watch, addresses, format, isFresh, change);
     }
 
-    private TargetCalls(
+    private TargetCallHandler(
             Eventloop reactor,
             GroupMember member,
             TargetLivenessMonitor watch,
