--- a/daemon/src/main/java/org/bankturn/daemon/group/AddressConflictResolver.java
+++ b/daemon/src/main/java/org/bankturn/daemon/group/AddressConflictResolver.java
@@ -68,7 +68,7 @@
      * @param sighting what it said, not null
      * @param healthPath where targets of its service tell their health, empty if that is not known
      */
-    Promise<Boolean> isThere(TargetSighting sighting, Optional<String> healthPath) {
+    Promise<Boolean> ownsAddress(TargetSighting sighting, Optional<String> healthPath) {
         return look(sighting, healthPath).map(answer -> {
             boolean there = answer.orElseGet(() -> goesOnSpeaking(sighting));
             if (there) {
--- a/daemon/src/main/java/org/bankturn/daemon/group/TargetCallHandler.java
+++ b/daemon/src/main/java/org/bankturn/daemon/group/TargetCallHandler.java
@@ -111,7 +111,7 @@
 
     private Promise<ControlAnswer> settle(TargetSighting sighting) {
         return healthPath(sighting.service())
-                .then(path -> addresses.isThere(sighting, path))
+                .then(path -> addresses.ownsAddress(sighting, path))
                 .then(there -> there ? record(sighting, Evidence.SETTLED) : Promise.of(new ControlAnswer.Accepted()));
     }
 
--- a/daemon/src/test/java/org/bankturn/daemon/group/AddressConflictResolverTest.java
+++ b/daemon/src/test/java/org/bankturn/daemon/group/AddressConflictResolverTest.java
@@ -39,28 +39,28 @@
     @Test
     void the_start_that_answers_at_the_address_is_there_and_any_other_is_not() throws IOException {
         Address address = serve("later");
-        assertThat(isThere("later", address, Optional.of("/health"))).isTrue();
-        assertThat(isThere("former", address, Optional.of("/health"))).isFalse();
+        assertThat(ownsAddress("later", address, Optional.of("/health"))).isTrue();
+        assertThat(ownsAddress("former", address, Optional.of("/health"))).isFalse();
         clock.advance(2 * HEARTBEAT_MILLIS);
-        assertThat(isThere("former", address, Optional.of("/health"))).isFalse();
+        assertThat(ownsAddress("former", address, Optional.of("/health"))).isFalse();
     }
 
     @Test
     void where_nobody_answers_a_start_is_there_that_speaks_again_a_heartbeat_later() throws IOException {
         Address address = FreeAddresses.next();
-        assertThat(isThere("a", address, Optional.of("/health"))).isFalse();
+        assertThat(ownsAddress("a", address, Optional.of("/health"))).isFalse();
         clock.advance(HEARTBEAT_MILLIS / 10);
-        assertThat(isThere("a", address, Optional.of("/health"))).isFalse();
+        assertThat(ownsAddress("a", address, Optional.of("/health"))).isFalse();
         clock.advance(HEARTBEAT_MILLIS);
-        assertThat(isThere("a", address, Optional.of("/health"))).isTrue();
+        assertThat(ownsAddress("a", address, Optional.of("/health"))).isTrue();
     }
 
     @Test
     void a_start_of_a_service_that_is_not_known_must_go_on_speaking() throws IOException {
         Address address = serve("a");
-        assertThat(isThere("a", address, Optional.empty())).isFalse();
+        assertThat(ownsAddress("a", address, Optional.empty())).isFalse();
         clock.advance(HEARTBEAT_MILLIS);
-        assertThat(isThere("a", address, Optional.empty())).isTrue();
+        assertThat(ownsAddress("a", address, Optional.empty())).isTrue();
     }
 
     private Address serve(String name) throws IOException {
@@ -75,11 +75,11 @@
         return address;
     }
 
-    private boolean isThere(String name, Address address, Optional<String> healthPath) {
+    private boolean ownsAddress(String name, Address address, Optional<String> healthPath) {
         TargetSighting word = new TargetSighting(name, "chat", address.toString(), "north", 4, false, 1, 1);
         boolean[] there = new boolean[1];
         reactor.post(() -> addresses
-                .isThere(word, healthPath)
+                .ownsAddress(word, healthPath)
                 .whenResult(found -> there[0] = found)
                 .whenComplete(reactor::breakEventloop));
         reactor.keepAlive(true);
