--- a/daemon/src/main/java/org/bankturn/daemon/group/AddressConflictResolver.java
+++ b/daemon/src/main/java/org/bankturn/daemon/group/AddressConflictResolver.java
@@ -92,7 +92,7 @@
         }
         return calls.ask(
                         Address.parse(sighting.address()).toSocketAddress(),
-                        dialect.look(healthPath.get(), sighting.name()),
+                        dialect.healthProbe(healthPath.get(), sighting.name()),
                         LOOK_MILLIS)
                 .then(
                         answer -> Promise.of(dialect.isFrom(sighting.name(), answer.head())),
--- a/daemon/src/main/java/org/bankturn/daemon/group/ControlDialect.java
+++ b/daemon/src/main/java/org/bankturn/daemon/group/ControlDialect.java
@@ -20,7 +20,7 @@
      * @param healthPath where targets of its service tell their health, not null
      * @param name the target that is meant, not null
      */
-    HttpHead look(String healthPath, String name);
+    HttpHead healthProbe(String healthPath, String name);
 
     /** Returns whether the target that was meant gave an answer, empty if that cannot be told. */
     Optional<Boolean> isFrom(String name, HttpHead answer);
--- a/daemon/src/test/java/org/bankturn/daemon/group/PlainControlDialect.java
+++ b/daemon/src/test/java/org/bankturn/daemon/group/PlainControlDialect.java
@@ -38,7 +38,7 @@
     }
 
     @Override
-    public HttpHead look(String healthPath, String name) {
+    public HttpHead healthProbe(String healthPath, String name) {
         return HttpHead.request("GET", healthPath, List.of(new HttpField("Expected", name)));
     }
 
