--- a/daemon/src/main/java/org/bankturn/daemon/group/AddressConflictResolver.java
+++ b/daemon/src/main/java/org/bankturn/daemon/group/AddressConflictResolver.java
@@ -95,7 +95,7 @@
                         dialect.healthProbe(healthPath.get(), sighting.name()),
                         LOOK_MILLIS)
                 .then(
-                        answer -> Promise.of(dialect.isFrom(sighting.name(), answer.head())),
+                        answer -> Promise.of(dialect.identifies(sighting.name(), answer.head())),
                         failure -> Promise.of(Optional.empty()));
     }
 
--- a/daemon/src/main/java/org/bankturn/daemon/group/ControlDialect.java
+++ b/daemon/src/main/java/org/bankturn/daemon/group/ControlDialect.java
@@ -23,5 +23,5 @@
     HttpHead healthProbe(String healthPath, String name);
 
     /** Returns whether the target that was meant gave an answer, empty if that cannot be told. */
-    Optional<Boolean> isFrom(String name, HttpHead answer);
+    Optional<Boolean> identifies(String name, HttpHead answer);
 }
--- a/daemon/src/test/java/org/bankturn/daemon/group/PlainControlDialect.java
+++ b/daemon/src/test/java/org/bankturn/daemon/group/PlainControlDialect.java
@@ -43,7 +43,7 @@
     }
 
     @Override
-    public Optional<Boolean> isFrom(String name, HttpHead answer) {
+    public Optional<Boolean> identifies(String name, HttpHead answer) {
         return answer.field("Name").map(name::equals);
     }
 
