--- a/daemon/src/main/java/org/bankturn/daemon/group/TargetCallHandler.java
+++ b/daemon/src/main/java/org/bankturn/daemon/group/TargetCallHandler.java
@@ -76,7 +76,7 @@
         if (!isFresh.getAsBoolean()) {
             return Promise.of(new ControlAnswer.Unavailable("not in touch with a majority"));
         }
-        watch.heard(sighting.id());
+        watch.recordHeartbeat(sighting.id());
         return ReactorPromises.of(reactor, member.query(state -> standing(state.registry(), sighting)))
                 .then(standing -> switch (standing) {
                     case LEFT -> Promise.of(new ControlAnswer.Accepted());
--- a/daemon/src/main/java/org/bankturn/daemon/group/TargetLivenessMonitor.java
+++ b/daemon/src/main/java/org/bankturn/daemon/group/TargetLivenessMonitor.java
@@ -68,7 +68,7 @@
     }
 
     /** A target called this process. */
-    void heard(String target) {
+    void recordHeartbeat(String target) {
         heardHere.add(target);
     }
 
