--- a/daemon/src/main/java/org/bankturn/daemon/group/GroupNode.java
+++ b/daemon/src/main/java/org/bankturn/daemon/group/GroupNode.java
@@ -338,7 +338,7 @@
             return targetCalls.heartbeat(announced.sighting()).map(GroupNode::replyTo);
         }
         if (request instanceof NodeRequest.NoteHeartbeats noted) {
-            targetWatch.heardElsewhere(noted.targets());
+            targetWatch.recordRemoteHeartbeats(noted.targets());
             return Promise.of(new NodeReply.Received());
         }
         return Promise.of(new NodeReply.Failed("not for a control process"));
--- a/daemon/src/main/java/org/bankturn/daemon/group/TargetLivenessMonitor.java
+++ b/daemon/src/main/java/org/bankturn/daemon/group/TargetLivenessMonitor.java
@@ -73,7 +73,7 @@
     }
 
     /** Another control process heard targets. */
-    void heardElsewhere(List<String> targets) {
+    void recordRemoteHeartbeats(List<String> targets) {
         heartbeats.heard(targets);
     }
 
