--- a/daemon/src/main/java/org/bankturn/daemon/group/DocumentReads.java
+++ b/daemon/src/main/java/org/bankturn/daemon/group/DocumentReads.java
@@ -55,7 +55,7 @@
     private Promise<NodeReply.Document> confirmedDocument(long haveVersion) {
         GroupView view = member.view();
         if (view.leads()) {
-            return confirmHere(haveVersion);
+            return confirmAsLeader(haveVersion);
         }
         if (view.leader() == null) {
             return Promise.ofException(new IOException("no leader"));
@@ -77,7 +77,7 @@
      * @param haveVersion the version that the asker holds
      * @return the document, without its content if the asker holds it
      */
-    Promise<NodeReply.Document> confirmHere(long haveVersion) {
+    Promise<NodeReply.Document> confirmAsLeader(long haveVersion) {
         return ask(member.submit(new PublicationCommand.Confirm())).then(outcome -> {
             if (outcome != Outcome.COMMITTED) {
                 return Promise.ofException(new IOException("not confirmed: " + outcome));
--- a/daemon/src/main/java/org/bankturn/daemon/group/GroupNode.java
+++ b/daemon/src/main/java/org/bankturn/daemon/group/GroupNode.java
@@ -329,7 +329,7 @@
             return change(proposed.command()).map(GroupNode::replyTo);
         }
         if (request instanceof NodeRequest.ReadDocument read) {
-            return reads.confirmHere(read.haveVersion()).map(document -> document);
+            return reads.confirmAsLeader(read.haveVersion()).map(document -> document);
         }
         if (request instanceof NodeRequest.WatchPublication watch) {
             return watch(watch);
