--- a/daemon/src/main/java/org/bankturn/daemon/group/AddressConflictResolver.java
+++ b/daemon/src/main/java/org/bankturn/daemon/group/AddressConflictResolver.java
@@ -14,39 +14,39 @@
 import org.bankturn.time.Clock;
 
 /**
- * Finds out whether a start is the one that is at its address now, where another one was heard of there.
+ * Determines which of several incarnations that announced the same address is reachable there.
  *
- * <p>Load pattern: targets end and others start at their addresses, while words that a cut held back still arrive. The word
- * of a dead start would displace the live one, which then gets nothing. So whoever is at the address is asked by name; where
- * that tells nothing, a start that speaks again a heartbeat later is there, since a dead one does not.
+ * <p>A heartbeat delayed by a network partition may arrive after its sender has crashed and another target has started at
+ * the same address. Recording it would displace the live target. The resolver therefore sends a health request to the
+ * address. Without an answer that identifies its sender, an incarnation owns the address once it sends a further heartbeat.
  *
  * <p>AddressConflictResolver is confined to its reactor's thread.
  */
 final class AddressConflictResolver {
-    /** A target on a narrow link that is full answers within that, and its heartbeat waits no longer. */
-    private static final long LOOK_MILLIS = 400;
+    /** Allows for a saturated low-bandwidth link; the heartbeat is answered after this at the latest. */
+    private static final long PROBE_TIMEOUT_MILLIS = 400;
 
-    /** Heartbeats come a little early at times. */
-    private static final double LEAST_SPACING = 0.75;
+    /** The part of the heartbeat interval after which a heartbeat counts as a further one; tolerates jitter. */
+    private static final double MIN_INTERVAL_FRACTION = 0.75;
 
-    private static final int REMEMBERED = 256;
+    private static final int MAX_TRACKED_INCARNATIONS = 256;
 
     private final NioReactor reactor;
     private final Clock clock;
     private final ControlDialect dialect;
     private final DecisionLog log;
-    private final long spacingMillis;
+    private final long minIntervalMillis;
     private final Map<String, Long> firstHeardMillis = new LinkedHashMap<>();
     private HttpCalls calls;
 
     /**
-     * Returns one, not null.
+     * Returns a resolver without any tracked incarnations, not null.
      *
      * @param reactor its reactor, not null
-     * @param clock the time, not null
-     * @param dialect how targets are asked, not null
+     * @param clock the clock, not null
+     * @param dialect the HTTP format of health requests, not null
      * @param log the decision log, not null
-     * @param heartbeatMillis how often targets speak
+     * @param heartbeatMillis the heartbeat interval of targets
      */
     static AddressConflictResolver of(
             NioReactor reactor, Clock clock, ControlDialect dialect, DecisionLog log, long heartbeatMillis) {
@@ -59,31 +59,31 @@
         this.clock = clock;
         this.dialect = dialect;
         this.log = log;
-        this.spacingMillis = Math.round(heartbeatMillis * LEAST_SPACING);
+        this.minIntervalMillis = Math.round(heartbeatMillis * MIN_INTERVAL_FRACTION);
     }
 
     /**
-     * Finds out whether a start that has just spoken is at its address.
+     * Determines whether the incarnation that sent a heartbeat owns its address.
      *
-     * @param sighting what it said, not null
-     * @param healthPath where targets of its service tell their health, empty if that is not known
+     * @param sighting the content of the heartbeat, not null
+     * @param healthPath the health path of its service, empty if unknown
      */
     Promise<Boolean> ownsAddress(TargetSighting sighting, Optional<String> healthPath) {
-        return look(sighting, healthPath).map(answer -> {
-            boolean there = answer.orElseGet(() -> goesOnSpeaking(sighting));
-            if (there) {
+        return probe(sighting, healthPath).map(answer -> {
+            boolean ownsAddress = answer.orElseGet(() -> sentFurtherHeartbeat(sighting));
+            if (ownsAddress) {
                 firstHeardMillis.remove(sighting.id());
             }
             log.line(DecisionKind.TARGET)
                     .with(DecisionField.TARGET, sighting.id())
-                    .with(DecisionField.EVENT, there ? "is at its address" : "address is another's")
+                    .with(DecisionField.EVENT, ownsAddress ? "is at its address" : "address is another's")
                     .with(DecisionField.REASON, answer.isPresent() ? "answered there" : "no answer there")
                     .write();
-            return there;
+            return ownsAddress;
         });
     }
 
-    private Promise<Optional<Boolean>> look(TargetSighting sighting, Optional<String> healthPath) {
+    private Promise<Optional<Boolean>> probe(TargetSighting sighting, Optional<String> healthPath) {
         if (healthPath.isEmpty()) {
             return Promise.of(Optional.empty());
         }
@@ -93,18 +93,18 @@
         return calls.ask(
                         Address.parse(sighting.address()).toSocketAddress(),
                         dialect.healthProbe(healthPath.get(), sighting.name()),
-                        LOOK_MILLIS)
+                        PROBE_TIMEOUT_MILLIS)
                 .then(
                         answer -> Promise.of(dialect.identifies(sighting.name(), answer.head())),
                         failure -> Promise.of(Optional.empty()));
     }
 
-    private boolean goesOnSpeaking(TargetSighting sighting) {
+    private boolean sentFurtherHeartbeat(TargetSighting sighting) {
         long now = clock.millis();
         long first = firstHeardMillis.computeIfAbsent(sighting.id(), key -> now);
-        if (firstHeardMillis.size() > REMEMBERED) {
+        if (firstHeardMillis.size() > MAX_TRACKED_INCARNATIONS) {
             firstHeardMillis.remove(firstHeardMillis.keySet().iterator().next());
         }
-        return now - first >= spacingMillis;
+        return now - first >= minIntervalMillis;
     }
 }
--- a/daemon/src/main/java/org/bankturn/daemon/group/ControlAnswer.java
+++ b/daemon/src/main/java/org/bankturn/daemon/group/ControlAnswer.java
@@ -1,19 +1,19 @@
 package org.bankturn.daemon.group;
 
-/** What a control process answers. */
+/** A response of a control process to an operator or a target. */
 public sealed interface ControlAnswer {
-    /** Done, and it lasts. */
+    /** The change is committed. */
     record Accepted() implements ControlAnswer {}
 
-    /** The document in force. */
+    /** The current document. */
     record Document(byte[] document) implements ControlAnswer {}
 
-    /** Refused for good. */
+    /** The request is invalid; repeating it has the same result. */
     record Refused(String reason) implements ControlAnswer {}
 
-    /** No such call. */
+    /** The request matches no known call. */
     record NotFound() implements ControlAnswer {}
 
-    /** Not now, or it is not known whether it was done; ask again, elsewhere first. */
+    /** The request failed or its outcome is unknown; it may be retried, preferably at another control process. */
     record Unavailable(String reason) implements ControlAnswer {}
 }
--- a/daemon/src/main/java/org/bankturn/daemon/group/ControlCall.java
+++ b/daemon/src/main/java/org/bankturn/daemon/group/ControlCall.java
@@ -3,32 +3,32 @@
 import org.bankturn.crash.RequestFingerprint;
 import org.bankturn.registry.TargetSighting;
 
-/** What operators and targets ask of a control process. */
+/** A request of an operator or a target to a control process. */
 public sealed interface ControlCall {
     /** Publishes a document. */
     record Publish(byte[] document) implements ControlCall {}
 
-    /** Reads the document in force. */
+    /** Reads the current document. */
     record Read() implements ControlCall {}
 
     /** Names a version of a model's weights. */
     record NameWeights(String model, int version) implements ControlCall {}
 
-    /** A target says that it is there. */
+    /** Reports that a target is running. */
     record Heartbeat(TargetSighting sighting) implements ControlCall {}
 
-    /** A target says that it leaves; {@code bornMillis} tells which start of it, 0 for the one that is there. */
+    /** Deregisters the incarnation of a target that started at {@code bornMillis}, or the registered one if that is 0. */
     record Leave(String name, long bornMillis) implements ControlCall {}
 
-    /** Lists the requests under which targets ended. */
+    /** Lists the requests during which targets crashed. */
     record ListSuspects() implements ControlCall {}
 
-    /** Has a request run again although targets ended under it. */
+    /** Allows a request to run again although targets crashed while running it. */
     record ClearSuspect(RequestFingerprint request) implements ControlCall {}
 
-    /** Something else. */
+    /** A request that matches no known call. */
     record Unknown() implements ControlCall {}
 
-    /** Something that cannot be read. */
+    /** A request that cannot be parsed. */
     record Malformed(String reason) implements ControlCall {}
 }
--- a/daemon/src/main/java/org/bankturn/daemon/group/ControlDialect.java
+++ b/daemon/src/main/java/org/bankturn/daemon/group/ControlDialect.java
@@ -3,9 +3,9 @@
 import java.util.Optional;
 import org.bankturn.daemon.http.HttpHead;
 
-/** How operators and targets speak to control processes: names and formats only. */
+/** Maps the HTTP messages of operators and targets to control calls and answers. */
 public interface ControlDialect {
-    /** Returns what a request asks, not null. */
+    /** Parses a request, not null. */
     ControlCall read(HttpHead head, byte[] body);
 
     /** Returns the head of an answer, not null. */
@@ -15,13 +15,13 @@
     byte[] body(ControlAnswer answer);
 
     /**
-     * Returns a question to whoever is at the address of a target.
+     * Returns a health request that identifies the process at a target's address, not null.
      *
-     * @param healthPath where targets of its service tell their health, not null
-     * @param name the target that is meant, not null
+     * @param healthPath the health path of the target's service, not null
+     * @param name the name of the expected target, not null
      */
     HttpHead healthProbe(String healthPath, String name);
 
-    /** Returns whether the target that was meant gave an answer, empty if that cannot be told. */
+    /** Returns whether the named target sent an answer, empty if the answer does not identify its sender. */
     Optional<Boolean> identifies(String name, HttpHead answer);
 }
--- a/daemon/src/main/java/org/bankturn/daemon/group/DocumentReads.java
+++ b/daemon/src/main/java/org/bankturn/daemon/group/DocumentReads.java
@@ -14,7 +14,7 @@
 import org.bankturn.publication.PublicationState;
 
 /**
- * Reads the operators' document so that nothing that was accepted before the read began is missing.
+ * Linearizable reads of the operators' document: a read reflects every change accepted before it began.
  *
  * <p>DocumentReads is confined to its reactor's thread.
  */
@@ -24,11 +24,11 @@
     private final GroupMember member;
 
     /**
-     * Returns the reads of one control process, not null.
+     * Returns a reader for one control process, not null.
      *
      * @param reactor its reactor, not null
-     * @param clients asks the leader, not null
-     * @param member the group's member here, not null
+     * @param clients connects to the leader, not null
+     * @param member the local member of the group, not null
      */
     static DocumentReads of(Eventloop reactor, NodeClients clients, GroupMember member) {
         return new DocumentReads(reactor, clients, member);
@@ -40,7 +40,7 @@
         this.member = member;
     }
 
-    /** Reads for an operator; the leader is asked, and sends the document only if this process holds another. */
+    /** Reads the document; the leader sends its content only if this process holds another version. */
     Promise<ControlAnswer> read() {
         return ask(member.query(PublicationState::documentVersion))
                 .then(have -> confirmedDocument(have))
@@ -70,12 +70,12 @@
     }
 
     /**
-     * Confirms the document if this member leads; fails if it does not.
+     * Confirms the current document; fails if this member does not lead.
      *
-     * <p>An entry that is committed after the read began proves that this member saw all that was accepted before.
+     * <p>Committing an entry after the read began proves that this member has applied all changes accepted before.
      *
-     * @param haveVersion the version that the asker holds
-     * @return the document, without its content if the asker holds it
+     * @param haveVersion the version that the caller holds
+     * @return the document, without content if the caller holds the same version
      */
     Promise<NodeReply.Document> confirmAsLeader(long haveVersion) {
         return ask(member.submit(new PublicationCommand.Confirm())).then(outcome -> {
--- a/daemon/src/main/java/org/bankturn/daemon/group/GroupMember.java
+++ b/daemon/src/main/java/org/bankturn/daemon/group/GroupMember.java
@@ -25,16 +25,16 @@
 import org.bankturn.time.Clock;
 
 /**
- * One member of the group that publishes.
+ * A member of the control group, which replicates the published state.
  *
- * <p>When the data folder refuses a write, the member forgets everything in memory and starts anew from what the folder
- * holds, as a restarted process would. Public methods are thread-safe.
+ * <p>After a failed write to the data folder, the member discards its state in memory and recovers from the folder, as
+ * after a restart of the process. Public methods are thread-safe.
  */
 public final class GroupMember {
-    /** What is not committed by then is not known to be, and callers ask again; six election timeouts. */
+    /** Six election timeouts; the outcome of a submission that is not committed by then is unknown. */
     private static final long SUBMISSION_MILLIS = 3_000;
 
-    /** Steps of a quarter of a heartbeat, a snapshot every 512 entries. */
+    /** The step is a quarter of a heartbeat; a snapshot is taken every 512 entries. */
     private static final MemberTiming TIMING = new MemberTiming(25, SUBMISSION_MILLIS, 400, true, 512);
 
     private final Wiring wiring;
@@ -42,31 +42,31 @@
     private PublicationState state;
     private volatile GroupView view = GroupView.unknown();
 
-    /** What came of a submission. */
+    /** The outcome of a submission. */
     public enum Outcome {
-        /** A majority has synced it. */
+        /** A majority has synced the command. */
         COMMITTED,
-        /** This member does not lead: nothing happened. */
+        /** This member does not lead; the command was not proposed. */
         NOT_LEADER,
-        /** It is not known whether it will be committed. */
+        /** The command may or may not be committed. */
         UNKNOWN
     }
 
-    /** Opens the data folder again and gives the member that it holds. */
+    /** Recovers a member from its data folder. */
     @FunctionalInterface
     public interface Recovery {
-        /** Returns what the folder holds; throws if it cannot be read or prepared. */
+        /** Returns the recovered member; throws if the folder cannot be read or initialized. */
         MemberState.Recovered recover() throws IOException;
     }
 
     /**
-     * What the member needs from the process around it.
+     * The dependencies of a member.
      *
      * @param recovery opens the data folder, not null
-     * @param send sends a message to a member; may lose it, not null
-     * @param contacts where to ask when this box must join, not null
-     * @param applied hears of each change of the state, on the member's thread, not null
-     * @param stepped looks at the member after each step, on the member's thread, not null
+     * @param send sends a message to a member without a delivery guarantee, not null
+     * @param contacts the members to contact for joining the group, not null
+     * @param applied called after each change of the state, on the member's thread, not null
+     * @param stepped called after each step, on the member's thread, not null
      * @param log the decision log, not null
      */
     public record Wiring(
@@ -77,14 +77,14 @@
             Consumer<Agreement> stepped,
             DecisionLog log) {}
 
-    /** Returns a member that does not run yet, not null. */
+    /** Returns a member that is not started yet, not null. */
     public static GroupMember of(Wiring wiring, Clock clock) {
         return new GroupMember(wiring, clock);
     }
 
     private GroupMember(Wiring wiring, Clock clock) {
         this.wiring = wiring;
-        this.loop = MemberLoop.of(new Publishing(), TIMING, clock, "group");
+        this.loop = MemberLoop.of(new PublicationStateMachine(), TIMING, clock, "group");
     }
 
     /** Starts the member's thread. */
@@ -92,17 +92,17 @@
         loop.start();
     }
 
-    /** Returns what is known of the group here, not null. */
+    /** Returns the latest view of the group, not null. */
     public GroupView view() {
         return view;
     }
 
-    /** Takes in a message of the group. */
+    /** Handles a message of another member. */
     public void receive(AgreementMessage message) {
         loop.receive(message);
     }
 
-    /** Submits a command; the outcome is given on the member's thread. */
+    /** Submits a command; the future completes on the member's thread. */
     public CompletableFuture<Outcome> submit(PublicationCommand command) {
         CompletableFuture<Outcome> result = new CompletableFuture<>();
         loop.execute(() -> propose(command, result));
@@ -124,13 +124,13 @@
         return loop.query(() -> query.apply(state));
     }
 
-    /** Hands leadership over and stops the thread. */
+    /** Transfers leadership and stops the thread. */
     public void stop() {
         loop.stop(SUBMISSION_MILLIS);
     }
 
-    /** The published state, as the loop drives it. */
-    private final class Publishing implements MemberState<Outcome> {
+    /** The replicated state machine that the member loop drives. */
+    private final class PublicationStateMachine implements MemberState<Outcome> {
         @Override
         public Recovered recover() throws IOException {
             Recovered recovered = wiring.recovery().recover();
--- a/daemon/src/main/java/org/bankturn/daemon/group/GroupNode.java
+++ b/daemon/src/main/java/org/bankturn/daemon/group/GroupNode.java
@@ -42,21 +42,21 @@
 import org.bankturn.time.Clock;
 
 /**
- * A control process: takes operators' changes and targets' heartbeats, has the group agree on them, and publishes.
+ * A control process: submits operators' changes and targets' heartbeats to the control group and publishes the result.
  *
- * <p>Anything is acknowledged only once a majority has synced it. Its reactor carries calls and messages; the member has
- * a thread of its own.
+ * <p>A change is acknowledged only after a majority has synced it. Network I/O runs on the reactor, the group member on its
+ * own thread.
  */
 public final class GroupNode {
-    /** Five heartbeats may be lost before an election; silent members are dropped from groups of more than three. */
+    /** An election follows five missed heartbeats; unreachable members are removed from groups of more than three. */
     private static final AgreementSettings TIMING = new AgreementSettings(500, 100, 64, 3);
 
     private static final long FIRST_INCARNATION = 1;
 
-    /** Nine of the leader's heartbeats; another may lead sooner, so reads are confirmed besides. */
-    private static final long FRESH_MILLIS = 900;
+    /** Nine leader heartbeats. A new leader may be elected sooner, so document reads are confirmed separately. */
+    private static final long FRESHNESS_MILLIS = 900;
 
-    /** How long the leader may take to commit what it was handed. */
+    /** The time limit for the leader to commit a forwarded command. */
     static final long FORWARD_TIMEOUT_MILLIS = 2_000;
 
     private final GroupSettings settings;
@@ -77,14 +77,14 @@
     private final TargetCallHandler targetCalls;
 
     /**
-     * Creates a control process that does not run yet.
+     * Returns a control process that is not started yet, not null.
      *
-     * @param settings what it must be told, not null
-     * @param seeds the node addresses that settings name now, not null
-     * @param dialect how its callers speak, not null
-     * @param format reads operators' documents, not null
-     * @param reactor its reactor, not null
-     * @param clock the time, not null
+     * @param settings the settings of the process, not null
+     * @param seeds supplies the currently configured node addresses, not null
+     * @param dialect the HTTP format of operators and targets, not null
+     * @param format parses operators' documents, not null
+     * @param reactor the reactor, not null
+     * @param clock the clock, not null
      * @param log the decision log, not null
      * @param metrics the metrics, not null
      */
@@ -122,14 +122,15 @@
         this.nodeServer = NodeServer.create(reactor, settings.listenAddress(), this::answer);
         this.listener = HttpListener.create(
                 reactor, clock, settings.callAddress().toSocketAddress(), () -> ServerLimits.CONTROL, this::handle);
-        QuorumContactMonitor quiet = QuorumContactMonitor.of(TIMING, clock, log, this::distrust);
+        QuorumContactMonitor contactMonitor =
+                QuorumContactMonitor.of(TIMING, clock, log, this::replaceSilentConnections);
         this.member = GroupMember.of(
                 new GroupMember.Wiring(
                         this::openFolder,
                         (to, message) -> clients.tell(Address.parse(to.address()), new NodeRequest.Agree(message)),
                         this::contacts,
                         this::applied,
-                        quiet::observe,
+                        contactMonitor::observe,
                         log),
                 clock);
         this.reads = DocumentReads.of(reactor, clients, member);
@@ -140,7 +141,7 @@
                 TargetCallHandler.of(reactor, member, targetWatch, addresses, format, this::isFresh, this::change);
     }
 
-    /** Starts to serve; call on the reactor's thread. */
+    /** Starts the process; call on the reactor's thread. */
     public void start() throws IOException {
         nodeServer.listen();
         listener.listen();
@@ -148,27 +149,28 @@
         targetWatch.start();
     }
 
-    /** Stops as planned: hands leadership over first. Call from another thread than the reactor's. */
+    /** Transfers leadership and stops the member. Do not call on the reactor's thread. */
     public void stop() {
         member.stop();
     }
 
-    /** Stops serving; call on the reactor's thread, after {@link #stop()}. */
+    /** Closes the listeners and connections; call on the reactor's thread, after {@link #stop()}. */
     public void close() {
         listener.close();
         nodeServer.close();
         clients.close();
     }
 
-    // ---- the member's folder and group
+    // ---- member recovery and group formation
 
     private MemberState.Recovered openFolder() throws IOException {
         FolderDevice device = FolderDevice.open(Path.of(settings.dataFolder()));
-        Optional<Long> incarnation = AgreementStorage.readIncarnation(device);
-        AgreementStorage storage = incarnation.isPresent() ? AgreementStorage.recover(device) : prepareFolder(device);
-        long life = AgreementStorage.readIncarnation(device).orElseThrow();
+        Optional<Long> storedIncarnation = AgreementStorage.readIncarnation(device);
+        AgreementStorage storage =
+                storedIncarnation.isPresent() ? AgreementStorage.recover(device) : initializeFolder(device);
+        long incarnation = AgreementStorage.readIncarnation(device).orElseThrow();
         Agreement agreement = Agreement.recover(
-                member(settings.nodeAddress(), life),
+                member(settings.nodeAddress(), incarnation),
                 storage.stored(),
                 TIMING,
                 clock,
@@ -177,19 +179,19 @@
         return new MemberState.Recovered(agreement, storage);
     }
 
-    /** A box that may form the group starts from the seeds; any other starts outside and asks to join. */
-    private AgreementStorage prepareFolder(FolderDevice device) throws IOException {
-        boolean forms = settings.formsGroup() && settings.seeds().contains(settings.nodeAddress());
-        if (forms) {
-            List<Member> first = settings.seeds().stream()
+    /** Initializes an empty folder, with the seeds as members of a new group or without members to join a group. */
+    private AgreementStorage initializeFolder(FolderDevice device) throws IOException {
+        boolean bootstraps = settings.formsGroup() && settings.seeds().contains(settings.nodeAddress());
+        if (bootstraps) {
+            List<Member> initialMembers = settings.seeds().stream()
                     .map(seed -> member(seed, FIRST_INCARNATION))
                     .sorted()
                     .toList();
-            return AgreementStorage.create(device, FIRST_INCARNATION, Snapshot.initial(first));
+            return AgreementStorage.create(device, FIRST_INCARNATION, Snapshot.initial(initialMembers));
         }
-        long life = Math.max(
+        long incarnation = Math.max(
                 FIRST_INCARNATION + 1, RandomSource.XO_RO_SHI_RO_128_PP.create().nextLong(Long.MAX_VALUE));
-        return AgreementStorage.create(device, life, Snapshot.initial(List.of()));
+        return AgreementStorage.create(device, incarnation, Snapshot.initial(List.of()));
     }
 
     private static Member member(Address address, long incarnation) {
@@ -211,37 +213,37 @@
         reactor.execute(() -> watchers.wake(index));
     }
 
-    private void distrust(long heardMillis) {
+    private void replaceSilentConnections(long heardMillis) {
         reactor.execute(() -> clients.trust().wentSilent(heardMillis));
     }
 
-    // ---- calls of operators and targets
+    // ---- requests of operators and targets
 
     private void handle(ServerExchange exchange) {
         ControlCall call =
                 SuspectCalls.read(exchange.head()).orElseGet(() -> dialect.read(exchange.head(), exchange.body()));
-        decide(call).whenComplete((answer, failure) -> {
-            ControlAnswer given =
+        dispatch(call).whenComplete((answer, failure) -> {
+            ControlAnswer sent =
                     failure == null ? answer : new ControlAnswer.Unavailable(String.valueOf(failure.getMessage()));
-            note(call, given, clock.millis() - exchange.receivedMillis());
-            exchange.answer(dialect.head(given), dialect.body(given));
+            record(call, sent, clock.millis() - exchange.receivedMillis());
+            exchange.answer(dialect.head(sent), dialect.body(sent));
         });
     }
 
-    private void note(ControlCall call, ControlAnswer given, long tookMillis) {
+    private void record(ControlCall call, ControlAnswer answer, long tookMillis) {
         String name = call.getClass().getSimpleName();
         metrics.leads(member.view().leads());
-        metrics.controlCall(name, given.getClass().getSimpleName(), tookMillis);
-        boolean quiet = given instanceof ControlAnswer.Accepted && call instanceof ControlCall.Heartbeat;
-        if (!quiet) {
+        metrics.controlCall(name, answer.getClass().getSimpleName(), tookMillis);
+        boolean unlogged = answer instanceof ControlAnswer.Accepted && call instanceof ControlCall.Heartbeat;
+        if (!unlogged) {
             log.line(DecisionKind.CHANGE)
                     .with(DecisionField.CALL, name)
-                    .with(DecisionField.ANSWER, given instanceof ControlAnswer.Document ? "Document" : given)
+                    .with(DecisionField.ANSWER, answer instanceof ControlAnswer.Document ? "Document" : answer)
                     .write();
         }
     }
 
-    private Promise<ControlAnswer> decide(ControlCall call) {
+    private Promise<ControlAnswer> dispatch(ControlCall call) {
         if (call instanceof ControlCall.Publish publish) {
             return publish(publish.document());
         }
@@ -283,10 +285,10 @@
         return change(new PublicationCommand.PutDocument(configuration.version(), Deflated.deflate(document)));
     }
 
-    /** Has the group commit a command; what is committed here already is accepted at once. */
+    /** Submits a command; one that the local state already reflects is accepted without a submission. */
     private Promise<ControlAnswer> change(PublicationCommand command) {
         return ask(member.query(state -> state.wouldChange(command))).then(needed -> {
-            if (!needed && member.view().isFresh(clock.millis(), FRESH_MILLIS)) {
+            if (!needed && member.view().isFresh(clock.millis(), FRESHNESS_MILLIS)) {
                 return Promise.of(new ControlAnswer.Accepted());
             }
             return submit(command).map(GroupNode::answerTo);
@@ -315,7 +317,7 @@
         });
     }
 
-    // ---- messages of other processes
+    // ---- requests of other processes
 
     private Promise<NodeReply> answer(NodeRequest request) {
         if (request instanceof NodeRequest.Agree agree) {
@@ -341,7 +343,7 @@
             targetWatch.recordRemoteHeartbeats(noted.targets());
             return Promise.of(new NodeReply.Received());
         }
-        return Promise.of(new NodeReply.Failed("not for a control process"));
+        return Promise.of(new NodeReply.Failed("not supported by a control process"));
     }
 
     private static NodeReply replyTo(ControlAnswer answer) {
@@ -351,21 +353,21 @@
     }
 
     private Promise<NodeReply> watch(NodeRequest.WatchPublication watch) {
-        boolean freshWhenAsked = isFresh();
+        boolean freshAtRequest = isFresh();
         return ask(member.query(PublicationState::index))
                 .then(index -> index > watch.haveIndex()
                         ? watched(watch.haveIndex(), false)
-                        : awaitNewer(watch, freshWhenAsked));
+                        : awaitNewer(watch, freshAtRequest));
     }
 
-    private Promise<NodeReply> awaitNewer(NodeRequest.WatchPublication watch, boolean freshWhenAsked) {
+    private Promise<NodeReply> awaitNewer(NodeRequest.WatchPublication watch, boolean freshAtRequest) {
         return watchers.await(watch.haveIndex(), watch.waitMillis())
                 .then(newer ->
-                        newer ? watched(watch.haveIndex(), freshWhenAsked) : Promise.of(reply(null, freshWhenAsked)));
+                        newer ? watched(watch.haveIndex(), freshAtRequest) : Promise.of(reply(null, freshAtRequest)));
     }
 
     private boolean isFresh() {
-        return member.view().isFresh(clock.millis(), FRESH_MILLIS);
+        return member.view().isFresh(clock.millis(), FRESHNESS_MILLIS);
     }
 
     private Promise<NodeReply> watched(long haveIndex, boolean waited) {
--- a/daemon/src/main/java/org/bankturn/daemon/group/GroupSettings.java
+++ b/daemon/src/main/java/org/bankturn/daemon/group/GroupSettings.java
@@ -4,17 +4,17 @@
 import org.bankturn.daemon.settings.Address;
 
 /**
- * What a control process must be told.
+ * The settings of a control process.
  *
- * @param process its name, not null
- * @param dataHall the data hall it is in, not null
- * @param callAddress where operators and targets call, not null
- * @param nodeAddress where other processes call, not null
- * @param listenAddress where it listens for them; another address only where a forwarder stands before it, not null
- * @param dataFolder where its files lie, not null
- * @param formsGroup true only at the very first start of all control boxes
- * @param seeds node addresses of control boxes, not null
- * @param heartbeatMillis how often targets say that they are there
+ * @param process the process name, not null
+ * @param dataHall the data hall of the process, not null
+ * @param callAddress the listen address for operators and targets, not null
+ * @param nodeAddress the advertised address for other processes, not null
+ * @param listenAddress the listen address for other processes, unlike {@code nodeAddress} only behind a proxy, not null
+ * @param dataFolder the path of the data folder, not null
+ * @param formsGroup true only at the first start of all control boxes, which bootstraps the group
+ * @param seeds the node addresses of the control boxes, not null
+ * @param heartbeatMillis the heartbeat interval of targets
  */
 public record GroupSettings(
         String process,
--- a/daemon/src/main/java/org/bankturn/daemon/group/QuorumContactMonitor.java
+++ b/daemon/src/main/java/org/bankturn/daemon/group/QuorumContactMonitor.java
@@ -11,7 +11,7 @@
 import org.bankturn.time.Clock;
 
 /**
- * Has connections replaced while a member's group is quiet, and writes a line when that begins and when it ends.
+ * Has connections replaced while a member lacks contact to a majority, and logs the loss and the return of contact.
  *
  * <p>QuorumContactMonitor is confined to the member's thread.
  */
@@ -22,15 +22,15 @@
     private final Clock clock;
     private final DecisionLog log;
     private final LongConsumer distrust;
-    private boolean quiet;
+    private boolean lost;
 
     /**
-     * Returns a watch of a group that is in touch, not null.
+     * Returns a monitor that assumes contact, not null.
      *
      * @param settings the group's timing, not null
-     * @param clock the time, not null
+     * @param clock the clock, not null
      * @param log the decision log, not null
-     * @param distrust takes until when connections must have been heard last to be replaced, not null
+     * @param distrust called with a time; connections that received nothing after it are replaced, not null
      */
     static QuorumContactMonitor of(AgreementSettings settings, Clock clock, DecisionLog log, LongConsumer distrust) {
         return new QuorumContactMonitor(settings, clock, log, distrust);
@@ -43,15 +43,15 @@
         this.distrust = distrust;
     }
 
-    /** Looks at a member after a step of it. */
+    /** Checks the contact of a member; called after each of its steps. */
     void observe(Agreement member) {
         long now = clock.millis();
         OptionalLong until = GroupSilence.distrustedUntilMillis(member, settings, now);
-        // found out by lost messages alone, a silence cost 1,730 and 1,937 ms without a leader (two groups of three)
+        // waiting for each connection's own timeout would prolong the time without a leader
         until.ifPresent(distrust);
-        if (until.isPresent() != quiet) {
-            quiet = until.isPresent();
-            log.line(quiet ? DecisionKind.LOST : DecisionKind.REGAINED)
+        if (until.isPresent() != lost) {
+            lost = until.isPresent();
+            log.line(lost ? DecisionKind.LOST : DecisionKind.REGAINED)
                     .with(DecisionField.DEPENDENCY, GROUP)
                     .with(DecisionField.TERM, member.term())
                     .with(DecisionField.SILENT_MS, now - member.currentMillis())
--- a/daemon/src/main/java/org/bankturn/daemon/group/ReactorPromises.java
+++ b/daemon/src/main/java/org/bankturn/daemon/group/ReactorPromises.java
@@ -6,11 +6,11 @@
 import java.io.IOException;
 import java.util.concurrent.CompletableFuture;
 
-/** Turns what another thread will answer into a promise of a reactor. */
+/** Converts futures that other threads complete to promises of a reactor. */
 final class ReactorPromises {
     private ReactorPromises() {}
 
-    /** Returns a promise that completes on the reactor's thread, with the future's value or failure, not null. */
+    /** Returns a promise that completes on the reactor's thread with the result of the future, not null. */
     static <T> Promise<T> of(Eventloop reactor, CompletableFuture<T> future) {
         SettablePromise<T> promise = new SettablePromise<>();
         CompletableFuture<T> unused = future.whenComplete((value, failure) -> reactor.execute(() -> {
--- a/daemon/src/main/java/org/bankturn/daemon/group/SuspectCalls.java
+++ b/daemon/src/main/java/org/bankturn/daemon/group/SuspectCalls.java
@@ -10,28 +10,28 @@
 import org.bankturn.daemon.http.HttpHead;
 
 /**
- * Bankturn's own calls by which operators see the requests under which targets ended, and have one run again.
+ * Operator calls that list the requests during which targets crashed, and clear one of them.
  *
- * <p>{@code GET /suspects} answers with a JSON list; {@code DELETE /suspects/FINGERPRINT} clears one. They are served at the
- * address of operators' calls, whatever else the platform defines there.
+ * <p>{@code GET /suspects} returns a JSON list; {@code DELETE /suspects/FINGERPRINT} clears a request. They are served at
+ * the operators' address in addition to the calls that the platform defines.
  */
 final class SuspectCalls {
-    private static final String ALL = "/suspects";
-    private static final String ONE = ALL + "/";
+    private static final String LIST_PATH = "/suspects";
+    private static final String ITEM_PREFIX = LIST_PATH + "/";
     private static final ObjectMapper JSON = new ObjectMapper();
 
-    /** One entry of the list. */
+    /** An entry of the JSON list. */
     private record Entry(String fingerprint, List<String> endedTargets, int trials, boolean sentToNoTarget) {}
 
     private SuspectCalls() {}
 
-    /** Returns what a request asks, empty if it is none of these calls, not null. */
+    /** Parses a request, empty if it is none of these calls, not null. */
     static Optional<ControlCall> read(HttpHead head) {
-        if (head.first().equals("GET") && head.second().equals(ALL)) {
+        if (head.first().equals("GET") && head.second().equals(LIST_PATH)) {
             return Optional.of(new ControlCall.ListSuspects());
         }
-        if (head.first().equals("DELETE") && head.second().startsWith(ONE)) {
-            return Optional.of(clear(head.second().substring(ONE.length())));
+        if (head.first().equals("DELETE") && head.second().startsWith(ITEM_PREFIX)) {
+            return Optional.of(clear(head.second().substring(ITEM_PREFIX.length())));
         }
         return Optional.empty();
     }
@@ -44,7 +44,7 @@
         }
     }
 
-    /** Returns the list of those that anything is held against, not null. */
+    /** Returns the JSON list of requests during which at least one target crashed, not null. */
     static byte[] list(List<Suspect> suspects) {
         List<Entry> entries = suspects.stream()
                 .filter(each -> !each.endedTargets().isEmpty())
--- a/daemon/src/main/java/org/bankturn/daemon/group/TargetCallHandler.java
+++ b/daemon/src/main/java/org/bankturn/daemon/group/TargetCallHandler.java
@@ -17,7 +17,7 @@
 import org.bankturn.service.UnreadableDocumentException;
 
 /**
- * What targets say to a control process: that they are there, and that they leave.
+ * Handles the heartbeats and deregistrations of targets.
  *
  * <p>TargetCallHandler is confined to its reactor's thread.
  */
@@ -30,18 +30,18 @@
     private final BooleanSupplier isFresh;
     private final Function<PublicationCommand, Promise<ControlAnswer>> change;
     private Map<String, Service> services = Map.of();
-    private long readVersion;
+    private long parsedVersion;
 
     /**
-     * Returns one, not null.
+     * Returns a handler, not null.
      *
      * @param reactor its reactor, not null
-     * @param member the member of the group, not null
-     * @param watch notices targets that fall silent, not null
-     * @param addresses finds out who is at an address, not null
-     * @param format reads operators' documents, not null
-     * @param isFresh tells whether the member was in touch with a majority of late, not null
-     * @param change has the group commit a command, not null
+     * @param member the local member of the group, not null
+     * @param watch the liveness monitor, not null
+     * @param addresses resolves address conflicts, not null
+     * @param format parses operators' documents, not null
+     * @param isFresh returns true if the member recently had contact to a majority, not null
+     * @param change submits a command to the group, not null
      */
     static TargetCallHandler of(
             Eventloop reactor,
@@ -71,74 +71,74 @@
         this.change = change;
     }
 
-    /** Takes in a heartbeat; one of a start that has left is acknowledged without effect. */
+    /** Handles a heartbeat; one of an incarnation that has left is acknowledged without effect. */
     Promise<ControlAnswer> heartbeat(TargetSighting sighting) {
         if (!isFresh.getAsBoolean()) {
-            return Promise.of(new ControlAnswer.Unavailable("not in touch with a majority"));
+            return Promise.of(new ControlAnswer.Unavailable("no contact to a majority"));
         }
         watch.recordHeartbeat(sighting.id());
-        return ReactorPromises.of(reactor, member.query(state -> standing(state.registry(), sighting)))
-                .then(standing -> switch (standing) {
+        return ReactorPromises.of(reactor, member.query(state -> registrationStatus(state.registry(), sighting)))
+                .then(status -> switch (status) {
                     case LEFT -> Promise.of(new ControlAnswer.Accepted());
                     case RELAY -> record(sighting, Evidence.ARRIVAL);
                     case UNDISPUTED -> record(sighting, Evidence.UNDISPUTED);
-                    case DISPUTED -> settle(sighting);
+                    case DISPUTED -> recordIfOwner(sighting);
                 });
     }
 
-    /** What the registry says of a start before its word is recorded. */
-    private enum Standing {
+    /** The registration status of the incarnation that sent a heartbeat. */
+    private enum RegistrationStatus {
         LEFT,
-        /** Relays choose a name anew at each start; whichever is listed is reached at the same address. */
+        /** A relay; it has a new name at each start, so an address conflict between its incarnations is harmless. */
         RELAY,
         DISPUTED,
         UNDISPUTED
     }
 
-    private static Standing standing(TargetRegistry registry, TargetSighting sighting) {
+    private static RegistrationStatus registrationStatus(TargetRegistry registry, TargetSighting sighting) {
         if (registry.hasLeft(sighting.id())) {
-            return Standing.LEFT;
+            return RegistrationStatus.LEFT;
         }
         if (sighting.service().equals(WeightsRelay.SERVICE)) {
-            return Standing.RELAY;
+            return RegistrationStatus.RELAY;
         }
-        return registry.isDoubtful(sighting) ? Standing.DISPUTED : Standing.UNDISPUTED;
+        return registry.isDoubtful(sighting) ? RegistrationStatus.DISPUTED : RegistrationStatus.UNDISPUTED;
     }
 
     private Promise<ControlAnswer> record(TargetSighting sighting, Evidence evidence) {
         return change.apply(new PublicationCommand.RecordTarget(sighting, evidence));
     }
 
-    private Promise<ControlAnswer> settle(TargetSighting sighting) {
+    private Promise<ControlAnswer> recordIfOwner(TargetSighting sighting) {
         return healthPath(sighting.service())
                 .then(path -> addresses.ownsAddress(sighting, path))
-                .then(there -> there ? record(sighting, Evidence.SETTLED) : Promise.of(new ControlAnswer.Accepted()));
+                .then(owner -> owner ? record(sighting, Evidence.SETTLED) : Promise.of(new ControlAnswer.Accepted()));
     }
 
     private Promise<Optional<String>> healthPath(String service) {
         return ReactorPromises.of(
                         reactor, member.query(state -> new Accepted(state.documentVersion(), state.document())))
                 .map(accepted ->
-                        Optional.ofNullable(servicesIn(accepted).get(service)).map(Service::healthPath));
+                        Optional.ofNullable(services(accepted).get(service)).map(Service::healthPath));
     }
 
-    /** Reads a document once: many targets start at the same moment, and a document may be large. */
-    private Map<String, Service> servicesIn(Accepted accepted) {
-        if (accepted.deflated() != null && accepted.version() != readVersion) {
+    /** Parses each document version once, since documents may be large and many targets may start at the same time. */
+    private Map<String, Service> services(Accepted accepted) {
+        if (accepted.deflated() != null && accepted.version() != parsedVersion) {
             try {
                 services = format.read(Deflated.inflate(accepted.deflated())).services();
-                readVersion = accepted.version();
+                parsedVersion = accepted.version();
             } catch (UnreadableDocumentException e) {
-                throw new IllegalStateException("an accepted document cannot be read: " + e.getMessage(), e);
+                throw new IllegalStateException("cannot parse accepted document: " + e.getMessage(), e);
             }
         }
         return services;
     }
 
-    /** The document in force, deflated; null if there is none. */
+    /** The current document, deflated; null if there is none. */
     private record Accepted(long version, byte[] deflated) {}
 
-    /** Takes off the start of the target that is meant; one that is not known here yet must not be listed later. */
+    /** Removes an incarnation; one that is not registered yet is recorded as left, so that it is not registered later. */
     Promise<ControlAnswer> leave(ControlCall.Leave leave) {
         if (leave.bornMillis() != 0) {
             String incarnation = TargetSighting.incarnation(leave.name(), leave.bornMillis());
--- a/daemon/src/main/java/org/bankturn/daemon/group/TargetLivenessMonitor.java
+++ b/daemon/src/main/java/org/bankturn/daemon/group/TargetLivenessMonitor.java
@@ -16,25 +16,25 @@
 import org.bankturn.time.Clock;
 
 /**
- * Notices targets that fall silent.
+ * Removes targets whose heartbeats have stopped.
  *
- * <p>Targets call any control process; each tells the leader whom it heard, and the leader has those removed that nobody
- * heard for long. TargetLivenessMonitor is confined to its reactor's thread.
+ * <p>Targets send heartbeats to any control process. Each process forwards the targets it heard from to the leader, which
+ * removes those without a heartbeat at any process. TargetLivenessMonitor is confined to its reactor's thread.
  */
 final class TargetLivenessMonitor {
-    /** How often the targets that were heard here are told to the leader, all together. */
+    /** The interval at which received heartbeats are forwarded to the leader in one batch. */
     private static final long FORWARD_MILLIS = 400;
 
-    /** Heartbeats that a target may miss before it is dropped, by everyone. */
-    private static final int HEARTBEATS_MISSED = 7;
+    /** The number of consecutive heartbeats a target may miss before it is removed. */
+    private static final int MAX_MISSED_HEARTBEATS = 7;
 
     private final Eventloop reactor;
     private final NodeClients clients;
     private final GroupMember member;
     private final DecisionLog log;
     private final HeartbeatTable heartbeats;
-    private final Set<String> heardHere = new LinkedHashSet<>();
-    private boolean ledBefore;
+    private final Set<String> pendingHeartbeats = new LinkedHashSet<>();
+    private boolean wasLeader;
 
     static TargetLivenessMonitor of(
             Eventloop reactor,
@@ -57,7 +57,7 @@
         this.clients = clients;
         this.member = member;
         this.log = log;
-        this.heartbeats = HeartbeatTable.of(clock, HEARTBEATS_MISSED * heartbeatMillis);
+        this.heartbeats = HeartbeatTable.of(clock, MAX_MISSED_HEARTBEATS * heartbeatMillis);
     }
 
     void start() {
@@ -67,31 +67,31 @@
         });
     }
 
-    /** A target called this process. */
+    /** Records a heartbeat received by this process. */
     void recordHeartbeat(String target) {
-        heardHere.add(target);
+        pendingHeartbeats.add(target);
     }
 
-    /** Another control process heard targets. */
+    /** Records heartbeats that another control process received. */
     void recordRemoteHeartbeats(List<String> targets) {
         heartbeats.heard(targets);
     }
 
     private void forward() {
         GroupView view = member.view();
-        List<String> heard = List.copyOf(heardHere);
-        heardHere.clear();
+        List<String> heard = List.copyOf(pendingHeartbeats);
+        pendingHeartbeats.clear();
         if (view.leads()) {
             heartbeats.heard(heard);
             removeSilent();
         } else if (view.leader() != null && !heard.isEmpty()) {
             clients.tell(Address.parse(view.leader().address()), new NodeRequest.NoteHeartbeats(heard));
         }
-        ledBefore = view.leads();
+        wasLeader = view.leads();
     }
 
     private void removeSilent() {
-        if (!ledBefore) {
+        if (!wasLeader) {
             heartbeats.restart();
         }
         CompletableFuture<List<String>> listed = member.query(state -> state.registry().all().stream()
--- a/daemon/src/main/java/org/bankturn/daemon/group/Watchers.java
+++ b/daemon/src/main/java/org/bankturn/daemon/group/Watchers.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import java.util.Set;
 
-/** Processes that wait here for something newer than what they hold; confined to the reactor's thread. */
+/** Pending long polls for a state newer than the caller's; confined to the reactor's thread. */
 final class Watchers {
     private final Eventloop reactor;
     private final Set<Watcher> waiting = new HashSet<>();
@@ -23,7 +23,7 @@
         return waiting.size();
     }
 
-    /** Gives true once there is something newer than {@code haveIndex}, false when {@code waitMillis} are over. */
+    /** Returns a promise of true once the index exceeds {@code haveIndex}, or of false after {@code waitMillis}. */
     Promise<Boolean> await(long haveIndex, long waitMillis) {
         Watcher watcher = new Watcher(haveIndex, new SettablePromise<>());
         waiting.add(watcher);
@@ -35,7 +35,7 @@
         return watcher.newer();
     }
 
-    /** Wakes those that hold less than {@code index}. */
+    /** Completes the polls of callers whose index is below {@code index}. */
     void wake(long index) {
         List<Watcher> woken = new ArrayList<>();
         waiting.removeIf(watcher -> watcher.haveIndex() < index && woken.add(watcher));
--- a/daemon/src/main/java/org/bankturn/daemon/group/package-info.java
+++ b/daemon/src/main/java/org/bankturn/daemon/group/package-info.java
@@ -1,2 +1,2 @@
-/** The control processes: one agreement group that publishes the operators' document, named weights and targets. */
+/** Control processes: a consensus group that replicates the operators' document, named weights and targets. */
 package org.bankturn.daemon.group;
--- a/daemon/src/test/java/org/bankturn/daemon/group/AddressConflictResolverTest.java
+++ b/daemon/src/test/java/org/bankturn/daemon/group/AddressConflictResolverTest.java
@@ -15,17 +15,14 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/**
- * Two starts announced the same address, and nothing in their words told which one lives. Whoever answers there by name
- * does; where nobody can be asked, the one that goes on speaking.
- */
+/** Guards against a delayed heartbeat of a crashed target displacing the live target at the same address. */
 @Timeout(30)
 class AddressConflictResolverTest {
     private static final long HEARTBEAT_MILLIS = 1_000;
 
     private final ManualClock clock = ManualClock.startingAt(1_000_000);
     private final Eventloop reactor = Eventloop.create();
-    private final AddressConflictResolver addresses = AddressConflictResolver.of(
+    private final AddressConflictResolver resolver = AddressConflictResolver.of(
             reactor, clock, new PlainControlDialect(), DecisionLog.start("test", clock), HEARTBEAT_MILLIS);
     private HttpServer server;
 
@@ -37,7 +34,7 @@
     }
 
     @Test
-    void the_start_that_answers_at_the_address_is_there_and_any_other_is_not() throws IOException {
+    void the_incarnation_that_answers_at_the_address_owns_it() throws IOException {
         Address address = serve("later");
         assertThat(ownsAddress("later", address, Optional.of("/health"))).isTrue();
         assertThat(ownsAddress("former", address, Optional.of("/health"))).isFalse();
@@ -46,7 +43,7 @@
     }
 
     @Test
-    void where_nobody_answers_a_start_is_there_that_speaks_again_a_heartbeat_later() throws IOException {
+    void without_an_answer_an_incarnation_owns_the_address_after_a_further_heartbeat() throws IOException {
         Address address = FreeAddresses.next();
         assertThat(ownsAddress("a", address, Optional.of("/health"))).isFalse();
         clock.advance(HEARTBEAT_MILLIS / 10);
@@ -56,7 +53,7 @@
     }
 
     @Test
-    void a_start_of_a_service_that_is_not_known_must_go_on_speaking() throws IOException {
+    void an_incarnation_of_an_unknown_service_owns_the_address_after_a_further_heartbeat() throws IOException {
         Address address = serve("a");
         assertThat(ownsAddress("a", address, Optional.empty())).isFalse();
         clock.advance(HEARTBEAT_MILLIS);
@@ -76,14 +73,13 @@
     }
 
     private boolean ownsAddress(String name, Address address, Optional<String> healthPath) {
-        TargetSighting word = new TargetSighting(name, "chat", address.toString(), "north", 4, false, 1, 1);
-        boolean[] there = new boolean[1];
-        reactor.post(() -> addresses
-                .ownsAddress(word, healthPath)
-                .whenResult(found -> there[0] = found)
+        TargetSighting sighting = new TargetSighting(name, "chat", address.toString(), "north", 4, false, 1, 1);
+        boolean[] result = new boolean[1];
+        reactor.post(() -> resolver.ownsAddress(sighting, healthPath)
+                .whenResult(owns -> result[0] = owns)
                 .whenComplete(reactor::breakEventloop));
         reactor.keepAlive(true);
         reactor.run();
-        return there[0];
+        return result[0];
     }
 }
--- a/daemon/src/test/java/org/bankturn/daemon/group/GroupNodeTest.java
+++ b/daemon/src/test/java/org/bankturn/daemon/group/GroupNodeTest.java
@@ -35,13 +35,13 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Control processes on loopback, formed from seeds. */
+/** Runs a control group of three processes on loopback. */
 @Timeout(60)
 class GroupNodeTest {
     private static final int BOXES = 3;
 
     private static final int CHANGES = 12;
-    private static final long LOOK_AGAIN_MILLIS = 5;
+    private static final long POLL_INTERVAL_MILLIS = 5;
     private static final long FIRST_PUBLICATION_SECONDS = 10;
 
     @TempDir
@@ -101,7 +101,7 @@
     }
 
     @Test
-    void a_leaving_target_is_leaving_for_a_follower_at_any_other_box_once_acknowledged() throws Exception {
+    void an_acknowledged_leave_is_published_at_every_other_box() throws Exception {
         AtomicReference<Published> seen = follow(2);
         assertThat(untilAccepted(0, "/beat/t1/ready/1", "")).isEqualTo(200);
         assertThat(untilAccepted(1, "/beat/t1/leaving/2", "")).isEqualTo(200);
@@ -115,9 +115,9 @@
         }
     }
 
-    /** A cut held a heartbeat back until its sender had crashed and another target had started at the address. */
+    /** Guards against a delayed heartbeat of a crashed target displacing the target that now has its address. */
     @Test
-    void a_delayed_heartbeat_of_a_start_that_ended_displaces_nobody_at_any_box() throws Exception {
+    void a_delayed_heartbeat_of_a_crashed_incarnation_displaces_no_target_at_any_box() throws Exception {
         assertThat(untilAccepted(0, "/beat/t2/ready/1/10.0.0.1:80", "")).isEqualTo(200);
         for (int box = 0; box < BOXES; box++) {
             assertThat(untilAccepted(box, "/beat/t1/ready/9/10.0.0.1:80", "")).isEqualTo(200);
@@ -131,7 +131,7 @@
     }
 
     @Test
-    void without_a_majority_nothing_is_acknowledged_and_nothing_read() throws Exception {
+    void without_a_majority_changes_and_reads_fail() throws Exception {
         assertThat(untilAccepted(0, "/put", "7")).isEqualTo(200);
         stopBox(1);
         stopBox(2);
@@ -142,7 +142,7 @@
     }
 
     @Test
-    void a_restarted_group_holds_what_was_accepted() throws Exception {
+    void accepted_changes_survive_a_restart_of_the_group() throws Exception {
         assertThat(untilAccepted(0, "/put", "7")).isEqualTo(200);
         for (int box = 0; box < BOXES; box++) {
             stopBox(box);
@@ -154,7 +154,7 @@
     }
 
     @Test
-    void a_box_that_starts_again_alone_publishes_what_it_knew_to_be_accepted() throws Exception {
+    void a_box_that_restarts_alone_publishes_its_committed_state() throws Exception {
         for (int version = 1; version <= CHANGES; version++) {
             assertThat(untilAccepted(0, "/put", String.valueOf(version))).isEqualTo(200);
         }
@@ -167,17 +167,14 @@
         assertThat(versionOfFirst(followFromStart(0))).isGreaterThanOrEqualTo(CHANGES - 1);
     }
 
-    /**
-     * Entry processes were listed only once their former starts had been silent for seven heartbeats, and weights came five
-     * seconds later after a loss of power: relays announce themselves under another name at each start.
-     */
+    /** Guards against a restarted relay, which has a new name, being published only after its predecessor timed out. */
     @Test
-    void a_relay_that_starts_again_at_its_address_is_published_at_once() throws InterruptedException {
+    void a_relay_that_restarts_at_its_address_is_published_at_once() throws InterruptedException {
         AtomicReference<Published> seen = follow(2);
         announce("relay-1", WeightsRelay.SERVICE);
-        awaitListed(seen, "relay-1");
+        awaitPublishedTarget(seen, "relay-1");
         announce("relay-2", WeightsRelay.SERVICE);
-        awaitListed(seen, "relay-2");
+        awaitPublishedTarget(seen, "relay-2");
         assertThat(seen.get().targets()).doesNotContainKey("relay-1");
     }
 
@@ -197,9 +194,9 @@
         });
     }
 
-    private static void awaitListed(AtomicReference<Published> seen, String name) throws InterruptedException {
+    private static void awaitPublishedTarget(AtomicReference<Published> seen, String name) throws InterruptedException {
         while (!seen.get().targets().containsKey(name)) {
-            Thread.sleep(LOOK_AGAIN_MILLIS);
+            Thread.sleep(POLL_INTERVAL_MILLIS);
         }
     }
 
@@ -207,7 +204,7 @@
     void a_process_that_announces_itself_is_published_at_every_box() throws InterruptedException {
         AtomicReference<Published> seen = follow(2);
         announce("relay-1", "relays");
-        awaitListed(seen, "relay-1");
+        awaitPublishedTarget(seen, "relay-1");
         assertThat(seen.get().targets().get("relay-1").address()).isEqualTo("10.0.0.1:7");
     }
 
@@ -258,7 +255,7 @@
         joinFully(stopped.thread());
     }
 
-    /** A selector lets go of a closed port only in its next round, so the reactor must come to its end by itself. */
+    /** Waits for the reactor to end; a selector releases a closed port only in its next iteration. */
     private static void joinFully(Thread thread) {
         try {
             thread.join();
@@ -267,7 +264,7 @@
         }
     }
 
-    /** Follows a box and gives what it publishes first. */
+    /** Follows a box and returns the first state that it publishes. */
     private CompletableFuture<Published> followFromStart(int box) {
         CompletableFuture<Published> first = new CompletableFuture<>();
         PublicationFollower follower = follower(box, (published, changedSinceMillis) -> first.complete(published));
@@ -275,7 +272,7 @@
         return first;
     }
 
-    /** Waits until a box has applied a change itself, whichever box leads. */
+    /** Waits until a box has applied a document version locally. */
     private void awaitPublished(int box, long version) {
         CompletableFuture<Void> applied = new CompletableFuture<>();
         PublicationFollower follower = follower(box, (published, changedSinceMillis) -> {
@@ -317,9 +314,9 @@
                 listener);
     }
 
-    // ---- calls
+    // ---- HTTP calls
 
-    /** Calls as operators do: again until the answer is clear. */
+    /** Repeats a call until the status is other than 503, and returns that status. */
     private int untilAccepted(int box, String target, String body) throws Exception {
         int status = 503;
         while (status == 503) {
--- a/daemon/src/test/java/org/bankturn/daemon/group/NumberedDocument.java
+++ b/daemon/src/test/java/org/bankturn/daemon/group/NumberedDocument.java
@@ -9,7 +9,7 @@
 import org.bankturn.service.ServingConfiguration;
 import org.bankturn.service.UnreadableDocumentException;
 
-/** A document that is only its version, or a version and the word that makes it faulty. */
+/** A document format for tests: a version number, followed by {@code faulty} for an invalid document. */
 final class NumberedDocument implements DocumentFormat {
     @Override
     public ServingConfiguration read(byte[] document) throws UnreadableDocumentException {
--- a/daemon/src/test/java/org/bankturn/daemon/group/PlainControlDialect.java
+++ b/daemon/src/test/java/org/bankturn/daemon/group/PlainControlDialect.java
@@ -7,7 +7,7 @@
 import org.bankturn.daemon.http.HttpHead;
 import org.bankturn.registry.TargetSighting;
 
-/** A dialect with short paths, for tests; a heartbeat may name an address at its end. */
+/** A control dialect with short paths for tests; a heartbeat path may end with the target's address. */
 public final class PlainControlDialect implements ControlDialect {
     @Override
     public ControlCall read(HttpHead head, byte[] body) {
--- a/daemon/src/test/java/org/bankturn/daemon/group/SilentConnectionsTest.java
+++ b/daemon/src/test/java/org/bankturn/daemon/group/SilentConnectionsTest.java
@@ -34,7 +34,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A control group and processes that follow it, while every connection that is open goes silent at one moment. */
+/** Runs a control group and followers while all open connections stop delivering data at the same time. */
 @Timeout(120)
 class SilentConnectionsTest {
     private static final int BOXES = 3;
@@ -43,7 +43,7 @@
     private static final int CHANGES_AFTER = 10;
     private static final int SILENCES = 3;
     private static final int CHANGES_BETWEEN_SILENCES = 4;
-    private static final Duration OPERATOR_PATIENCE = Duration.ofSeconds(1);
+    private static final Duration CHANGE_TIMEOUT = Duration.ofSeconds(1);
 
     @TempDir
     private Path folder;
@@ -94,7 +94,7 @@
         }
         awaitAll(version - 1);
         for (Follower follower : followers) {
-            follower.askEveryBoxOnce();
+            follower.connectToEveryBox();
         }
         change(version++);
         long silentMillis = clock.millis();
@@ -105,11 +105,11 @@
         awaitAll(version - 1);
         report(silentMillis);
         assertThat(followers)
-                .allSatisfy(follower -> assertThat(follower.wentBack).isFalse());
+                .allSatisfy(follower -> assertThat(follower.regressed).isFalse());
     }
 
     @Test
-    void changes_go_on_being_accepted_and_shown_while_connections_go_silent_again_and_again() throws Exception {
+    void changes_are_accepted_and_published_while_connections_repeatedly_go_silent() throws Exception {
         long version = 1;
         change(version++);
         awaitAll(version - 1);
@@ -121,7 +121,7 @@
         }
         awaitAll(version - 1);
         assertThat(followers)
-                .allSatisfy(follower -> assertThat(follower.wentBack).isFalse());
+                .allSatisfy(follower -> assertThat(follower.regressed).isFalse());
     }
 
     // ---- boxes
@@ -173,9 +173,9 @@
     private final class Follower {
         private final Eventloop reactor;
         private final NodeClients clients;
-        private final Map<Long, Long> shownMillis = new ConcurrentHashMap<>();
+        private final Map<Long, Long> publishedMillis = new ConcurrentHashMap<>();
         private volatile long version;
-        private volatile boolean wentBack;
+        private volatile boolean regressed;
 
         Follower(int number) {
             reactor = reactor("follower-" + number);
@@ -190,30 +190,30 @@
                             clock,
                             log,
                             metrics),
-                    (published, changedSinceMillis) -> shown(published));
+                    (published, changedSinceMillis) -> onPublished(published));
             reactor.execute(follower::start);
         }
 
-        private void shown(Published published) {
+        private void onPublished(Published published) {
             long newer = published.configuration() == null
                     ? 0
                     : published.configuration().version();
-            wentBack |= newer < version;
+            regressed |= newer < version;
             version = newer;
-            shownMillis.putIfAbsent(newer, clock.millis());
+            publishedMillis.putIfAbsent(newer, clock.millis());
         }
 
-        /** Leaves a connection to every box, as following one after the other does. */
-        void askEveryBoxOnce() {
+        /** Opens a connection to every box. */
+        void connectToEveryBox() {
             for (Address address : nodeAddresses()) {
                 clients.askFromAnyThread(address, new NodeRequest.WatchPublication(0, 0), 10_000)
                         .join();
             }
         }
 
-        /** Returns when a version or a newer one was shown. */
-        long shownAtMillis(long wanted) {
-            return shownMillis.entrySet().stream()
+        /** Returns when a version or a newer one was published to this follower. */
+        long publishedAtMillis(long wanted) {
+            return publishedMillis.entrySet().stream()
                     .filter(entry -> entry.getKey() >= wanted)
                     .mapToLong(Map.Entry::getValue)
                     .min()
@@ -227,9 +227,9 @@
         }
     }
 
-    // ---- the operator
+    // ---- operator
 
-    /** Sends a change to one box after the other until it is accepted. */
+    /** Sends a change to the boxes in turn until one accepts it. */
     private void change(long version) throws InterruptedException {
         for (int call = 0; !isAccepted(call % BOXES, version); call++) {
             Thread.sleep(20);
@@ -239,7 +239,7 @@
 
     private boolean isAccepted(int box, long version) throws InterruptedException {
         HttpRequest request = HttpRequest.newBuilder(URI.create("http://" + callAddresses.get(box) + "/put"))
-                .timeout(OPERATOR_PATIENCE)
+                .timeout(CHANGE_TIMEOUT)
                 .POST(HttpRequest.BodyPublishers.ofString(Long.toString(version)))
                 .build();
         try {
@@ -252,11 +252,11 @@
     private void report(long silentMillis) {
         acceptedMillis.forEach((version, accepted) -> {
             long latest = followers.stream()
-                    .mapToLong(follower -> follower.shownAtMillis(version))
+                    .mapToLong(follower -> follower.publishedAtMillis(version))
                     .max()
                     .orElseThrow();
             System.out.printf(
-                    "version %d accepted %d ms after the silence began, shown everywhere %d ms after that%n",
+                    "version %d accepted %d ms after the silence began, published to all followers %d ms after that%n",
                     version, accepted - silentMillis, latest - accepted);
         });
         int used = relays.stream().mapToInt(SilencingRelay::usedWhenSilent).sum();
