--- a/core/src/test/java/org/bankturn/registry/DelayedWordTest.java
+++ b/core/src/test/java/org/bankturn/registry/DelayedHeartbeatTest.java
@@ -13,7 +13,7 @@
  * delayed heartbeat arrived, it took the place of the live target, whose own heartbeats were ignored until the dead one had
  * been silent for long. Once the live one had been dropped for silence, such a word listed the dead one again.
  */
-class DelayedWordTest {
+class DelayedHeartbeatTest {
     private static final String ADDRESS = "10.0.0.1:80";
 
     private final TargetRegistry registry = TargetRegistry.empty();
