--- a/core/src/main/java/org/bankturn/registry/TargetRegistry.java
+++ b/core/src/main/java/org/bankturn/registry/TargetRegistry.java
@@ -123,7 +123,7 @@
             return sighting.sequence() > known.sighting().sequence()
                     && !known.sighting().saysTheSameAs(stickyDraining(known, sighting));
         }
-        if (isOfFormerStart(sighting) || !evidence.suffices(isDoubtful(sighting))) {
+        if (isOfFormerStart(sighting) || !evidence.suffices(hasAddressConflict(sighting))) {
             return false;
         }
         Departure departure = departures.get(sighting.id());
@@ -138,7 +138,7 @@
      * Returns true if another start is, or was later, at the address of one that is not listed, so that the sighting alone
      * does not show which of them is there now.
      */
-    public boolean isDoubtful(TargetSighting sighting) {
+    public boolean hasAddressConflict(TargetSighting sighting) {
         if (targets.containsKey(sighting.id()) || hasLeft(sighting.id()) || isOfFormerStart(sighting)) {
             return false;
         }
--- a/core/src/test/java/org/bankturn/registry/DelayedHeartbeatTest.java
+++ b/core/src/test/java/org/bankturn/registry/DelayedHeartbeatTest.java
@@ -62,7 +62,7 @@
         registry.record(1, word("former", 9), Evidence.UNDISPUTED);
         registry.record(2, word("later", 1), Evidence.SETTLED);
         registry.depart(3, "later", false);
-        assertThat(registry.isDoubtful(word("later", 2))).isFalse();
+        assertThat(registry.hasAddressConflict(word("later", 2))).isFalse();
         registry.record(4, word("later", 2), Evidence.UNDISPUTED);
         assertThat(listed()).containsExactly("later");
     }
@@ -70,7 +70,7 @@
     @Test
     void a_later_start_under_the_same_name_is_told_by_its_birth() {
         registry.record(1, born("a", 100, 9), Evidence.UNDISPUTED);
-        assertThat(registry.isDoubtful(born("a", 200, 1))).isFalse();
+        assertThat(registry.hasAddressConflict(born("a", 200, 1))).isFalse();
         registry.record(2, born("a", 200, 1), Evidence.UNDISPUTED);
         registry.record(3, born("a", 100, 10), Evidence.SETTLED);
         assertThat(listed()).containsExactly(TargetSighting.incarnation("a", 200));
@@ -82,9 +82,9 @@
         registry.record(2, word("later", 1), Evidence.SETTLED);
         registry.depart(3, "later", false);
         TargetRegistry restored = TargetRegistry.restore(registry.content());
-        assertThat(restored.isDoubtful(word("former", 9))).isTrue();
-        assertThat(restored.isDoubtful(word("unheard", 9))).isTrue();
-        assertThat(restored.isDoubtful(word("later", 2))).isFalse();
+        assertThat(restored.hasAddressConflict(word("former", 9))).isTrue();
+        assertThat(restored.hasAddressConflict(word("unheard", 9))).isTrue();
+        assertThat(restored.hasAddressConflict(word("later", 2))).isFalse();
     }
 
     @Test
--- a/daemon/src/main/java/org/bankturn/daemon/group/TargetCallHandler.java
+++ b/daemon/src/main/java/org/bankturn/daemon/group/TargetCallHandler.java
@@ -102,7 +102,7 @@
         if (sighting.service().equals(WeightsRelay.SERVICE)) {
             return RegistrationStatus.RELAY;
         }
-        return registry.isDoubtful(sighting) ? RegistrationStatus.DISPUTED : RegistrationStatus.UNDISPUTED;
+        return registry.hasAddressConflict(sighting) ? RegistrationStatus.DISPUTED : RegistrationStatus.UNDISPUTED;
     }
 
     private Promise<ControlAnswer> record(TargetSighting sighting, Evidence evidence) {
