--- a/core/src/main/java/org/bankturn/registry/TargetRegistry.java
+++ b/core/src/main/java/org/bankturn/registry/TargetRegistry.java
@@ -121,7 +121,7 @@
         TargetRecord known = targets.get(sighting.id());
         if (known != null) {
             return sighting.sequence() > known.sighting().sequence()
-                    && !known.sighting().saysTheSameAs(stickyDraining(known, sighting));
+                    && !known.sighting().hasSameStateAs(stickyDraining(known, sighting));
         }
         if (isOfFormerStart(sighting) || !evidence.suffices(hasAddressConflict(sighting))) {
             return false;
--- a/core/src/main/java/org/bankturn/registry/TargetSighting.java
+++ b/core/src/main/java/org/bankturn/registry/TargetSighting.java
@@ -56,7 +56,7 @@
     }
 
     /** Returns true if a target that said this before says nothing new with {@code other}, times and counts apart. */
-    public boolean saysTheSameAs(TargetSighting other) {
+    public boolean hasSameStateAs(TargetSighting other) {
         return id.equals(other.id)
                 && service.equals(other.service)
                 && address.equals(other.address)
