--- a/core/src/main/java/org/bankturn/publication/PublicationState.java
+++ b/core/src/main/java/org/bankturn/publication/PublicationState.java
@@ -167,7 +167,7 @@
         } else if (command instanceof PublicationCommand.RecordTarget record) {
             registry.record(entryIndex, record.sighting(), record.evidence());
         } else if (command instanceof PublicationCommand.RemoveTarget remove) {
-            registry.depart(entryIndex, remove.id(), remove.name(), remove.bornMillis(), remove.byItself());
+            registry.remove(entryIndex, remove.id(), remove.name(), remove.bornMillis(), remove.byItself());
         } else if (command instanceof PublicationCommand.NoteRuns runs) {
             note(entryIndex, runs);
         } else if (command instanceof PublicationCommand.TakeTrial trial) {
--- a/core/src/main/java/org/bankturn/registry/TargetRegistry.java
+++ b/core/src/main/java/org/bankturn/registry/TargetRegistry.java
@@ -196,7 +196,7 @@
                 replaced.add(each.sighting().id());
             }
         }
-        replaced.forEach(id -> depart(index, id, false));
+        replaced.forEach(id -> remove(index, id, false));
         TargetRecord known = targets.get(sighting.id());
         departures.remove(sighting.id());
         targets.put(sighting.id(), new TargetRecord(known == null ? sighting : stickyDraining(known, sighting), index));
@@ -209,8 +209,8 @@
      * @param id the target's incarnation, not null
      * @param byItself true if the target said so itself
      */
-    public void depart(long index, String id, boolean byItself) {
-        depart(index, id, id, 0, byItself);
+    public void remove(long index, String id, boolean byItself) {
+        remove(index, id, id, 0, byItself);
     }
 
     /**
@@ -222,7 +222,7 @@
      * @param bornMillis when it started, 0 if that is not known
      * @param byItself true if the target said so itself
      */
-    public void depart(long index, String id, String name, long bornMillis, boolean byItself) {
+    public void remove(long index, String id, String name, long bornMillis, boolean byItself) {
         // a former start would stay listed, and its later words that it drains would count for nothing
         List<String> former = targets.values().stream()
                 .map(TargetRecord::sighting)
--- a/core/src/test/java/org/bankturn/registry/DelayedHeartbeatTest.java
+++ b/core/src/test/java/org/bankturn/registry/DelayedHeartbeatTest.java
@@ -29,7 +29,7 @@
     void a_delayed_word_lists_nobody_after_the_later_start_was_dropped_for_silence() {
         registry.record(1, word("former", 1), Evidence.UNDISPUTED);
         registry.record(2, word("later", 1), Evidence.SETTLED);
-        registry.depart(3, "later", false);
+        registry.remove(3, "later", false);
         registry.record(4, word("former", 9), Evidence.UNDISPUTED);
         assertThat(listed()).isEmpty();
     }
@@ -37,7 +37,7 @@
     @Test
     void a_delayed_word_lists_nobody_after_the_later_start_left_though_the_former_was_never_heard_of() {
         registry.record(1, word("later", 1), Evidence.UNDISPUTED);
-        registry.depart(2, "later", true);
+        registry.remove(2, "later", true);
         registry.record(3, word("former", 9), Evidence.UNDISPUTED);
         assertThat(listed()).isEmpty();
     }
@@ -61,7 +61,7 @@
     void a_start_that_fell_silent_returns_without_doubt_where_no_other_came_since() {
         registry.record(1, word("former", 9), Evidence.UNDISPUTED);
         registry.record(2, word("later", 1), Evidence.SETTLED);
-        registry.depart(3, "later", false);
+        registry.remove(3, "later", false);
         assertThat(registry.hasAddressConflict(word("later", 2))).isFalse();
         registry.record(4, word("later", 2), Evidence.UNDISPUTED);
         assertThat(listed()).containsExactly("later");
@@ -80,7 +80,7 @@
     void a_restored_registry_has_the_same_doubts() {
         registry.record(1, word("former", 1), Evidence.UNDISPUTED);
         registry.record(2, word("later", 1), Evidence.SETTLED);
-        registry.depart(3, "later", false);
+        registry.remove(3, "later", false);
         TargetRegistry restored = TargetRegistry.restore(registry.content());
         assertThat(restored.hasAddressConflict(word("former", 9))).isTrue();
         assertThat(restored.hasAddressConflict(word("unheard", 9))).isTrue();
--- a/core/src/test/java/org/bankturn/registry/TargetRegistryTest.java
+++ b/core/src/test/java/org/bankturn/registry/TargetRegistryTest.java
@@ -24,7 +24,7 @@
     @Test
     void a_target_that_left_is_never_listed_again() {
         registry.record(1, sighting("a", "10.0.0.1:80", false, 1));
-        registry.depart(2, "a", true);
+        registry.remove(2, "a", true);
         registry.record(3, sighting("a", "10.0.0.1:80", false, 9));
         assertThat(registry.all()).isEmpty();
         assertThat(registry.hasLeft("a")).isTrue();
@@ -33,7 +33,7 @@
     @Test
     void a_target_that_fell_silent_comes_back_with_a_newer_heartbeat_only() {
         registry.record(1, sighting("a", "10.0.0.1:80", false, 7));
-        registry.depart(2, "a", false);
+        registry.remove(2, "a", false);
         assertThat(registry.wouldChange(sighting("a", "10.0.0.1:80", false, 7))).isFalse();
         registry.record(3, sighting("a", "10.0.0.1:80", false, 8));
         assertThat(registry.find("a")).isPresent();
@@ -68,7 +68,7 @@
     @Test
     void a_delayed_heartbeat_of_an_incarnation_that_fell_silent_does_not_displace_its_successor() {
         registry.record(1, sighting("a", "10.0.0.1:80", false, 1));
-        registry.depart(2, "a", false);
+        registry.remove(2, "a", false);
         registry.record(3, sighting("b", "10.0.0.1:80", false, 1));
         registry.record(4, sighting("a", "10.0.0.1:80", false, 9));
         assertThat(registry.find("b")).isPresent();
@@ -99,7 +99,7 @@
     @Test
     void a_late_word_of_a_former_start_changes_nothing_after_the_later_one_fell_silent() {
         registry.record(1, born("a", 200, "10.0.0.2:80", 1));
-        registry.depart(2, TargetSighting.incarnation("a", 200), false);
+        registry.remove(2, TargetSighting.incarnation("a", 200), false);
         registry.record(3, born("a", 100, "10.0.0.1:80", 9));
         assertThat(registry.all()).isEmpty();
     }
@@ -107,7 +107,7 @@
     @Test
     void leaving_holds_for_a_start_and_not_for_the_name() {
         registry.record(1, born("a", 100, "10.0.0.1:80", 7));
-        registry.depart(2, TargetSighting.incarnation("a", 100), true);
+        registry.remove(2, TargetSighting.incarnation("a", 100), true);
         registry.record(3, born("a", 100, "10.0.0.1:80", 8));
         assertThat(registry.all()).isEmpty();
         registry.record(4, born("a", 200, "10.0.0.1:80", 1));
@@ -118,7 +118,7 @@
     @Test
     void a_later_start_that_leaves_before_it_was_listed_takes_the_former_with_it() {
         registry.record(1, born("a", 100, "10.0.0.1:80", 1));
-        registry.depart(2, TargetSighting.incarnation("a", 200), "a", 200, true);
+        registry.remove(2, TargetSighting.incarnation("a", 200), "a", 200, true);
         assertThat(registry.all()).isEmpty();
         assertThat(registry.wouldChange(born("a", 100, "10.0.0.1:80", 2))).isFalse();
     }
@@ -149,7 +149,7 @@
     void a_restored_registry_holds_the_same() {
         registry.record(1, sighting("a", "10.0.0.1:80", false, 7));
         registry.record(2, sighting("b", "10.0.0.2:80", true, 7));
-        registry.depart(3, "a", true);
+        registry.remove(3, "a", true);
         assertThat(TargetRegistry.restore(registry.content()).content()).isEqualTo(registry.content());
     }
 
