--- a/core/src/main/java/org/bankturn/registry/TargetRegistry.java
+++ b/core/src/main/java/org/bankturn/registry/TargetRegistry.java
@@ -94,7 +94,7 @@
     }
 
     /** Returns the newest start of the target that calls itself so, empty if none is there. */
-    public Optional<TargetRecord> findNamed(String name) {
+    public Optional<TargetRecord> findByName(String name) {
         return targets.values().stream()
                 .filter(each -> each.sighting().name().equals(name))
                 .max(Comparator.comparingLong(each -> each.sighting().bornMillis()));
--- a/core/src/test/java/org/bankturn/registry/TargetRegistryTest.java
+++ b/core/src/test/java/org/bankturn/registry/TargetRegistryTest.java
@@ -91,7 +91,7 @@
         registry.record(2, sighting("b", "10.0.0.1:80", false, 1));
         registry.record(3, born("a", 100, "10.0.0.1:80", 9));
         assertThat(registry.find("b")).isPresent();
-        assertThat(registry.findNamed("a"))
+        assertThat(registry.findByName("a"))
                 .map(each -> each.sighting().bornMillis())
                 .contains(200L);
     }
@@ -111,7 +111,7 @@
         registry.record(3, born("a", 100, "10.0.0.1:80", 8));
         assertThat(registry.all()).isEmpty();
         registry.record(4, born("a", 200, "10.0.0.1:80", 1));
-        assertThat(registry.findNamed("a")).isPresent();
+        assertThat(registry.findByName("a")).isPresent();
     }
 
     /** The specification showed it: a later start left before it was listed, and the former one drained, which nobody noted. */
--- a/daemon/src/main/java/org/bankturn/daemon/group/TargetCallHandler.java
+++ b/daemon/src/main/java/org/bankturn/daemon/group/TargetCallHandler.java
@@ -146,7 +146,7 @@
                     new PublicationCommand.RemoveTarget(incarnation, leave.name(), leave.bornMillis(), true));
         }
         return ReactorPromises.of(
-                        reactor, member.query(state -> state.registry().findNamed(leave.name())))
+                        reactor, member.query(state -> state.registry().findByName(leave.name())))
                 .map(known -> known.map(target -> target.sighting().id()).orElse(leave.name()))
                 .then(incarnation -> change.apply(new PublicationCommand.RemoveTarget(incarnation, true)));
     }
