--- a/core/src/main/java/org/bankturn/registry/HeartbeatTable.java
+++ b/core/src/main/java/org/bankturn/registry/HeartbeatTable.java
@@ -49,7 +49,7 @@
      *
      * @param listed the targets that are listed; others are forgotten, not null
      */
-    public List<String> silentAmong(Collection<String> listed) {
+    public List<String> findSilent(Collection<String> listed) {
         long now = clock.millis();
         heardMillis.keySet().retainAll(listed);
         List<String> silent = new ArrayList<>();
--- a/core/src/test/java/org/bankturn/registry/HeartbeatTableTest.java
+++ b/core/src/test/java/org/bankturn/registry/HeartbeatTableTest.java
@@ -16,7 +16,7 @@
         clock.advance(60);
         table.heard(List.of("b"));
         clock.advance(60);
-        assertThat(table.silentAmong(List.of("a", "b"))).containsExactly("a");
+        assertThat(table.findSilent(List.of("a", "b"))).containsExactly("a");
     }
 
     @Test
@@ -24,10 +24,10 @@
         table.heard(List.of("a"));
         clock.advance(90);
         table.restart();
-        assertThat(table.silentAmong(List.of("a"))).isEmpty();
+        assertThat(table.findSilent(List.of("a"))).isEmpty();
         clock.advance(90);
-        assertThat(table.silentAmong(List.of("a"))).isEmpty();
+        assertThat(table.findSilent(List.of("a"))).isEmpty();
         clock.advance(20);
-        assertThat(table.silentAmong(List.of("a"))).containsExactly("a");
+        assertThat(table.findSilent(List.of("a"))).containsExactly("a");
     }
 }
--- a/daemon/src/main/java/org/bankturn/daemon/group/TargetLivenessMonitor.java
+++ b/daemon/src/main/java/org/bankturn/daemon/group/TargetLivenessMonitor.java
@@ -98,7 +98,7 @@
                 .map(target -> target.sighting().id())
                 .toList());
         ReactorPromises.of(reactor, listed)
-                .whenResult(targets -> heartbeats.silentAmong(targets).forEach(this::remove));
+                .whenResult(targets -> heartbeats.findSilent(targets).forEach(this::remove));
     }
 
     private void remove(String target) {
