--- a/core/src/main/java/org/bankturn/registry/HeartbeatTable.java
+++ b/core/src/main/java/org/bankturn/registry/HeartbeatTable.java
@@ -39,7 +39,7 @@
     }
 
     /** Notes that targets were heard from just now. */
-    public void heard(Collection<String> targets) {
+    public void record(Collection<String> targets) {
         long now = clock.millis();
         targets.forEach(target -> heardMillis.put(target, now));
     }
--- a/core/src/test/java/org/bankturn/registry/HeartbeatTableTest.java
+++ b/core/src/test/java/org/bankturn/registry/HeartbeatTableTest.java
@@ -12,16 +12,16 @@
 
     @Test
     void a_target_is_silent_only_after_the_whole_time() {
-        table.heard(List.of("a", "b"));
+        table.record(List.of("a", "b"));
         clock.advance(60);
-        table.heard(List.of("b"));
+        table.record(List.of("b"));
         clock.advance(60);
         assertThat(table.findSilent(List.of("a", "b"))).containsExactly("a");
     }
 
     @Test
     void a_new_leader_gives_every_target_the_whole_time_again() {
-        table.heard(List.of("a"));
+        table.record(List.of("a"));
         clock.advance(90);
         table.restart();
         assertThat(table.findSilent(List.of("a"))).isEmpty();
--- a/daemon/src/main/java/org/bankturn/daemon/group/TargetLivenessMonitor.java
+++ b/daemon/src/main/java/org/bankturn/daemon/group/TargetLivenessMonitor.java
@@ -74,7 +74,7 @@
 
     /** Records heartbeats that another control process received. */
     void recordRemoteHeartbeats(List<String> targets) {
-        heartbeats.heard(targets);
+        heartbeats.record(targets);
     }
 
     private void forward() {
@@ -82,7 +82,7 @@
         List<String> heard = List.copyOf(pendingHeartbeats);
         pendingHeartbeats.clear();
         if (view.leads()) {
-            heartbeats.heard(heard);
+            heartbeats.record(heard);
             removeSilent();
         } else if (view.leader() != null && !heard.isEmpty()) {
             clients.tell(Address.parse(view.leader().address()), new NodeRequest.NoteHeartbeats(heard));
