--- a/core/src/main/java/org/bankturn/crash/BrokenRuns.java
+++ b/core/src/main/java/org/bankturn/crash/InterruptedRequests.java
@@ -14,10 +14,10 @@
  * What broke off at which target, as one gateway saw it, until it is known whether the target ended.
  *
  * <p>A broken answer is not an ended target: connections are reset and answers cut by targets that live on. So what broke
- * off is held against nobody until the target's address refuses connections or another incarnation has it. BrokenRuns is
+ * off is held against nobody until the target's address refuses connections or another incarnation has it. InterruptedRequests is
  * mutable and not thread-safe.
  */
-public final class BrokenRuns {
+public final class InterruptedRequests {
     /** Another incarnation is there some seconds after a crash; a target that is silent is taken off within about ten. */
     private static final long REMEMBERED_MILLIS = 30_000;
 
@@ -41,11 +41,11 @@
     }
 
     /** Returns one to which nothing happened yet, not null. */
-    public static BrokenRuns of(Clock clock) {
-        return new BrokenRuns(clock);
+    public static InterruptedRequests of(Clock clock) {
+        return new InterruptedRequests(clock);
     }
 
-    private BrokenRuns(Clock clock) {
+    private InterruptedRequests(Clock clock) {
         this.clock = clock;
     }
 
--- a/core/src/test/java/org/bankturn/crash/BrokenRunsTest.java
+++ b/core/src/test/java/org/bankturn/crash/BrokenRunsTest.java
@@ -13,7 +13,7 @@
     private static final TargetSighting TARGET = target("t1", "a:1");
 
     private final ManualClock clock = ManualClock.startingAt(1_000_000);
-    private final BrokenRuns runs = BrokenRuns.of(clock);
+    private final InterruptedRequests runs = InterruptedRequests.of(clock);
 
     @Test
     void requests_are_given_out_once_when_their_target_has_ended() {
--- a/daemon/src/main/java/org/bankturn/daemon/gateway/CrashWatch.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/CrashWatch.java
@@ -14,8 +14,8 @@
 import java.util.Objects;
 import java.util.Set;
 import java.util.function.Consumer;
-import org.bankturn.crash.BrokenRuns;
 import org.bankturn.crash.EndedTarget;
+import org.bankturn.crash.InterruptedRequests;
 import org.bankturn.crash.KnownSuspects;
 import org.bankturn.crash.RequestFingerprint;
 import org.bankturn.crash.Suspect;
@@ -54,7 +54,7 @@
     private final TargetConnections connections;
     private final Consumer<PublicationCommand> controlGroup;
     private final Runnable whenCondemned;
-    private final BrokenRuns brokenRuns;
+    private final InterruptedRequests brokenRuns;
     private final Trials trials;
     private final KnownSuspects suspects = KnownSuspects.none();
     private final Set<RequestFingerprint> condemned = new HashSet<>();
@@ -105,7 +105,7 @@
         this.connections = connections;
         this.controlGroup = controlGroup;
         this.whenCondemned = whenCondemned;
-        this.brokenRuns = BrokenRuns.of(clock);
+        this.brokenRuns = InterruptedRequests.of(clock);
         this.trials = Trials.of(reactor, clock, log, controlGroup, suspects);
     }
 
