--- a/core/src/test/java/org/bankturn/crash/BrokenRunsTest.java
+++ b/core/src/test/java/org/bankturn/crash/InterruptedRequestsTest.java
@@ -7,7 +7,7 @@
 import org.bankturn.time.ManualClock;
 import org.junit.jupiter.api.Test;
 
-class BrokenRunsTest {
+class InterruptedRequestsTest {
     private static final RequestFingerprint ONE = new RequestFingerprint(1, 1);
     private static final RequestFingerprint OTHER = new RequestFingerprint(2, 2);
     private static final TargetSighting TARGET = target("t1", "a:1");
