--- a/daemon/src/main/java/org/bankturn/daemon/gateway/CrashWatch.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/CrashWatch.java
@@ -54,7 +54,7 @@
     private final TargetConnections connections;
     private final Consumer<PublicationCommand> controlGroup;
     private final Runnable whenCondemned;
-    private final InterruptedRequests brokenRuns;
+    private final InterruptedRequests interruptedRequests;
     private final Trials trials;
     private final KnownSuspects suspects = KnownSuspects.none();
     private final Set<RequestFingerprint> condemned = new HashSet<>();
@@ -105,7 +105,7 @@
         this.connections = connections;
         this.controlGroup = controlGroup;
         this.whenCondemned = whenCondemned;
-        this.brokenRuns = InterruptedRequests.of(clock);
+        this.interruptedRequests = InterruptedRequests.of(clock);
         this.trials = Trials.of(reactor, clock, log, controlGroup, suspects);
     }
 
@@ -135,7 +135,7 @@
 
     /** Takes in what is published. */
     void update(List<Suspect> published, Collection<TargetSighting> targets) {
-        brokenRuns.succeededBy(targets).forEach(this::ended);
+        interruptedRequests.succeededBy(targets).forEach(this::ended);
         // 1,024 suspects cost 0.7 ms each time (fastest of 200, C1 compiler), and most publications are of targets
         if (!Objects.equals(published, lastPublished)) {
             lastPublished = published;
@@ -174,8 +174,8 @@
             // what it cuts at its planned end is not held against a request
             return Promise.complete();
         }
-        brokenRuns.brokeOff(target, request.fingerprint());
-        if (brokenRuns.hasEnded(target.id())) {
+        interruptedRequests.brokeOff(target, request.fingerprint());
+        if (interruptedRequests.hasEnded(target.id())) {
             ended(target.id());
             return Promise.complete();
         }
@@ -197,7 +197,7 @@
     /** A request that one more end condemns goes on only once it is certain that there was none. */
     private Promise<Void> untilCertainEnough(ForwardedRequest request) {
         Set<String> possiblyEnded = suspects.endedUnder(request.fingerprint());
-        possiblyEnded.addAll(brokenRuns.undecidedUnder(request.fingerprint()));
+        possiblyEnded.addAll(interruptedRequests.undecidedUnder(request.fingerprint()));
         boolean certain = isCondemned(request) || possiblyEnded.size() < Suspect.ENDS_THAT_CONDEMN;
         return certain ? Promise.complete() : Promises.delay(LOOK_AGAIN_MILLIS + CONNECT_MILLIS);
     }
@@ -216,7 +216,7 @@
     private void lookAgain(TargetSighting target) {
         connect(target).whenResult(failure -> {
             if (failure == null) {
-                brokenRuns.livesOn(target.id());
+                interruptedRequests.livesOn(target.id());
             }
         });
     }
@@ -242,7 +242,7 @@
     }
 
     private void ended(String target) {
-        List<RequestFingerprint> requests = brokenRuns.ended(target);
+        List<RequestFingerprint> requests = interruptedRequests.ended(target);
         for (RequestFingerprint request : requests) {
             suspects.ended(target, request);
             metrics.suspected(ServingMetrics.SUSPECT_BLAMED);
@@ -262,11 +262,11 @@
 
     /** A request ran to its end. */
     void ranWhole(ForwardedRequest request) {
-        if (suspects.isEmpty() && brokenRuns.isEmpty()) {
+        if (suspects.isEmpty() && interruptedRequests.isEmpty()) {
             return;
         }
         RequestFingerprint fingerprint = request.fingerprint();
-        brokenRuns.ranWhole(List.of(fingerprint));
+        interruptedRequests.ranWhole(List.of(fingerprint));
         if (endsUnder(request) == 0) {
             return;
         }
