--- a/core/src/main/java/org/bankturn/crash/InterruptedRequests.java
+++ b/core/src/main/java/org/bankturn/crash/InterruptedRequests.java
@@ -94,7 +94,7 @@
     // ---- what happens
 
     /** A request broke off at a target. */
-    public void brokeOff(TargetSighting target, RequestFingerprint request) {
+    public void recordInterruption(TargetSighting target, RequestFingerprint request) {
         forgetOld();
         Runs runs = targets.computeIfAbsent(target.id(), key -> new Runs(target, clock.millis()));
         runs.livesOn = false;
--- a/core/src/test/java/org/bankturn/crash/InterruptedRequestsTest.java
+++ b/core/src/test/java/org/bankturn/crash/InterruptedRequestsTest.java
@@ -17,51 +17,51 @@
 
     @Test
     void requests_are_given_out_once_when_their_target_has_ended() {
-        runs.brokeOff(TARGET, ONE);
-        runs.brokeOff(TARGET, OTHER);
+        runs.recordInterruption(TARGET, ONE);
+        runs.recordInterruption(TARGET, OTHER);
         assertThat(runs.ended("t1")).containsExactly(ONE, OTHER);
         assertThat(runs.ended("t1")).isEmpty();
     }
 
     @Test
     void what_breaks_off_after_the_end_is_known_counts_as_well() {
-        runs.brokeOff(TARGET, ONE);
+        runs.recordInterruption(TARGET, ONE);
         runs.ended("t1");
-        runs.brokeOff(TARGET, OTHER);
+        runs.recordInterruption(TARGET, OTHER);
         assertThat(runs.hasEnded("t1")).isTrue();
         assertThat(runs.ended("t1")).containsExactly(OTHER);
     }
 
     @Test
     void a_request_that_ran_whole_meanwhile_is_not_given_out() {
-        runs.brokeOff(TARGET, ONE);
+        runs.recordInterruption(TARGET, ONE);
         runs.ranWhole(List.of(ONE));
         assertThat(runs.ended("t1")).isEmpty();
     }
 
     @Test
     void another_incarnation_at_the_address_shows_that_the_former_one_ended() {
-        runs.brokeOff(TARGET, ONE);
+        runs.recordInterruption(TARGET, ONE);
         assertThat(runs.succeededBy(List.of(TARGET, target("t2", "b:1")))).isEmpty();
         assertThat(runs.succeededBy(List.of(target("t2", "a:1")))).containsExactly("t1");
     }
 
     @Test
     void a_target_that_lives_on_is_no_longer_undecided_until_something_breaks_off_again() {
-        runs.brokeOff(TARGET, ONE);
+        runs.recordInterruption(TARGET, ONE);
         assertThat(runs.undecidedUnder(ONE)).containsExactly("t1");
         runs.livesOn("t1");
         assertThat(runs.undecidedUnder(ONE)).isEmpty();
-        runs.brokeOff(TARGET, ONE);
+        runs.recordInterruption(TARGET, ONE);
         assertThat(runs.undecidedUnder(ONE)).containsExactly("t1");
     }
 
     @Test
     void what_broke_off_long_ago_is_forgotten() {
-        runs.brokeOff(TARGET, ONE);
+        runs.recordInterruption(TARGET, ONE);
         clock.advance(30_001);
         assertThat(runs.isEmpty()).isTrue();
-        runs.brokeOff(target("t2", "b:1"), OTHER);
+        runs.recordInterruption(target("t2", "b:1"), OTHER);
         assertThat(runs.ended("t1")).isEmpty();
     }
 
--- a/daemon/src/main/java/org/bankturn/daemon/gateway/CrashWatch.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/CrashWatch.java
@@ -174,7 +174,7 @@
             // what it cuts at its planned end is not held against a request
             return Promise.complete();
         }
-        interruptedRequests.brokeOff(target, request.fingerprint());
+        interruptedRequests.recordInterruption(target, request.fingerprint());
         if (interruptedRequests.hasEnded(target.id())) {
             ended(target.id());
             return Promise.complete();
