--- a/core/src/main/java/org/bankturn/crash/InterruptedRequests.java
+++ b/core/src/main/java/org/bankturn/crash/InterruptedRequests.java
@@ -120,7 +120,7 @@
     }
 
     /** A target still takes connections some time after something broke off. */
-    public void livesOn(String target) {
+    public void markAlive(String target) {
         Runs runs = targets.get(target);
         if (runs != null) {
             runs.livesOn = true;
--- a/core/src/test/java/org/bankturn/crash/InterruptedRequestsTest.java
+++ b/core/src/test/java/org/bankturn/crash/InterruptedRequestsTest.java
@@ -50,7 +50,7 @@
     void a_target_that_lives_on_is_no_longer_undecided_until_something_breaks_off_again() {
         runs.recordInterruption(TARGET, ONE);
         assertThat(runs.undecidedUnder(ONE)).containsExactly("t1");
-        runs.livesOn("t1");
+        runs.markAlive("t1");
         assertThat(runs.undecidedUnder(ONE)).isEmpty();
         runs.recordInterruption(TARGET, ONE);
         assertThat(runs.undecidedUnder(ONE)).containsExactly("t1");
--- a/daemon/src/main/java/org/bankturn/daemon/gateway/CrashWatch.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/CrashWatch.java
@@ -216,7 +216,7 @@
     private void lookAgain(TargetSighting target) {
         connect(target).whenResult(failure -> {
             if (failure == null) {
-                interruptedRequests.livesOn(target.id());
+                interruptedRequests.markAlive(target.id());
             }
         });
     }
