--- a/core/src/main/java/org/bankturn/crash/InterruptedRequests.java
+++ b/core/src/main/java/org/bankturn/crash/InterruptedRequests.java
@@ -62,7 +62,7 @@
      *
      * @param present the targets that are there, not null
      */
-    public List<String> succeededBy(Collection<TargetSighting> present) {
+    public List<String> findReplaced(Collection<TargetSighting> present) {
         return targets.values().stream()
                 .filter(runs -> !runs.ended)
                 .map(runs -> runs.target)
--- a/core/src/test/java/org/bankturn/crash/InterruptedRequestsTest.java
+++ b/core/src/test/java/org/bankturn/crash/InterruptedRequestsTest.java
@@ -42,8 +42,8 @@
     @Test
     void another_incarnation_at_the_address_shows_that_the_former_one_ended() {
         runs.recordInterruption(TARGET, ONE);
-        assertThat(runs.succeededBy(List.of(TARGET, target("t2", "b:1")))).isEmpty();
-        assertThat(runs.succeededBy(List.of(target("t2", "a:1")))).containsExactly("t1");
+        assertThat(runs.findReplaced(List.of(TARGET, target("t2", "b:1")))).isEmpty();
+        assertThat(runs.findReplaced(List.of(target("t2", "a:1")))).containsExactly("t1");
     }
 
     @Test
--- a/daemon/src/main/java/org/bankturn/daemon/gateway/CrashWatch.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/CrashWatch.java
@@ -135,7 +135,7 @@
 
     /** Takes in what is published. */
     void update(List<Suspect> published, Collection<TargetSighting> targets) {
-        interruptedRequests.succeededBy(targets).forEach(this::ended);
+        interruptedRequests.findReplaced(targets).forEach(this::ended);
         // 1,024 suspects cost 0.7 ms each time (fastest of 200, C1 compiler), and most publications are of targets
         if (!Objects.equals(published, lastPublished)) {
             lastPublished = published;
