--- a/core/src/main/java/org/bankturn/crash/InterruptedRequests.java
+++ b/core/src/main/java/org/bankturn/crash/InterruptedRequests.java
@@ -84,7 +84,7 @@
     }
 
     /** Returns the targets at which a request broke off and of which it is still to be seen whether they ended, not null. */
-    public List<String> undecidedUnder(RequestFingerprint request) {
+    public List<String> findUndecided(RequestFingerprint request) {
         return targets.values().stream()
                 .filter(runs -> !runs.ended && !runs.livesOn && runs.requests.contains(request))
                 .map(runs -> runs.target.id())
--- a/core/src/test/java/org/bankturn/crash/InterruptedRequestsTest.java
+++ b/core/src/test/java/org/bankturn/crash/InterruptedRequestsTest.java
@@ -49,11 +49,11 @@
     @Test
     void a_target_that_lives_on_is_no_longer_undecided_until_something_breaks_off_again() {
         runs.recordInterruption(TARGET, ONE);
-        assertThat(runs.undecidedUnder(ONE)).containsExactly("t1");
+        assertThat(runs.findUndecided(ONE)).containsExactly("t1");
         runs.markAlive("t1");
-        assertThat(runs.undecidedUnder(ONE)).isEmpty();
+        assertThat(runs.findUndecided(ONE)).isEmpty();
         runs.recordInterruption(TARGET, ONE);
-        assertThat(runs.undecidedUnder(ONE)).containsExactly("t1");
+        assertThat(runs.findUndecided(ONE)).containsExactly("t1");
     }
 
     @Test
--- a/daemon/src/main/java/org/bankturn/daemon/gateway/CrashWatch.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/CrashWatch.java
@@ -197,7 +197,7 @@
     /** A request that one more end condemns goes on only once it is certain that there was none. */
     private Promise<Void> untilCertainEnough(ForwardedRequest request) {
         Set<String> possiblyEnded = suspects.endedUnder(request.fingerprint());
-        possiblyEnded.addAll(interruptedRequests.undecidedUnder(request.fingerprint()));
+        possiblyEnded.addAll(interruptedRequests.findUndecided(request.fingerprint()));
         boolean certain = isCondemned(request) || possiblyEnded.size() < Suspect.ENDS_THAT_CONDEMN;
         return certain ? Promise.complete() : Promises.delay(LOOK_AGAIN_MILLIS + CONNECT_MILLIS);
     }
