--- a/daemon/src/main/java/org/bankturn/daemon/gateway/CrashWatch.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/CrashWatch.java
@@ -242,7 +242,7 @@
     }
 
     private void ended(String target) {
-        List<RequestFingerprint> requests = interruptedRequests.ended(target);
+        List<RequestFingerprint> requests = interruptedRequests.recordEnd(target);
         for (RequestFingerprint request : requests) {
             suspects.ended(target, request);
             metrics.suspected(ServingMetrics.SUSPECT_BLAMED);
