--- a/core/src/main/java/org/bankturn/crash/KnownSuspects.java
+++ b/core/src/main/java/org/bankturn/crash/KnownSuspects.java
@@ -71,7 +71,7 @@
     }
 
     /** A target ended while the request ran there. */
-    public void ended(String target, RequestFingerprint request) {
+    public void recordEnd(String target, RequestFingerprint request) {
         seenHere.blame(0, request, target);
     }
 
--- a/daemon/src/main/java/org/bankturn/daemon/gateway/CrashWatch.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/CrashWatch.java
@@ -244,7 +244,7 @@
     private void ended(String target) {
         List<RequestFingerprint> requests = interruptedRequests.recordEnd(target);
         for (RequestFingerprint request : requests) {
-            suspects.ended(target, request);
+            suspects.recordEnd(target, request);
             metrics.suspected(ServingMetrics.SUSPECT_BLAMED);
             log.line(DecisionKind.SUSPECT)
                     .with(DecisionField.EVENT, "target ended")
