--- a/core/src/main/java/org/bankturn/crash/InterruptedRequests.java
+++ b/core/src/main/java/org/bankturn/crash/InterruptedRequests.java
@@ -128,7 +128,7 @@
     }
 
     /** Requests ran to their end, so what broke off before is not held against them. */
-    public void ranWhole(Collection<RequestFingerprint> requests) {
+    public void recordCompletion(Collection<RequestFingerprint> requests) {
         targets.values().forEach(runs -> runs.requests.removeAll(requests));
     }
 
--- a/core/src/main/java/org/bankturn/crash/KnownSuspects.java
+++ b/core/src/main/java/org/bankturn/crash/KnownSuspects.java
@@ -76,7 +76,7 @@
     }
 
     /** The request ran to its end here. */
-    public void ranWhole(RequestFingerprint request) {
+    public void recordCompletion(RequestFingerprint request) {
         seenHere.remove(request);
     }
 }
--- a/core/src/test/java/org/bankturn/crash/InterruptedRequestsTest.java
+++ b/core/src/test/java/org/bankturn/crash/InterruptedRequestsTest.java
@@ -35,7 +35,7 @@
     @Test
     void a_request_that_ran_whole_meanwhile_is_not_given_out() {
         runs.recordInterruption(TARGET, ONE);
-        runs.ranWhole(List.of(ONE));
+        runs.recordCompletion(List.of(ONE));
         assertThat(runs.recordEnd("t1")).isEmpty();
     }
 
--- a/core/src/test/java/org/bankturn/crash/KnownSuspectsTest.java
+++ b/core/src/test/java/org/bankturn/crash/KnownSuspectsTest.java
@@ -44,7 +44,7 @@
     @Test
     void a_request_that_ran_whole_here_begins_anew() {
         suspects.recordEnd("t1", DEADLY);
-        suspects.ranWhole(DEADLY);
+        suspects.recordCompletion(DEADLY);
         assertThat(suspects.isEmpty()).isTrue();
     }
 }
--- a/daemon/src/main/java/org/bankturn/daemon/gateway/CrashWatch.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/CrashWatch.java
@@ -266,11 +266,11 @@
             return;
         }
         RequestFingerprint fingerprint = request.fingerprint();
-        interruptedRequests.ranWhole(List.of(fingerprint));
+        interruptedRequests.recordCompletion(List.of(fingerprint));
         if (endsUnder(request) == 0) {
             return;
         }
-        suspects.ranWhole(fingerprint);
+        suspects.recordCompletion(fingerprint);
         lookForCondemned();
         metrics.suspected(ServingMetrics.SUSPECT_CLEARED);
         untoldWhole.add(fingerprint);
--- a/standins/src/main/java/org/bankturn/replay/ReplayedGateway.java
+++ b/standins/src/main/java/org/bankturn/replay/ReplayedGateway.java
@@ -341,7 +341,7 @@
 
         private void noteWhole(RequestFingerprint whole) {
             if (!suspects.endedUnder(whole).isEmpty()) {
-                suspects.ranWhole(whole);
+                suspects.recordCompletion(whole);
                 world.ranWhole(whole);
             }
         }
