--- a/core/src/main/java/org/bankturn/crash/KnownSuspects.java
+++ b/core/src/main/java/org/bankturn/crash/KnownSuspects.java
@@ -72,7 +72,7 @@
 
     /** A target ended while the request ran there. */
     public void recordEnd(String target, RequestFingerprint request) {
-        seenHere.blame(0, request, target);
+        seenHere.recordEnd(0, request, target);
     }
 
     /** The request ran to its end here. */
--- a/core/src/main/java/org/bankturn/crash/SuspectTable.java
+++ b/core/src/main/java/org/bankturn/crash/SuspectTable.java
@@ -90,7 +90,7 @@
      * @param fingerprint the request, not null
      * @param target the incarnation that ended, not null
      */
-    public void blame(long index, RequestFingerprint fingerprint, String target) {
+    public void recordEnd(long index, RequestFingerprint fingerprint, String target) {
         Suspect known = known(fingerprint);
         if (known.wouldChange(target)) {
             put(known.blamedFor(target, index));
--- a/core/src/main/java/org/bankturn/publication/PublicationState.java
+++ b/core/src/main/java/org/bankturn/publication/PublicationState.java
@@ -142,7 +142,7 @@
 
     private void note(long entryIndex, PublicationCommand.NoteRuns runs) {
         for (EndedTarget ended : runs.ended()) {
-            ended.underWay().forEach(request -> suspects.blame(entryIndex, request, ended.target()));
+            ended.underWay().forEach(request -> suspects.recordEnd(entryIndex, request, ended.target()));
         }
         runs.ranWhole().forEach(request -> suspects.clear(entryIndex, request));
     }
