--- a/core/src/main/java/org/bankturn/crash/SuspectTable.java
+++ b/core/src/main/java/org/bankturn/crash/SuspectTable.java
@@ -77,7 +77,7 @@
     }
 
     /** Returns true if the end of a target would add to what is held against a request. */
-    public boolean wouldBlame(RequestFingerprint fingerprint, String target) {
+    public boolean wouldRecordEnd(RequestFingerprint fingerprint, String target) {
         return known(fingerprint).wouldChange(target);
     }
 
--- a/core/src/main/java/org/bankturn/publication/PublicationState.java
+++ b/core/src/main/java/org/bankturn/publication/PublicationState.java
@@ -133,8 +133,8 @@
 
     private boolean wouldBlameOrClear(PublicationCommand.NoteRuns runs) {
         boolean blames = runs.ended().stream()
-                .anyMatch(ended ->
-                        ended.underWay().stream().anyMatch(request -> suspects.wouldBlame(request, ended.target())));
+                .anyMatch(ended -> ended.underWay().stream()
+                        .anyMatch(request -> suspects.wouldRecordEnd(request, ended.target())));
         return blames
                 || runs.ranWhole().stream()
                         .anyMatch(request -> !suspects.endedUnder(request).isEmpty());
