--- a/core/src/main/java/org/bankturn/crash/Suspect.java
+++ b/core/src/main/java/org/bankturn/crash/Suspect.java
@@ -44,7 +44,7 @@
     }
 
     /** Returns this request with one more target that ended under it, not null. */
-    Suspect blamedFor(String target, long index) {
+    Suspect withEndedTarget(String target, long index) {
         List<String> more = new ArrayList<>(endedTargets);
         more.add(target);
         return new Suspect(fingerprint, more, trials, trialBy, index);
--- a/core/src/main/java/org/bankturn/crash/SuspectTable.java
+++ b/core/src/main/java/org/bankturn/crash/SuspectTable.java
@@ -93,7 +93,7 @@
     public void recordEnd(long index, RequestFingerprint fingerprint, String target) {
         Suspect known = known(fingerprint);
         if (known.wouldChange(target)) {
-            put(known.blamedFor(target, index));
+            put(known.withEndedTarget(target, index));
         }
     }
 
