--- a/core/src/main/java/org/bankturn/crash/Suspect.java
+++ b/core/src/main/java/org/bankturn/crash/Suspect.java
@@ -56,7 +56,7 @@
     }
 
     /** Returns this request with one more trial taken, not null. */
-    Suspect triedBy(String who, long index) {
+    Suspect withTrial(String who, long index) {
         return new Suspect(fingerprint, endedTargets, trials + 1, who, index);
     }
 }
--- a/core/src/main/java/org/bankturn/crash/SuspectTable.java
+++ b/core/src/main/java/org/bankturn/crash/SuspectTable.java
@@ -107,7 +107,7 @@
      */
     public void takeTrial(long index, RequestFingerprint fingerprint, int number, String who) {
         if (mayTry(fingerprint, number)) {
-            put(known(fingerprint).triedBy(who, index));
+            put(known(fingerprint).withTrial(who, index));
         }
     }
 
