--- a/core/src/main/java/org/bankturn/crash/Suspect.java
+++ b/core/src/main/java/org/bankturn/crash/Suspect.java
@@ -51,7 +51,7 @@
     }
 
     /** Returns true if a trial with that number may be taken. */
-    boolean mayTry(int number) {
+    boolean isTrialAvailable(int number) {
         return isCondemned() && number == trials + 1 && number <= MOST_TRIALS;
     }
 
--- a/core/src/main/java/org/bankturn/crash/SuspectTable.java
+++ b/core/src/main/java/org/bankturn/crash/SuspectTable.java
@@ -61,8 +61,8 @@
     }
 
     /** Returns true if a trial with that number may be taken of a condemned request. */
-    public boolean mayTry(RequestFingerprint fingerprint, int number) {
-        return known(fingerprint).mayTry(number);
+    public boolean isTrialAvailable(RequestFingerprint fingerprint, int number) {
+        return known(fingerprint).isTrialAvailable(number);
     }
 
     /** Returns the targets that ended under a request, none if nothing is held against it, not null. */
@@ -106,7 +106,7 @@
      * @param who takes it, not null
      */
     public void takeTrial(long index, RequestFingerprint fingerprint, int number, String who) {
-        if (mayTry(fingerprint, number)) {
+        if (isTrialAvailable(fingerprint, number)) {
             put(known(fingerprint).withTrial(who, index));
         }
     }
--- a/core/src/main/java/org/bankturn/crash/TrialPlan.java
+++ b/core/src/main/java/org/bankturn/crash/TrialPlan.java
@@ -52,7 +52,7 @@
      * @param agreed what the control group holds against it, empty if it does not condemn it, not null
      */
     public boolean isDue(Optional<Suspect> agreed) {
-        if (agreed.isEmpty() || !agreed.get().mayTry(agreed.get().trials() + 1)) {
+        if (agreed.isEmpty() || !agreed.get().isTrialAvailable(agreed.get().trials() + 1)) {
             return false;
         }
         Learned known = learned.get(agreed.get().fingerprint());
--- a/core/src/main/java/org/bankturn/publication/PublicationState.java
+++ b/core/src/main/java/org/bankturn/publication/PublicationState.java
@@ -126,7 +126,7 @@
             return wouldBlameOrClear(runs);
         }
         if (command instanceof PublicationCommand.TakeTrial trial) {
-            return suspects.mayTry(trial.request(), trial.number());
+            return suspects.isTrialAvailable(trial.request(), trial.number());
         }
         return false;
     }
