--- a/core/src/main/java/org/bankturn/crash/KnownSuspects.java
+++ b/core/src/main/java/org/bankturn/crash/KnownSuspects.java
@@ -45,15 +45,15 @@
     }
 
     /** Returns the targets known to have ended under a request, each once, not null. */
-    public Set<String> endedUnder(RequestFingerprint request) {
-        Set<String> ended = new LinkedHashSet<>(published.endedUnder(request));
-        ended.addAll(seenHere.endedUnder(request));
+    public Set<String> endedTargetsOf(RequestFingerprint request) {
+        Set<String> ended = new LinkedHashSet<>(published.endedTargetsOf(request));
+        ended.addAll(seenHere.endedTargetsOf(request));
         return ended;
     }
 
     /** Returns true if the request must be sent to no target any more. */
     public boolean isCondemned(RequestFingerprint request) {
-        return endedUnder(request).size() >= Suspect.ENDS_THAT_CONDEMN;
+        return endedTargetsOf(request).size() >= Suspect.ENDS_THAT_CONDEMN;
     }
 
     // ---- what is learned
@@ -63,7 +63,7 @@
         published = SuspectTable.restore(
                 suspects.stream().filter(each -> !each.endedTargets().isEmpty()).toList());
         for (Suspect each : suspects) {
-            boolean covers = each.endedTargets().containsAll(seenHere.endedUnder(each.fingerprint()));
+            boolean covers = each.endedTargets().containsAll(seenHere.endedTargetsOf(each.fingerprint()));
             if (each.endedTargets().isEmpty() || covers) {
                 seenHere.remove(each.fingerprint());
             }
--- a/core/src/main/java/org/bankturn/crash/SuspectTable.java
+++ b/core/src/main/java/org/bankturn/crash/SuspectTable.java
@@ -66,7 +66,7 @@
     }
 
     /** Returns the targets that ended under a request, none if nothing is held against it, not null. */
-    public List<String> endedUnder(RequestFingerprint fingerprint) {
+    public List<String> endedTargetsOf(RequestFingerprint fingerprint) {
         Suspect known = suspects.get(fingerprint);
         return known == null ? List.of() : known.endedTargets();
     }
@@ -113,7 +113,7 @@
 
     /** The request ran to its end, or an operator says that it may run again. */
     public void clear(long index, RequestFingerprint fingerprint) {
-        if (!endedUnder(fingerprint).isEmpty()) {
+        if (!endedTargetsOf(fingerprint).isEmpty()) {
             put(Suspect.cleared(fingerprint, index));
         }
     }
--- a/core/src/main/java/org/bankturn/publication/PublicationState.java
+++ b/core/src/main/java/org/bankturn/publication/PublicationState.java
@@ -137,7 +137,7 @@
                         .anyMatch(request -> suspects.wouldRecordEnd(request, ended.target())));
         return blames
                 || runs.ranWhole().stream()
-                        .anyMatch(request -> !suspects.endedUnder(request).isEmpty());
+                        .anyMatch(request -> !suspects.endedTargetsOf(request).isEmpty());
     }
 
     private void note(long entryIndex, PublicationCommand.NoteRuns runs) {
--- a/core/src/test/java/org/bankturn/crash/KnownSuspectsTest.java
+++ b/core/src/test/java/org/bankturn/crash/KnownSuspectsTest.java
@@ -38,7 +38,7 @@
     void what_another_request_is_blamed_for_changes_nothing_of_what_was_seen_here() {
         suspects.recordEnd("t1", DEADLY);
         suspects.published(List.of(new Suspect(new RequestFingerprint(2, 2), List.of("t9"), 0, null, 8)));
-        assertThat(suspects.endedUnder(DEADLY)).containsExactly("t1");
+        assertThat(suspects.endedTargetsOf(DEADLY)).containsExactly("t1");
     }
 
     @Test
--- a/core/src/test/java/org/bankturn/crash/SuspectTableTest.java
+++ b/core/src/test/java/org/bankturn/crash/SuspectTableTest.java
@@ -15,7 +15,7 @@
     void a_target_counts_once_however_often_its_end_is_told() {
         table.recordEnd(1, DEADLY, "t1");
         table.recordEnd(2, DEADLY, "t1");
-        assertThat(table.endedUnder(DEADLY)).containsExactly("t1");
+        assertThat(table.endedTargetsOf(DEADLY)).containsExactly("t1");
         assertThat(table.changedSince(1)).isEmpty();
     }
 
@@ -34,7 +34,7 @@
     void a_request_that_ran_to_its_end_begins_anew_and_followers_hear_of_it() {
         table.recordEnd(1, SOUND, "t1");
         table.clear(2, SOUND);
-        assertThat(table.endedUnder(SOUND)).isEmpty();
+        assertThat(table.endedTargetsOf(SOUND)).isEmpty();
         assertThat(table.changedSince(1)).containsExactly(Suspect.cleared(SOUND, 2));
     }
 
@@ -60,8 +60,8 @@
             table.recordEnd(4 + number, new RequestFingerprint(3, number), "t1");
         }
         assertThat(table.content()).hasSize(SuspectTable.MOST_SUSPECTS);
-        assertThat(table.endedUnder(SOUND)).isEmpty();
-        assertThat(table.endedUnder(DEADLY)).hasSize(2);
+        assertThat(table.endedTargetsOf(SOUND)).isEmpty();
+        assertThat(table.endedTargetsOf(DEADLY)).hasSize(2);
     }
 
     @Test
--- a/daemon/src/main/java/org/bankturn/daemon/gateway/CrashWatch.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/CrashWatch.java
@@ -118,7 +118,7 @@
 
     /** Returns how many targets are known to have ended under the request. */
     int endsUnder(ForwardedRequest request) {
-        return suspects.endedUnder(request.fingerprint()).size();
+        return suspects.endedTargetsOf(request.fingerprint()).size();
     }
 
     /**
@@ -156,7 +156,7 @@
             log.line(DecisionKind.SUSPECT)
                     .with(DecisionField.EVENT, "sent to no target any more")
                     .with(DecisionField.FINGERPRINT, request)
-                    .with(DecisionField.ENDS, suspects.endedUnder(request).size())
+                    .with(DecisionField.ENDS, suspects.endedTargetsOf(request).size())
                     .write();
         }
         if (!newly.isEmpty()) {
@@ -196,7 +196,7 @@
 
     /** A request that one more end condemns goes on only once it is certain that there was none. */
     private Promise<Void> untilCertainEnough(ForwardedRequest request) {
-        Set<String> possiblyEnded = suspects.endedUnder(request.fingerprint());
+        Set<String> possiblyEnded = suspects.endedTargetsOf(request.fingerprint());
         possiblyEnded.addAll(interruptedRequests.findUndecided(request.fingerprint()));
         boolean certain = isCondemned(request) || possiblyEnded.size() < Suspect.ENDS_THAT_CONDEMN;
         return certain ? Promise.complete() : Promises.delay(LOOK_AGAIN_MILLIS + CONNECT_MILLIS);
@@ -250,7 +250,7 @@
                     .with(DecisionField.EVENT, "target ended")
                     .with(DecisionField.TARGET, target)
                     .with(DecisionField.FINGERPRINT, request)
-                    .with(DecisionField.ENDS, suspects.endedUnder(request).size())
+                    .with(DecisionField.ENDS, suspects.endedTargetsOf(request).size())
                     .write();
         }
         if (!requests.isEmpty()) {
--- a/standins/src/main/java/org/bankturn/replay/ReplayedGateway.java
+++ b/standins/src/main/java/org/bankturn/replay/ReplayedGateway.java
@@ -340,7 +340,7 @@
         }
 
         private void noteWhole(RequestFingerprint whole) {
-            if (!suspects.endedUnder(whole).isEmpty()) {
+            if (!suspects.endedTargetsOf(whole).isEmpty()) {
                 suspects.recordCompletion(whole);
                 world.ranWhole(whole);
             }
