--- a/core/src/main/java/org/bankturn/crash/KnownSuspects.java
+++ b/core/src/main/java/org/bankturn/crash/KnownSuspects.java
@@ -32,7 +32,7 @@
     }
 
     /** Returns what the control group holds against a request, empty if nothing, not null. */
-    public Optional<Suspect> agreed(RequestFingerprint request) {
+    public Optional<Suspect> findPublished(RequestFingerprint request) {
         return published.find(request);
     }
 
--- a/core/src/main/java/org/bankturn/crash/TrialPlan.java
+++ b/core/src/main/java/org/bankturn/crash/TrialPlan.java
@@ -38,7 +38,8 @@
         long now = clock.millis();
         learned.keySet().retainAll(condemned);
         for (RequestFingerprint request : condemned) {
-            long index = suspects.agreed(request).map(Suspect::changedIndex).orElse(0L);
+            long index =
+                    suspects.findPublished(request).map(Suspect::changedIndex).orElse(0L);
             Learned former = learned.get(request);
             if (former == null || former.index() != index) {
                 learned.put(request, new Learned(index, now));
--- a/core/src/test/java/org/bankturn/crash/TrialPlanTest.java
+++ b/core/src/test/java/org/bankturn/crash/TrialPlanTest.java
@@ -51,6 +51,6 @@
     }
 
     private boolean isDue() {
-        return plan.isDue(suspects.agreed(REQUEST));
+        return plan.isDue(suspects.findPublished(REQUEST));
     }
 }
--- a/daemon/src/main/java/org/bankturn/daemon/gateway/Trials.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/Trials.java
@@ -77,7 +77,7 @@
      * @return gives true if it may be sent once more, false if it is to be refused, not null
      */
     Promise<Boolean> take(RequestFingerprint request, String who) {
-        Optional<Suspect> agreed = suspects.agreed(request);
+        Optional<Suspect> agreed = suspects.findPublished(request);
         if (asked.containsKey(request) || !plan.isDue(agreed)) {
             return Promise.of(false);
         }
@@ -94,7 +94,7 @@
         plan.update(condemned, suspects);
         for (RequestFingerprint request : List.copyOf(asked.keySet())) {
             String who = asked.get(request).who();
-            boolean granted = suspects.agreed(request)
+            boolean granted = suspects.findPublished(request)
                     .map(suspect -> who.equals(suspect.trialBy()))
                     .orElse(false);
             if (granted) {
