--- a/core/src/main/java/org/bankturn/crash/KnownSuspects.java
+++ b/core/src/main/java/org/bankturn/crash/KnownSuspects.java
@@ -18,7 +18,7 @@
     private final SuspectTable seenHere = SuspectTable.empty();
 
     /** Returns one that holds nothing against any request, not null. */
-    public static KnownSuspects none() {
+    public static KnownSuspects empty() {
         return new KnownSuspects();
     }
 
--- a/core/src/test/java/org/bankturn/crash/KnownSuspectsTest.java
+++ b/core/src/test/java/org/bankturn/crash/KnownSuspectsTest.java
@@ -8,7 +8,7 @@
 class KnownSuspectsTest {
     private static final RequestFingerprint DEADLY = new RequestFingerprint(1, 1);
 
-    private final KnownSuspects suspects = KnownSuspects.none();
+    private final KnownSuspects suspects = KnownSuspects.empty();
 
     @Test
     void ends_that_are_published_and_ends_seen_here_count_together_each_once() {
--- a/core/src/test/java/org/bankturn/crash/TrialPlanTest.java
+++ b/core/src/test/java/org/bankturn/crash/TrialPlanTest.java
@@ -12,7 +12,7 @@
     private static final List<String> ENDED = List.of("t1", "t2", "t3");
 
     private final ManualClock clock = ManualClock.startingAt(1_000_000);
-    private final KnownSuspects suspects = KnownSuspects.none();
+    private final KnownSuspects suspects = KnownSuspects.empty();
     private final TrialPlan plan = TrialPlan.of(clock);
 
     @Test
--- a/daemon/src/main/java/org/bankturn/daemon/gateway/CrashWatch.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/CrashWatch.java
@@ -56,7 +56,7 @@
     private final Runnable whenCondemned;
     private final InterruptedRequests interruptedRequests;
     private final Trials trials;
-    private final KnownSuspects suspects = KnownSuspects.none();
+    private final KnownSuspects suspects = KnownSuspects.empty();
     private final Set<RequestFingerprint> condemned = new HashSet<>();
     private final Map<String, Promise<Void>> looking = new HashMap<>();
     private final Map<String, Set<RequestFingerprint>> untoldEnds = new LinkedHashMap<>();
--- a/standins/src/main/java/org/bankturn/replay/ReplayedGateway.java
+++ b/standins/src/main/java/org/bankturn/replay/ReplayedGateway.java
@@ -42,7 +42,7 @@
     private final RequestPolicy policy;
     private final WatchPlan plan;
     private final LoadQuestions questions;
-    private final KnownSuspects suspects = KnownSuspects.none();
+    private final KnownSuspects suspects = KnownSuspects.empty();
     private List<TargetSighting> sightings = List.of();
     private int busiest;
 
