--- a/core/src/main/java/org/bankturn/crash/KnownSuspects.java
+++ b/core/src/main/java/org/bankturn/crash/KnownSuspects.java
@@ -53,7 +53,7 @@
 
     /** Returns true if the request must be sent to no target any more. */
     public boolean isCondemned(RequestFingerprint request) {
-        return endedTargetsOf(request).size() >= Suspect.ENDS_THAT_CONDEMN;
+        return endedTargetsOf(request).size() >= Suspect.CONDEMNATION_THRESHOLD;
     }
 
     // ---- what is learned
--- a/core/src/main/java/org/bankturn/crash/Suspect.java
+++ b/core/src/main/java/org/bankturn/crash/Suspect.java
@@ -15,7 +15,7 @@
 public record Suspect(
         RequestFingerprint fingerprint, List<String> endedTargets, int trials, String trialBy, long changedIndex) {
     /** A request under which that many targets ended is sent to no further one. */
-    public static final int ENDS_THAT_CONDEMN = 3;
+    public static final int CONDEMNATION_THRESHOLD = 3;
 
     /**
      * Bystanders that many copies of were under way when many targets ended at once are condemned as well; without a trial
@@ -35,7 +35,7 @@
 
     /** Returns true if it must be sent to no target any more. */
     public boolean isCondemned() {
-        return endedTargets.size() >= ENDS_THAT_CONDEMN;
+        return endedTargets.size() >= CONDEMNATION_THRESHOLD;
     }
 
     /** Returns true if the end of a target would add to what is held against it. */
--- a/daemon/src/main/java/org/bankturn/daemon/gateway/CrashWatch.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/CrashWatch.java
@@ -198,7 +198,7 @@
     private Promise<Void> untilCertainEnough(ForwardedRequest request) {
         Set<String> possiblyEnded = suspects.endedTargetsOf(request.fingerprint());
         possiblyEnded.addAll(interruptedRequests.findUndecided(request.fingerprint()));
-        boolean certain = isCondemned(request) || possiblyEnded.size() < Suspect.ENDS_THAT_CONDEMN;
+        boolean certain = isCondemned(request) || possiblyEnded.size() < Suspect.CONDEMNATION_THRESHOLD;
         return certain ? Promise.complete() : Promises.delay(LOOK_AGAIN_MILLIS + CONNECT_MILLIS);
     }
 
--- a/daemon/src/test/java/org/bankturn/daemon/gateway/DeadlyRequestTest.java
+++ b/daemon/src/test/java/org/bankturn/daemon/gateway/DeadlyRequestTest.java
@@ -18,7 +18,7 @@
 class DeadlyRequestTest extends GatewayFixture {
     private static final int CALLS = 20;
     private static final int SENDS_OF_ONE_CALL = 2;
-    private static final int ENDS_THAT_CONDEMN = 3;
+    private static final int CONDEMNATION_THRESHOLD = 3;
     private static final String DEADLY = "deadly";
 
     private final AtomicInteger ended = new AtomicInteger();
@@ -29,7 +29,7 @@
         for (int call = 0; call < CALLS; call++) {
             call("POST", "r" + call, DEADLY);
         }
-        assertThat(ended.get()).isEqualTo(ENDS_THAT_CONDEMN);
+        assertThat(ended.get()).isEqualTo(CONDEMNATION_THRESHOLD);
         assertThat(call("POST", "last", DEADLY)).startsWith("HTTP/1.1 429").contains("Come-Back: ");
         assertThat(call("POST", "sound", "other")).startsWith("HTTP/1.1 200");
     }
