--- a/core/src/main/java/org/bankturn/crash/Suspect.java
+++ b/core/src/main/java/org/bankturn/crash/Suspect.java
@@ -21,7 +21,7 @@
      * Bystanders that many copies of were under way when many targets ended at once are condemned as well; without a trial
      * they would be refused for good. A request that does end its targets ends that many more.
      */
-    public static final int MOST_TRIALS = 2;
+    public static final int MAX_TRIALS = 2;
 
     /** Copies the targets. */
     public Suspect {
@@ -52,7 +52,7 @@
 
     /** Returns true if a trial with that number may be taken. */
     boolean isTrialAvailable(int number) {
-        return isCondemned() && number == trials + 1 && number <= MOST_TRIALS;
+        return isCondemned() && number == trials + 1 && number <= MAX_TRIALS;
     }
 
     /** Returns this request with one more trial taken, not null. */
--- a/core/src/test/java/org/bankturn/crash/SuspectTableTest.java
+++ b/core/src/test/java/org/bankturn/crash/SuspectTableTest.java
@@ -47,7 +47,7 @@
         assertThat(table.find(DEADLY)).map(Suspect::trialBy).contains("first");
         table.takeTrial(5, DEADLY, 2, "second");
         table.takeTrial(6, DEADLY, 3, "third");
-        assertThat(table.find(DEADLY)).map(Suspect::trials).contains(Suspect.MOST_TRIALS);
+        assertThat(table.find(DEADLY)).map(Suspect::trials).contains(Suspect.MAX_TRIALS);
         assertThat(table.find(DEADLY)).map(Suspect::trialBy).contains("second");
     }
 
