--- a/core/src/main/java/org/bankturn/crash/SuspectTable.java
+++ b/core/src/main/java/org/bankturn/crash/SuspectTable.java
@@ -19,7 +19,7 @@
  */
 public final class SuspectTable {
     /** As many as are under way at 64 engines of 16 places that end at the same moment; 121 KB as it is stored. */
-    public static final int MOST_SUSPECTS = 1_024;
+    public static final int MAX_SUSPECTS = 1_024;
 
     private static final Comparator<Suspect> LEAST_NEEDED = Comparator.<Suspect>comparingInt(
                     each -> each.endedTargets().size())
@@ -121,7 +121,7 @@
     /** Takes in what another table holds of one request. */
     public void put(Suspect suspect) {
         suspects.remove(suspect.fingerprint());
-        if (suspects.size() >= MOST_SUSPECTS) {
+        if (suspects.size() >= MAX_SUSPECTS) {
             forgetLeastNeeded();
         }
         suspects.put(suspect.fingerprint(), suspect);
--- a/core/src/test/java/org/bankturn/crash/SuspectTableTest.java
+++ b/core/src/test/java/org/bankturn/crash/SuspectTableTest.java
@@ -56,17 +56,17 @@
         table.recordEnd(1, DEADLY, "t1");
         table.recordEnd(2, DEADLY, "t2");
         table.recordEnd(3, SOUND, "t1");
-        for (int number = 0; number < SuspectTable.MOST_SUSPECTS - 1; number++) {
+        for (int number = 0; number < SuspectTable.MAX_SUSPECTS - 1; number++) {
             table.recordEnd(4 + number, new RequestFingerprint(3, number), "t1");
         }
-        assertThat(table.content()).hasSize(SuspectTable.MOST_SUSPECTS);
+        assertThat(table.content()).hasSize(SuspectTable.MAX_SUSPECTS);
         assertThat(table.endedTargetsOf(SOUND)).isEmpty();
         assertThat(table.endedTargetsOf(DEADLY)).hasSize(2);
     }
 
     @Test
     void a_restored_table_forgets_the_same_as_the_one_that_it_was_made_of() {
-        for (int number = 0; number < SuspectTable.MOST_SUSPECTS; number++) {
+        for (int number = 0; number < SuspectTable.MAX_SUSPECTS; number++) {
             table.recordEnd(number, new RequestFingerprint(3, number), "t1");
         }
         SuspectTable restored = SuspectTable.restore(table.content());
