--- a/core/src/main/java/org/bankturn/crash/TrialPlan.java
+++ b/core/src/main/java/org/bankturn/crash/TrialScheduler.java
@@ -12,9 +12,9 @@
  * <p>Load pattern: many targets end at once, for a reason of their own, while copies of one request are under way at several
  * of them. The request is condemned although it ends nothing, and since it is sent no more nothing would ever clear it. The
  * first trial waits until targets that ended are back and have little to do; the second shows that the first did not break
- * off by chance. A request that does end its targets ends two more for it. TrialPlan is mutable and not thread-safe.
+ * off by chance. A request that does end its targets ends two more for it. TrialScheduler is mutable and not thread-safe.
  */
-public final class TrialPlan {
+public final class TrialScheduler {
     /** How long what is held against a request must have stood, before the first trial and before the second. */
     private static final long[] STANDS_MILLIS = {5_000, 60_000};
 
@@ -25,11 +25,11 @@
     private record Learned(long index, long atMillis) {}
 
     /** Returns a plan for a gateway that knows of no condemned request, not null. */
-    public static TrialPlan of(Clock clock) {
-        return new TrialPlan(clock);
+    public static TrialScheduler of(Clock clock) {
+        return new TrialScheduler(clock);
     }
 
-    private TrialPlan(Clock clock) {
+    private TrialScheduler(Clock clock) {
         this.clock = clock;
     }
 
--- a/core/src/test/java/org/bankturn/crash/TrialPlanTest.java
+++ b/core/src/test/java/org/bankturn/crash/TrialPlanTest.java
@@ -13,7 +13,7 @@
 
     private final ManualClock clock = ManualClock.startingAt(1_000_000);
     private final KnownSuspects suspects = KnownSuspects.empty();
-    private final TrialPlan plan = TrialPlan.of(clock);
+    private final TrialScheduler plan = TrialScheduler.of(clock);
 
     @Test
     void the_first_trial_is_due_some_seconds_after_the_request_was_condemned() {
--- a/daemon/src/main/java/org/bankturn/daemon/gateway/Trials.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/Trials.java
@@ -12,7 +12,7 @@
 import org.bankturn.crash.KnownSuspects;
 import org.bankturn.crash.RequestFingerprint;
 import org.bankturn.crash.Suspect;
-import org.bankturn.crash.TrialPlan;
+import org.bankturn.crash.TrialScheduler;
 import org.bankturn.daemon.observe.DecisionField;
 import org.bankturn.daemon.observe.DecisionKind;
 import org.bankturn.daemon.observe.DecisionLog;
@@ -32,7 +32,7 @@
     private final DecisionLog log;
     private final Consumer<PublicationCommand> controlGroup;
     private final KnownSuspects suspects;
-    private final TrialPlan plan;
+    private final TrialScheduler plan;
     private final Map<RequestFingerprint, Asked> asked = new HashMap<>();
 
     /** A trial that was asked for, and who waits for it. */
@@ -66,7 +66,7 @@
         this.log = log;
         this.controlGroup = controlGroup;
         this.suspects = suspects;
-        this.plan = TrialPlan.of(clock);
+        this.plan = TrialScheduler.of(clock);
     }
 
     /**
