--- a/core/src/test/java/org/bankturn/crash/TrialPlanTest.java
+++ b/core/src/test/java/org/bankturn/crash/TrialSchedulerTest.java
@@ -7,7 +7,7 @@
 import org.bankturn.time.ManualClock;
 import org.junit.jupiter.api.Test;
 
-class TrialPlanTest {
+class TrialSchedulerTest {
     private static final RequestFingerprint REQUEST = new RequestFingerprint(1, 1);
     private static final List<String> ENDED = List.of("t1", "t2", "t3");
 
