--- a/core/src/main/java/org/bankturn/publication/PublicationCommand.java
+++ b/core/src/main/java/org/bankturn/publication/PublicationCommand.java
@@ -15,7 +15,7 @@
     @JsonSubTypes.Type(value = PublicationCommand.NameWeights.class, name = "weights"),
     @JsonSubTypes.Type(value = PublicationCommand.RecordTarget.class, name = "target"),
     @JsonSubTypes.Type(value = PublicationCommand.RemoveTarget.class, name = "gone"),
-    @JsonSubTypes.Type(value = PublicationCommand.NoteRuns.class, name = "runs"),
+    @JsonSubTypes.Type(value = PublicationCommand.RecordOutcomes.class, name = "runs"),
     @JsonSubTypes.Type(value = PublicationCommand.TakeTrial.class, name = "trial"),
     @JsonSubTypes.Type(value = PublicationCommand.Confirm.class, name = "confirm")
 })
@@ -60,9 +60,9 @@
     }
 
     /** Records targets that ended with what ran there, and requests that ran to their end since. */
-    record NoteRuns(List<EndedTarget> ended, List<RequestFingerprint> ranWhole) implements PublicationCommand {
+    record RecordOutcomes(List<EndedTarget> ended, List<RequestFingerprint> ranWhole) implements PublicationCommand {
         /** Copies the lists. */
-        public NoteRuns {
+        public RecordOutcomes {
             ended = List.copyOf(ended);
             ranWhole = List.copyOf(ranWhole);
         }
--- a/core/src/main/java/org/bankturn/publication/PublicationState.java
+++ b/core/src/main/java/org/bankturn/publication/PublicationState.java
@@ -122,7 +122,7 @@
         if (command instanceof PublicationCommand.RemoveTarget remove) {
             return registry.find(remove.id()).isPresent() || (remove.byItself() && !registry.hasLeft(remove.id()));
         }
-        if (command instanceof PublicationCommand.NoteRuns runs) {
+        if (command instanceof PublicationCommand.RecordOutcomes runs) {
             return wouldBlameOrClear(runs);
         }
         if (command instanceof PublicationCommand.TakeTrial trial) {
@@ -131,7 +131,7 @@
         return false;
     }
 
-    private boolean wouldBlameOrClear(PublicationCommand.NoteRuns runs) {
+    private boolean wouldBlameOrClear(PublicationCommand.RecordOutcomes runs) {
         boolean blames = runs.ended().stream()
                 .anyMatch(ended -> ended.underWay().stream()
                         .anyMatch(request -> suspects.wouldRecordEnd(request, ended.target())));
@@ -140,7 +140,7 @@
                         .anyMatch(request -> !suspects.endedTargetsOf(request).isEmpty());
     }
 
-    private void note(long entryIndex, PublicationCommand.NoteRuns runs) {
+    private void note(long entryIndex, PublicationCommand.RecordOutcomes runs) {
         for (EndedTarget ended : runs.ended()) {
             ended.underWay().forEach(request -> suspects.recordEnd(entryIndex, request, ended.target()));
         }
@@ -168,7 +168,7 @@
             registry.record(entryIndex, record.sighting(), record.evidence());
         } else if (command instanceof PublicationCommand.RemoveTarget remove) {
             registry.remove(entryIndex, remove.id(), remove.name(), remove.bornMillis(), remove.byItself());
-        } else if (command instanceof PublicationCommand.NoteRuns runs) {
+        } else if (command instanceof PublicationCommand.RecordOutcomes runs) {
             note(entryIndex, runs);
         } else if (command instanceof PublicationCommand.TakeTrial trial) {
             suspects.takeTrial(entryIndex, trial.request(), trial.number(), trial.who());
--- a/core/src/test/java/org/bankturn/publication/PublicationStateTest.java
+++ b/core/src/test/java/org/bankturn/publication/PublicationStateTest.java
@@ -106,7 +106,7 @@
             TargetRegistry.Content registry) {}
 
     private static PublicationCommand noted(List<EndedTarget> ended, List<RequestFingerprint> ranWhole) {
-        return new PublicationCommand.NoteRuns(ended, ranWhole);
+        return new PublicationCommand.RecordOutcomes(ended, ranWhole);
     }
 
     @Test
--- a/daemon/src/main/java/org/bankturn/daemon/gateway/CrashWatch.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/CrashWatch.java
@@ -289,7 +289,7 @@
         List<EndedTarget> ends = untoldEnds.entrySet().stream()
                 .map(each -> new EndedTarget(each.getKey(), List.copyOf(each.getValue())))
                 .toList();
-        controlGroup.accept(new PublicationCommand.NoteRuns(ends, List.copyOf(untoldWhole)));
+        controlGroup.accept(new PublicationCommand.RecordOutcomes(ends, List.copyOf(untoldWhole)));
         untoldEnds.clear();
         untoldWhole.clear();
     }
--- a/daemon/src/main/java/org/bankturn/daemon/group/GroupNode.java
+++ b/daemon/src/main/java/org/bankturn/daemon/group/GroupNode.java
@@ -264,7 +264,7 @@
                     .map(all -> new ControlAnswer.Document(SuspectCalls.list(all)));
         }
         if (call instanceof ControlCall.ClearSuspect clear) {
-            return change(new PublicationCommand.NoteRuns(List.of(), List.of(clear.request())));
+            return change(new PublicationCommand.RecordOutcomes(List.of(), List.of(clear.request())));
         }
         if (call instanceof ControlCall.Malformed malformed) {
             return Promise.of(new ControlAnswer.Refused(malformed.reason()));
