--- a/daemon/src/main/java/org/bankturn/daemon/gateway/Gateway.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/Gateway.java
@@ -23,7 +23,7 @@
 import org.bankturn.daemon.observe.DecisionLog;
 import org.bankturn.daemon.observe.RequestOutcome;
 import org.bankturn.daemon.observe.ServingMetrics;
-import org.bankturn.daemon.publication.Published;
+import org.bankturn.daemon.publication.PublishedState;
 import org.bankturn.daemon.weights.WeightsRelay;
 import org.bankturn.daemon.wire.NodeClients;
 import org.bankturn.daemon.wire.NodeReply;
@@ -76,7 +76,7 @@
     private final CrashWatch crashes;
     private final Set<ForwardedRequest> underWay = new LinkedHashSet<>();
     private final long startedMillis;
-    private Published published = Published.NOTHING;
+    private PublishedState published = PublishedState.NOTHING;
     private boolean stopping;
     private boolean takenOut;
     private long answered;
@@ -156,7 +156,7 @@
      * @param newer what is published, not null
      * @param changedSinceMillis a moment at which nothing of what is new in it was in force yet
      */
-    public void update(Published newer, long changedSinceMillis) {
+    public void update(PublishedState newer, long changedSinceMillis) {
         boolean mayPredateStart = changedSinceMillis < startedMillis;
         long due = mayPredateStart
                 ? clock.millis() + DUE_AFTER_START_MILLIS
--- a/daemon/src/main/java/org/bankturn/daemon/gateway/LoadPoller.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/LoadPoller.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import java.util.Set;
 import org.bankturn.daemon.observe.ServingMetrics;
-import org.bankturn.daemon.publication.Published;
+import org.bankturn.daemon.publication.PublishedState;
 import org.bankturn.daemon.settings.Address;
 import org.bankturn.daemon.wire.NodeClients;
 import org.bankturn.daemon.wire.NodeReply;
@@ -46,7 +46,7 @@
     private final ServingMetrics metrics;
     private final WatchPlan plan;
     private final LoadQuestions questions;
-    private Published published = Published.NOTHING;
+    private PublishedState published = PublishedState.NOTHING;
     private Set<String> gatewaysHere = Set.of();
     private int busiest;
     private boolean started;
@@ -91,7 +91,7 @@
      * @param newer what is published, not null
      * @param gateways the node addresses of the gateways in the same data hall, not null
      */
-    void update(Published newer, Set<String> gateways) {
+    void update(PublishedState newer, Set<String> gateways) {
         published = newer;
         gatewaysHere = gateways;
         if (started) {
--- a/daemon/src/main/java/org/bankturn/daemon/publication/PublicationFollower.java
+++ b/daemon/src/main/java/org/bankturn/daemon/publication/PublicationFollower.java
@@ -55,7 +55,7 @@
     private final Map<Address, String> hallOf = new HashMap<>();
     private final Set<Address> members = new LinkedHashSet<>();
     private final Set<Address> tried = new LinkedHashSet<>();
-    private Published published = Published.NOTHING;
+    private PublishedState published = PublishedState.NOTHING;
     private Address current;
     private long movedMillis;
     private long freshMillis = Long.MIN_VALUE / 2;
@@ -115,7 +115,7 @@
     }
 
     /** Returns what is published, as far as known, not null. */
-    public Published published() {
+    public PublishedState published() {
         return published;
     }
 
@@ -162,7 +162,7 @@
             watched.members().forEach(text -> members.add(Address.parse(text)));
         }
         boolean newer = watched.update() != null && watched.update().index() > published.index();
-        Published before = watched.fresh() ? published.confirm() : published;
+        PublishedState before = watched.fresh() ? published.confirm() : published;
         if (newer) {
             apply(before, watched.update(), from, watched.waited() ? askedMillis : confirmedMillis);
         } else if (before.confirmed() && !published.confirmed()) {
@@ -179,7 +179,7 @@
         ask();
     }
 
-    private void apply(Published before, PublicationUpdate update, Address from, long changedSinceMillis) {
+    private void apply(PublishedState before, PublicationUpdate update, Address from, long changedSinceMillis) {
         ServingConfiguration configuration = before.configuration();
         if (update.document() != null
                 && (configuration == null || update.documentVersion() > configuration.version())) {
@@ -196,7 +196,7 @@
         show(before.after(update, configuration), from, changedSinceMillis);
     }
 
-    private void show(Published newer, Address from, long changedSinceMillis) {
+    private void show(PublishedState newer, Address from, long changedSinceMillis) {
         published = newer;
         ServingConfiguration configuration = newer.configuration();
         long version = configuration == null ? 0 : configuration.version();
--- a/daemon/src/main/java/org/bankturn/daemon/publication/PublicationListener.java
+++ b/daemon/src/main/java/org/bankturn/daemon/publication/PublicationListener.java
@@ -10,5 +10,5 @@
      * @param changedSinceMillis a moment at which nothing of what is new in it was in force yet, by this process's clock;
      *     long ago if that is not known, as at the first change
      */
-    void published(Published newer, long changedSinceMillis);
+    void published(PublishedState newer, long changedSinceMillis);
 }
--- a/daemon/src/main/java/org/bankturn/daemon/publication/Published.java
+++ b/daemon/src/main/java/org/bankturn/daemon/publication/PublishedState.java
@@ -14,7 +14,7 @@
 /**
  * What is published, as far as one process knows.
  *
- * <p>Published is immutable and thread-safe.
+ * <p>PublishedState is immutable and thread-safe.
  *
  * @param index the log index it leads to, 0 if nothing is known
  * @param configuration the operators' document, null if none is known
@@ -24,7 +24,7 @@
  * @param confirmed true once a control process in touch with a majority has published to this process; before that, what
  *     is shown may be what one of them held when it started, and newer changes may be in force
  */
-public record Published(
+public record PublishedState(
         long index,
         ServingConfiguration configuration,
         List<NamedWeights> weights,
@@ -32,10 +32,10 @@
         List<Suspect> suspects,
         boolean confirmed) {
     /** Nothing is known. */
-    public static final Published NOTHING = new Published(0, null, List.of(), Map.of(), List.of(), false);
+    public static final PublishedState NOTHING = new PublishedState(0, null, List.of(), Map.of(), List.of(), false);
 
     /** Copies the collections. */
-    public Published {
+    public PublishedState {
         weights = List.copyOf(weights);
         targets = Map.copyOf(targets);
         suspects = List.copyOf(suspects);
@@ -47,8 +47,8 @@
     }
 
     /** Returns the same, confirmed by a control process in touch with a majority. */
-    Published confirm() {
-        return new Published(index, configuration, weights, targets, suspects, true);
+    PublishedState confirm() {
+        return new PublishedState(index, configuration, weights, targets, suspects, true);
     }
 
     /**
@@ -57,11 +57,11 @@
      * @param update the update, not null
      * @param newest the document that it brought, or the one held, null if there is none
      */
-    Published after(PublicationUpdate update, ServingConfiguration newest) {
+    PublishedState after(PublicationUpdate update, ServingConfiguration newest) {
         Map<String, TargetSighting> next = update.whole() ? new HashMap<>() : new HashMap<>(targets);
         update.gone().forEach(next::remove);
         update.changed().forEach(each -> next.put(each.id(), each));
-        return new Published(update.index(), newest, update.weights(), next, suspectsAfter(update), confirmed);
+        return new PublishedState(update.index(), newest, update.weights(), next, suspectsAfter(update), confirmed);
     }
 
     private List<Suspect> suspectsAfter(PublicationUpdate update) {
--- a/daemon/src/main/java/org/bankturn/daemon/weights/WeightsAgent.java
+++ b/daemon/src/main/java/org/bankturn/daemon/weights/WeightsAgent.java
@@ -8,7 +8,7 @@
 import java.util.stream.Stream;
 import org.bankturn.daemon.observe.DecisionField;
 import org.bankturn.daemon.observe.DecisionKind;
-import org.bankturn.daemon.publication.Published;
+import org.bankturn.daemon.publication.PublishedState;
 import org.bankturn.daemon.settings.Address;
 import org.bankturn.daemon.wire.NodeReply;
 import org.bankturn.daemon.wire.NodeRequest;
@@ -44,7 +44,7 @@
     private final ProcessSurroundings around;
     private final PieceSender sender;
     private final FetchTurns turns = new FetchTurns();
-    private Published published = Published.NOTHING;
+    private PublishedState published = PublishedState.NOTHING;
     private WeightsCopy copy;
 
     /** A newer version that is fetched while the copy is still to be laid beside the engine and started. */
@@ -83,7 +83,7 @@
     }
 
     /** Takes in what is published now. */
-    public void update(Published newer) {
+    public void update(PublishedState newer) {
         published = newer;
         layout().flatMap(each -> newer.weightsOf(each.model())).ifPresent(this::noteNamed);
     }
--- a/daemon/src/main/java/org/bankturn/daemon/weights/WeightsPeers.java
+++ b/daemon/src/main/java/org/bankturn/daemon/weights/WeightsPeers.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 import java.util.Optional;
-import org.bankturn.daemon.publication.Published;
+import org.bankturn.daemon.publication.PublishedState;
 import org.bankturn.daemon.settings.Address;
 import org.bankturn.registry.TargetSighting;
 import org.bankturn.service.Service;
@@ -18,7 +18,7 @@
     /** Connections of boxes that lost their power may still count at the origin beside the new ones. */
     private static final int ORIGIN_CONNECTIONS_USED_PERCENT = 40;
 
-    private final Published published;
+    private final PublishedState published;
     private final int nodePort;
 
     /**
@@ -27,11 +27,11 @@
      * @param published what is published, not null
      * @param nodePort the port at which processes of bankturn call each other, the same on every box
      */
-    static WeightsPeers of(Published published, int nodePort) {
+    static WeightsPeers of(PublishedState published, int nodePort) {
         return new WeightsPeers(published, nodePort);
     }
 
-    private WeightsPeers(Published published, int nodePort) {
+    private WeightsPeers(PublishedState published, int nodePort) {
         this.published = published;
         this.nodePort = nodePort;
     }
--- a/daemon/src/main/java/org/bankturn/daemon/weights/WeightsRelay.java
+++ b/daemon/src/main/java/org/bankturn/daemon/weights/WeightsRelay.java
@@ -11,7 +11,7 @@
 import java.util.TreeMap;
 import org.bankturn.daemon.observe.DecisionField;
 import org.bankturn.daemon.observe.DecisionKind;
-import org.bankturn.daemon.publication.Published;
+import org.bankturn.daemon.publication.PublishedState;
 import org.bankturn.daemon.settings.Address;
 import org.bankturn.daemon.wire.NodeReply;
 import org.bankturn.daemon.wire.NodeRequest;
@@ -51,7 +51,7 @@
     private final PieceSender sender;
     private final Map<String, TreeMap<Integer, WeightsCopy>> copies = new HashMap<>();
     private final Map<String, FetchTurns> turns = new HashMap<>();
-    private Published published = Published.NOTHING;
+    private PublishedState published = PublishedState.NOTHING;
 
     /**
      * What a relay must be told.
@@ -74,7 +74,7 @@
     }
 
     /** Takes in what is published now, and begins to fetch versions that were named. */
-    public void update(Published newer) {
+    public void update(PublishedState newer) {
         published = newer;
         for (NamedWeights named : newer.weights()) {
             copy(named.model(), named.version());
--- a/daemon/src/test/java/org/bankturn/daemon/gateway/CallersThatLeaveTest.java
+++ b/daemon/src/test/java/org/bankturn/daemon/gateway/CallersThatLeaveTest.java
@@ -11,7 +11,7 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
-import org.bankturn.daemon.publication.Published;
+import org.bankturn.daemon.publication.PublishedState;
 import org.bankturn.registry.TargetSighting;
 import org.bankturn.service.EngineModel;
 import org.bankturn.service.RequestKind;
@@ -144,7 +144,7 @@
         Service service = new Service("chat", "/health", 100, model, null, null, null);
         TargetSighting sighting = new TargetSighting("e", "chat", engine.address(), "north", 4, false, 1, 1);
         update(
-                new Published(
+                new PublishedState(
                         1,
                         configuration(RequestKind.IDEMPOTENT, 2, 2_000, service),
                         List.of(),
--- a/daemon/src/test/java/org/bankturn/daemon/gateway/GatewayFixture.java
+++ b/daemon/src/test/java/org/bankturn/daemon/gateway/GatewayFixture.java
@@ -21,7 +21,7 @@
 import org.bankturn.daemon.observe.DecisionLog;
 import org.bankturn.daemon.observe.LogFile;
 import org.bankturn.daemon.observe.ServingMetrics;
-import org.bankturn.daemon.publication.Published;
+import org.bankturn.daemon.publication.PublishedState;
 import org.bankturn.daemon.settings.Address;
 import org.bankturn.daemon.settings.FreeAddresses;
 import org.bankturn.daemon.weights.WeightsRelay;
@@ -152,7 +152,7 @@
             String id = "t-" + address;
             sightings.put(id, new TargetSighting(id, "chat", address, "north", 4, false, -1, 1));
         }
-        update(new Published(1, configuration, List.of(), sightings, List.of(), confirmed), clock.millis());
+        update(new PublishedState(1, configuration, List.of(), sightings, List.of(), confirmed), clock.millis());
     }
 
     static ServingConfiguration configuration(RequestKind kind, int attempts, long timeoutMillis, Service service) {
@@ -166,7 +166,7 @@
                 List.of(new Account("acme", List.of("k"), 0)));
     }
 
-    void update(Published newer, long changedSinceMillis) {
+    void update(PublishedState newer, long changedSinceMillis) {
         reactor.submit(() -> {
                     gateway.update(newer, changedSinceMillis);
                     return Promise.complete();
--- a/daemon/src/test/java/org/bankturn/daemon/gateway/GatewayStateTest.java
+++ b/daemon/src/test/java/org/bankturn/daemon/gateway/GatewayStateTest.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.concurrent.CountDownLatch;
-import org.bankturn.daemon.publication.Published;
+import org.bankturn.daemon.publication.PublishedState;
 import org.bankturn.publication.NamedWeights;
 import org.bankturn.registry.TargetSighting;
 import org.bankturn.service.RequestKind;
@@ -53,8 +53,8 @@
                 Map.of("t", new TargetSighting("t", "chat", target.address(), "north", 4, false, 1, 1));
         ServingConfiguration configuration = configuration(RequestKind.IDEMPOTENT, 1, 2_000, engines);
         List<NamedWeights> named = List.of(new NamedWeights("m", 2, 2));
-        update(new Published(1, configuration, List.of(), sightings, List.of(), false), LONG_AGO);
-        update(new Published(2, configuration, named, sightings, List.of(), true), LONG_AGO);
+        update(new PublishedState(1, configuration, List.of(), sightings, List.of(), false), LONG_AGO);
+        update(new PublishedState(2, configuration, named, sightings, List.of(), true), LONG_AGO);
         assertThat(call("GET", "a1", "")).startsWith("HTTP/1.1 200");
     }
 
--- a/daemon/src/test/java/org/bankturn/daemon/gateway/SeveralGateways.java
+++ b/daemon/src/test/java/org/bankturn/daemon/gateway/SeveralGateways.java
@@ -12,7 +12,7 @@
 import org.bankturn.daemon.observe.DecisionLog;
 import org.bankturn.daemon.observe.LogFile;
 import org.bankturn.daemon.observe.ServingMetrics;
-import org.bankturn.daemon.publication.Published;
+import org.bankturn.daemon.publication.PublishedState;
 import org.bankturn.daemon.settings.Address;
 import org.bankturn.daemon.settings.FreeAddresses;
 import org.bankturn.daemon.weights.WeightsRelay;
@@ -103,7 +103,7 @@
             String id = "t-" + target.address();
             sightings.put(id, new TargetSighting(id, "chat", target.address(), "north", 4, false, -1, 1));
         }
-        Published published = new Published(
+        PublishedState published = new PublishedState(
                 1,
                 GatewayFixture.configuration(RequestKind.IDEMPOTENT, 2, TIMEOUT_MILLIS, service),
                 List.of(),
--- a/daemon/src/test/java/org/bankturn/daemon/gateway/SilencedFixture.java
+++ b/daemon/src/test/java/org/bankturn/daemon/gateway/SilencedFixture.java
@@ -6,7 +6,7 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import org.bankturn.daemon.publication.Published;
+import org.bankturn.daemon.publication.PublishedState;
 import org.bankturn.daemon.settings.Address;
 import org.bankturn.daemon.settings.FreeAddresses;
 import org.bankturn.daemon.weights.WeightsRelay;
@@ -76,7 +76,7 @@
                     id, new TargetSighting(id, "chat", relay.address().toString(), "north", 16, false, heldVersion, 1));
         }
         update(
-                new Published(
+                new PublishedState(
                         1,
                         configuration(kind, ATTEMPTS, TIMEOUT_MILLIS, service),
                         List.of(),
--- a/daemon/src/test/java/org/bankturn/daemon/group/GroupNodeTest.java
+++ b/daemon/src/test/java/org/bankturn/daemon/group/GroupNodeTest.java
@@ -22,7 +22,7 @@
 import org.bankturn.daemon.publication.Announcer;
 import org.bankturn.daemon.publication.PublicationFollower;
 import org.bankturn.daemon.publication.PublicationListener;
-import org.bankturn.daemon.publication.Published;
+import org.bankturn.daemon.publication.PublishedState;
 import org.bankturn.daemon.settings.Address;
 import org.bankturn.daemon.settings.FreeAddresses;
 import org.bankturn.daemon.weights.WeightsRelay;
@@ -102,7 +102,7 @@
 
     @Test
     void an_acknowledged_leave_is_published_at_every_other_box() throws Exception {
-        AtomicReference<Published> seen = follow(2);
+        AtomicReference<PublishedState> seen = follow(2);
         assertThat(untilAccepted(0, "/beat/t1/ready/1", "")).isEqualTo(200);
         assertThat(untilAccepted(1, "/beat/t1/leaving/2", "")).isEqualTo(200);
         while (!seen.get().targets().containsKey("t1")
@@ -123,7 +123,7 @@
             assertThat(untilAccepted(box, "/beat/t1/ready/9/10.0.0.1:80", "")).isEqualTo(200);
         }
         assertThat(untilAccepted(1, "/beat/t3/ready/1/10.0.0.3:80", "")).isEqualTo(200);
-        AtomicReference<Published> seen = follow(2);
+        AtomicReference<PublishedState> seen = follow(2);
         while (!seen.get().targets().containsKey("t3")) {
             Thread.onSpinWait();
         }
@@ -170,7 +170,7 @@
     /** Guards against a restarted relay, which has a new name, being published only after its predecessor timed out. */
     @Test
     void a_relay_that_restarts_at_its_address_is_published_at_once() throws InterruptedException {
-        AtomicReference<Published> seen = follow(2);
+        AtomicReference<PublishedState> seen = follow(2);
         announce("relay-1", WeightsRelay.SERVICE);
         awaitPublishedTarget(seen, "relay-1");
         announce("relay-2", WeightsRelay.SERVICE);
@@ -194,7 +194,8 @@
         });
     }
 
-    private static void awaitPublishedTarget(AtomicReference<Published> seen, String name) throws InterruptedException {
+    private static void awaitPublishedTarget(AtomicReference<PublishedState> seen, String name)
+            throws InterruptedException {
         while (!seen.get().targets().containsKey(name)) {
             Thread.sleep(POLL_INTERVAL_MILLIS);
         }
@@ -202,7 +203,7 @@
 
     @Test
     void a_process_that_announces_itself_is_published_at_every_box() throws InterruptedException {
-        AtomicReference<Published> seen = follow(2);
+        AtomicReference<PublishedState> seen = follow(2);
         announce("relay-1", "relays");
         awaitPublishedTarget(seen, "relay-1");
         assertThat(seen.get().targets().get("relay-1").address()).isEqualTo("10.0.0.1:7");
@@ -265,8 +266,8 @@
     }
 
     /** Follows a box and returns the first state that it publishes. */
-    private CompletableFuture<Published> followFromStart(int box) {
-        CompletableFuture<Published> first = new CompletableFuture<>();
+    private CompletableFuture<PublishedState> followFromStart(int box) {
+        CompletableFuture<PublishedState> first = new CompletableFuture<>();
         PublicationFollower follower = follower(box, (published, changedSinceMillis) -> first.complete(published));
         running.get(box).reactor().execute(follower::start);
         return first;
@@ -286,14 +287,14 @@
         reactor.execute(follower::stop);
     }
 
-    private static long versionOfFirst(CompletableFuture<Published> first) throws Exception {
+    private static long versionOfFirst(CompletableFuture<PublishedState> first) throws Exception {
         return first.get(FIRST_PUBLICATION_SECONDS, TimeUnit.SECONDS)
                 .configuration()
                 .version();
     }
 
-    private AtomicReference<Published> follow(int box) {
-        AtomicReference<Published> seen = new AtomicReference<>(Published.NOTHING);
+    private AtomicReference<PublishedState> follow(int box) {
+        AtomicReference<PublishedState> seen = new AtomicReference<>(PublishedState.NOTHING);
         PublicationFollower follower = follower(box, (published, changedSinceMillis) -> seen.set(published));
         running.get(box).reactor().execute(follower::start);
         return seen;
--- a/daemon/src/test/java/org/bankturn/daemon/group/SilentConnectionsTest.java
+++ b/daemon/src/test/java/org/bankturn/daemon/group/SilentConnectionsTest.java
@@ -21,7 +21,7 @@
 import org.bankturn.daemon.observe.ServingMetrics;
 import org.bankturn.daemon.observe.SilentConnections;
 import org.bankturn.daemon.publication.PublicationFollower;
-import org.bankturn.daemon.publication.Published;
+import org.bankturn.daemon.publication.PublishedState;
 import org.bankturn.daemon.settings.Address;
 import org.bankturn.daemon.settings.FreeAddresses;
 import org.bankturn.daemon.wire.NodeClients;
@@ -194,7 +194,7 @@
             reactor.execute(follower::start);
         }
 
-        private void onPublished(Published published) {
+        private void onPublished(PublishedState published) {
             long newer = published.configuration() == null
                     ? 0
                     : published.configuration().version();
--- a/daemon/src/test/java/org/bankturn/daemon/publication/PublicationFollowerTest.java
+++ b/daemon/src/test/java/org/bankturn/daemon/publication/PublicationFollowerTest.java
@@ -99,7 +99,7 @@
         assertThat(confirmations.take()).isTrue();
     }
 
-    private void note(Published newer, long changedSinceMillis) {
+    private void note(PublishedState newer, long changedSinceMillis) {
         confirmations.add(newer.confirmed());
         changes.add(new Change(newer.index(), changedSinceMillis));
     }
--- a/daemon/src/test/java/org/bankturn/daemon/weights/AgentFixture.java
+++ b/daemon/src/test/java/org/bankturn/daemon/weights/AgentFixture.java
@@ -14,7 +14,7 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import org.bankturn.daemon.observe.DecisionLog;
 import org.bankturn.daemon.observe.ServingMetrics;
-import org.bankturn.daemon.publication.Published;
+import org.bankturn.daemon.publication.PublishedState;
 import org.bankturn.daemon.settings.Address;
 import org.bankturn.daemon.settings.FreeAddresses;
 import org.bankturn.daemon.wire.BackgroundThread;
@@ -75,7 +75,7 @@
         ServingConfiguration configuration =
                 ServingConfiguration.of(1, List.of(), List.of(service), ClientLimits.DEFAULT, List.of());
         reactor.submit(() -> {
-                    agent.update(new Published(1, configuration, List.of(), Map.of(), List.of(), true));
+                    agent.update(new PublishedState(1, configuration, List.of(), Map.of(), List.of(), true));
                     return Promise.complete();
                 })
                 .join();
--- a/daemon/src/test/java/org/bankturn/daemon/weights/WeightsRelayTest.java
+++ b/daemon/src/test/java/org/bankturn/daemon/weights/WeightsRelayTest.java
@@ -10,7 +10,7 @@
 import java.util.concurrent.TimeUnit;
 import org.bankturn.daemon.observe.DecisionLog;
 import org.bankturn.daemon.observe.ServingMetrics;
-import org.bankturn.daemon.publication.Published;
+import org.bankturn.daemon.publication.PublishedState;
 import org.bankturn.daemon.settings.FreeAddresses;
 import org.bankturn.daemon.wire.NodeClients;
 import org.bankturn.daemon.wire.NodeReply;
@@ -108,7 +108,7 @@
         return relay.awaitPiece(new NodeRequest.AwaitPiece(PlainWeightsDialect.MODEL, version, 0, 50));
     }
 
-    private static Published published(int pieceBytes, int version) {
+    private static PublishedState published(int pieceBytes, int version) {
         Service engines = new Service(
                 "engines",
                 "/health",
@@ -120,7 +120,7 @@
         ServingConfiguration configuration =
                 ServingConfiguration.of(1, List.of(), List.of(engines), ClientLimits.DEFAULT, List.of());
         NamedWeights named = new NamedWeights(PlainWeightsDialect.MODEL, version, version);
-        return new Published(version, configuration, List.of(named), Map.of(), List.of(), true);
+        return new PublishedState(version, configuration, List.of(named), Map.of(), List.of(), true);
     }
 
     private <T> T run(Step<T> step) {
