--- a/daemon/src/main/java/org/bankturn/daemon/gateway/Gateway.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/Gateway.java
@@ -76,7 +76,7 @@
     private final CrashWatch crashes;
     private final Set<ForwardedRequest> underWay = new LinkedHashSet<>();
     private final long startedMillis;
-    private PublishedState published = PublishedState.NOTHING;
+    private PublishedState published = PublishedState.EMPTY;
     private boolean stopping;
     private boolean takenOut;
     private long answered;
--- a/daemon/src/main/java/org/bankturn/daemon/gateway/LoadPoller.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/LoadPoller.java
@@ -46,7 +46,7 @@
     private final ServingMetrics metrics;
     private final WatchPlan plan;
     private final LoadQuestions questions;
-    private PublishedState published = PublishedState.NOTHING;
+    private PublishedState published = PublishedState.EMPTY;
     private Set<String> gatewaysHere = Set.of();
     private int busiest;
     private boolean started;
--- a/daemon/src/main/java/org/bankturn/daemon/publication/PublicationFollower.java
+++ b/daemon/src/main/java/org/bankturn/daemon/publication/PublicationFollower.java
@@ -55,7 +55,7 @@
     private final Map<Address, String> hallOf = new HashMap<>();
     private final Set<Address> members = new LinkedHashSet<>();
     private final Set<Address> tried = new LinkedHashSet<>();
-    private PublishedState published = PublishedState.NOTHING;
+    private PublishedState published = PublishedState.EMPTY;
     private Address current;
     private long movedMillis;
     private long freshMillis = Long.MIN_VALUE / 2;
--- a/daemon/src/main/java/org/bankturn/daemon/publication/PublishedState.java
+++ b/daemon/src/main/java/org/bankturn/daemon/publication/PublishedState.java
@@ -32,7 +32,7 @@
         List<Suspect> suspects,
         boolean confirmed) {
     /** Nothing is known. */
-    public static final PublishedState NOTHING = new PublishedState(0, null, List.of(), Map.of(), List.of(), false);
+    public static final PublishedState EMPTY = new PublishedState(0, null, List.of(), Map.of(), List.of(), false);
 
     /** Copies the collections. */
     public PublishedState {
--- a/daemon/src/main/java/org/bankturn/daemon/weights/WeightsAgent.java
+++ b/daemon/src/main/java/org/bankturn/daemon/weights/WeightsAgent.java
@@ -44,7 +44,7 @@
     private final ProcessSurroundings around;
     private final PieceSender sender;
     private final FetchTurns turns = new FetchTurns();
-    private PublishedState published = PublishedState.NOTHING;
+    private PublishedState published = PublishedState.EMPTY;
     private WeightsCopy copy;
 
     /** A newer version that is fetched while the copy is still to be laid beside the engine and started. */
--- a/daemon/src/main/java/org/bankturn/daemon/weights/WeightsRelay.java
+++ b/daemon/src/main/java/org/bankturn/daemon/weights/WeightsRelay.java
@@ -51,7 +51,7 @@
     private final PieceSender sender;
     private final Map<String, TreeMap<Integer, WeightsCopy>> copies = new HashMap<>();
     private final Map<String, FetchTurns> turns = new HashMap<>();
-    private PublishedState published = PublishedState.NOTHING;
+    private PublishedState published = PublishedState.EMPTY;
 
     /**
      * What a relay must be told.
--- a/daemon/src/test/java/org/bankturn/daemon/group/GroupNodeTest.java
+++ b/daemon/src/test/java/org/bankturn/daemon/group/GroupNodeTest.java
@@ -294,7 +294,7 @@
     }
 
     private AtomicReference<PublishedState> follow(int box) {
-        AtomicReference<PublishedState> seen = new AtomicReference<>(PublishedState.NOTHING);
+        AtomicReference<PublishedState> seen = new AtomicReference<>(PublishedState.EMPTY);
         PublicationFollower follower = follower(box, (published, changedSinceMillis) -> seen.set(published));
         running.get(box).reactor().execute(follower::start);
         return seen;
