--- a/core/src/main/java/org/bankturn/crash/InterruptedRequests.java
+++ b/core/src/main/java/org/bankturn/crash/InterruptedRequests.java
@@ -108,7 +108,7 @@
      *
      * @return the requests that broke off there and that were not given out before, not null
      */
-    public List<RequestFingerprint> recordEnd(String target) {
+    public List<RequestFingerprint> recordCrash(String target) {
         Runs runs = targets.get(target);
         if (runs == null) {
             return List.of();
--- a/core/src/main/java/org/bankturn/crash/KnownSuspects.java
+++ b/core/src/main/java/org/bankturn/crash/KnownSuspects.java
@@ -71,8 +71,8 @@
     }
 
     /** A target ended while the request ran there. */
-    public void recordEnd(String target, RequestFingerprint request) {
-        seenHere.recordEnd(0, request, target);
+    public void recordCrash(String target, RequestFingerprint request) {
+        seenHere.recordCrash(0, request, target);
     }
 
     /** The request ran to its end here. */
--- a/core/src/main/java/org/bankturn/crash/SuspectTable.java
+++ b/core/src/main/java/org/bankturn/crash/SuspectTable.java
@@ -77,7 +77,7 @@
     }
 
     /** Returns true if the end of a target would add to what is held against a request. */
-    public boolean wouldRecordEnd(RequestFingerprint fingerprint, String target) {
+    public boolean wouldRecordCrash(RequestFingerprint fingerprint, String target) {
         return known(fingerprint).wouldChange(target);
     }
 
@@ -90,7 +90,7 @@
      * @param fingerprint the request, not null
      * @param target the incarnation that ended, not null
      */
-    public void recordEnd(long index, RequestFingerprint fingerprint, String target) {
+    public void recordCrash(long index, RequestFingerprint fingerprint, String target) {
         Suspect known = known(fingerprint);
         if (known.wouldChange(target)) {
             put(known.withEndedTarget(target, index));
--- a/core/src/main/java/org/bankturn/publication/PublicationState.java
+++ b/core/src/main/java/org/bankturn/publication/PublicationState.java
@@ -134,7 +134,7 @@
     private boolean wouldBlameOrClear(PublicationCommand.RecordOutcomes runs) {
         boolean blames = runs.ended().stream()
                 .anyMatch(ended -> ended.underWay().stream()
-                        .anyMatch(request -> suspects.wouldRecordEnd(request, ended.target())));
+                        .anyMatch(request -> suspects.wouldRecordCrash(request, ended.target())));
         return blames
                 || runs.ranWhole().stream()
                         .anyMatch(request -> !suspects.endedTargetsOf(request).isEmpty());
@@ -142,7 +142,7 @@
 
     private void note(long entryIndex, PublicationCommand.RecordOutcomes runs) {
         for (EndedTarget ended : runs.ended()) {
-            ended.underWay().forEach(request -> suspects.recordEnd(entryIndex, request, ended.target()));
+            ended.underWay().forEach(request -> suspects.recordCrash(entryIndex, request, ended.target()));
         }
         runs.ranWhole().forEach(request -> suspects.clear(entryIndex, request));
     }
--- a/core/src/test/java/org/bankturn/crash/InterruptedRequestsTest.java
+++ b/core/src/test/java/org/bankturn/crash/InterruptedRequestsTest.java
@@ -19,24 +19,24 @@
     void requests_are_given_out_once_when_their_target_has_ended() {
         runs.recordInterruption(TARGET, ONE);
         runs.recordInterruption(TARGET, OTHER);
-        assertThat(runs.recordEnd("t1")).containsExactly(ONE, OTHER);
-        assertThat(runs.recordEnd("t1")).isEmpty();
+        assertThat(runs.recordCrash("t1")).containsExactly(ONE, OTHER);
+        assertThat(runs.recordCrash("t1")).isEmpty();
     }
 
     @Test
     void what_breaks_off_after_the_end_is_known_counts_as_well() {
         runs.recordInterruption(TARGET, ONE);
-        runs.recordEnd("t1");
+        runs.recordCrash("t1");
         runs.recordInterruption(TARGET, OTHER);
         assertThat(runs.hasEnded("t1")).isTrue();
-        assertThat(runs.recordEnd("t1")).containsExactly(OTHER);
+        assertThat(runs.recordCrash("t1")).containsExactly(OTHER);
     }
 
     @Test
     void a_request_that_ran_whole_meanwhile_is_not_given_out() {
         runs.recordInterruption(TARGET, ONE);
         runs.recordCompletion(List.of(ONE));
-        assertThat(runs.recordEnd("t1")).isEmpty();
+        assertThat(runs.recordCrash("t1")).isEmpty();
     }
 
     @Test
@@ -62,7 +62,7 @@
         clock.advance(30_001);
         assertThat(runs.isEmpty()).isTrue();
         runs.recordInterruption(target("t2", "b:1"), OTHER);
-        assertThat(runs.recordEnd("t1")).isEmpty();
+        assertThat(runs.recordCrash("t1")).isEmpty();
     }
 
     private static TargetSighting target(String id, String address) {
--- a/core/src/test/java/org/bankturn/crash/TrialSchedulerTest.java
+++ b/core/src/test/java/org/bankturn/crash/TrialSchedulerTest.java
@@ -39,7 +39,7 @@
 
     @Test
     void what_only_this_gateway_holds_against_a_request_gives_it_no_trial() {
-        ENDED.forEach(target -> suspects.recordEnd(target, REQUEST));
+        ENDED.forEach(target -> suspects.recordCrash(target, REQUEST));
         plan.update(Set.of(REQUEST), suspects);
         clock.advance(10_000_000);
         assertThat(isDue()).isFalse();
--- a/daemon/src/main/java/org/bankturn/daemon/gateway/CrashWatch.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/CrashWatch.java
@@ -242,9 +242,9 @@
     }
 
     private void ended(String target) {
-        List<RequestFingerprint> requests = interruptedRequests.recordEnd(target);
+        List<RequestFingerprint> requests = interruptedRequests.recordCrash(target);
         for (RequestFingerprint request : requests) {
-            suspects.recordEnd(target, request);
+            suspects.recordCrash(target, request);
             metrics.suspected(ServingMetrics.SUSPECT_BLAMED);
             log.line(DecisionKind.SUSPECT)
                     .with(DecisionField.EVENT, "target ended")
--- a/standins/src/main/java/org/bankturn/replay/ReplayWorld.java
+++ b/standins/src/main/java/org/bankturn/replay/ReplayWorld.java
@@ -154,7 +154,7 @@
         if (request.equals(DEADLY)) {
             endedUnderDeadly.add(incarnation);
         }
-        agree(() -> suspects.recordEnd(1, request, incarnation));
+        agree(() -> suspects.recordCrash(1, request, incarnation));
     }
 
     /** A gateway saw that a suspected request ran to its end. */
--- a/standins/src/main/java/org/bankturn/replay/ReplayedGateway.java
+++ b/standins/src/main/java/org/bankturn/replay/ReplayedGateway.java
@@ -356,7 +356,7 @@
                     return;
                 }
                 if (ended) {
-                    suspects.recordEnd(incarnation, request.call.fingerprint());
+                    suspects.recordCrash(incarnation, request.call.fingerprint());
                     world.ended(incarnation, request.call.fingerprint());
                 }
                 if (suspects.isCondemned(request.call.fingerprint())) {
