--- a/core/src/main/java/org/bankturn/registry/Evidence.java
+++ b/core/src/main/java/org/bankturn/registry/Evidence.java
@@ -1,31 +1,31 @@
 package org.bankturn.registry;
 
-/** What is known, beside the word of a start, of whether it is the one that is at its address now. */
+/** The evidence, besides its heartbeat, that an incarnation is reachable at its announced address. */
 public enum Evidence {
-    /** Only that the word came, which is all that earlier versions asked for. */
+    /** The heartbeat alone; earlier versions required no more. */
     ARRIVAL {
         @Override
-        boolean suffices(boolean doubtful) {
+        boolean permitsRecording(boolean addressConflict) {
             return true;
         }
     },
 
-    /** No other start was known at the address; if one is by the time that the word is recorded, it does not count. */
+    /** No other incarnation was known at the address; the heartbeat is discarded if one is when it is recorded. */
     UNDISPUTED {
         @Override
-        boolean suffices(boolean doubtful) {
-            return !doubtful;
+        boolean permitsRecording(boolean addressConflict) {
+            return !addressConflict;
         }
     },
 
-    /** The start itself answered at the address, or it goes on speaking. */
+    /** The incarnation answered at the address, or sent a further heartbeat. */
     SETTLED {
         @Override
-        boolean suffices(boolean doubtful) {
+        boolean permitsRecording(boolean addressConflict) {
             return true;
         }
     };
 
-    /** Returns true if a word may be recorded. */
-    abstract boolean suffices(boolean doubtful);
+    /** Returns true if a heartbeat may be recorded. */
+    abstract boolean permitsRecording(boolean addressConflict);
 }
--- a/core/src/main/java/org/bankturn/registry/HeartbeatTable.java
+++ b/core/src/main/java/org/bankturn/registry/HeartbeatTable.java
@@ -8,46 +8,46 @@
 import org.bankturn.time.Clock;
 
 /**
- * When targets were last heard from, as the leader of a control group knows it.
+ * The times of the last heartbeats of targets, kept by the leader of a control group.
  *
- * <p>It is not agreed on: a new leader starts with an empty table and gives every target the whole time again.
+ * <p>The table is not replicated. A new leader starts with an empty one and restarts the timeout of every target.
  * HeartbeatTable is mutable and not thread-safe.
  */
 public final class HeartbeatTable {
     private final Clock clock;
-    private final long silenceMillis;
+    private final long timeoutMillis;
     private final Map<String, Long> heardMillis = new HashMap<>();
 
     /**
      * Returns an empty table.
      *
-     * @param clock the time, not null
-     * @param silenceMillis how long a target may say nothing
+     * @param clock the clock, not null
+     * @param timeoutMillis the time after which a target without heartbeats is reported as silent
      */
-    public static HeartbeatTable of(Clock clock, long silenceMillis) {
-        return new HeartbeatTable(clock, silenceMillis);
+    public static HeartbeatTable of(Clock clock, long timeoutMillis) {
+        return new HeartbeatTable(clock, timeoutMillis);
     }
 
-    private HeartbeatTable(Clock clock, long silenceMillis) {
+    private HeartbeatTable(Clock clock, long timeoutMillis) {
         this.clock = clock;
-        this.silenceMillis = silenceMillis;
+        this.timeoutMillis = timeoutMillis;
     }
 
-    /** Forgets everything, as a member does that begins to lead. */
+    /** Clears the table; called when this member becomes leader. */
     public void restart() {
         heardMillis.clear();
     }
 
-    /** Notes that targets were heard from just now. */
+    /** Records a heartbeat of each target at the current time. */
     public void record(Collection<String> targets) {
         long now = clock.millis();
         targets.forEach(target -> heardMillis.put(target, now));
     }
 
     /**
-     * Returns the targets that have been silent for too long, each once.
+     * Returns the targets whose timeout has expired, and restarts their timeouts.
      *
-     * @param listed the targets that are listed; others are forgotten, not null
+     * @param listed the registered targets; all others are removed from the table, not null
      */
     public List<String> findSilent(Collection<String> listed) {
         long now = clock.millis();
@@ -55,7 +55,7 @@
         List<String> silent = new ArrayList<>();
         for (String target : listed) {
             long last = heardMillis.computeIfAbsent(target, key -> now);
-            if (now - last > silenceMillis) {
+            if (now - last > timeoutMillis) {
                 silent.add(target);
                 heardMillis.remove(target);
             }
--- a/core/src/main/java/org/bankturn/registry/TargetRecord.java
+++ b/core/src/main/java/org/bankturn/registry/TargetRecord.java
@@ -1,9 +1,9 @@
 package org.bankturn.registry;
 
 /**
- * A target as the control group knows it.
+ * A registered target.
  *
- * @param sighting what it said last, not null
- * @param changedIndex the log entry that last changed this record
+ * @param sighting the content of its last recorded heartbeat, not null
+ * @param changedIndex the index of the log entry that last changed this record
  */
 public record TargetRecord(TargetSighting sighting, long changedIndex) {}
--- a/core/src/main/java/org/bankturn/registry/TargetRegistry.java
+++ b/core/src/main/java/org/bankturn/registry/TargetRegistry.java
@@ -9,56 +9,54 @@
 import java.util.Optional;
 
 /**
- * The targets that are there, and those that lately left.
+ * The registered targets and the recently removed ones.
  *
- * <p>A target that said it is leaving never becomes ready again under the same incarnation, and one that left is never
- * listed again. A target may start again under its name: what the later start says counts, whatever the sequence, and what
- * the former said counts no more.
+ * <p>An incarnation that is draining never becomes ready again, and one that left is never registered again. A target may
+ * restart under its name; heartbeats of a later incarnation supersede those of earlier ones, whatever their sequence.
  *
- * <p>One target lives at an address. Where incarnations of different names announce the same one, nothing that they say
- * tells which is the later, and a word of the former may have been delayed by a cut; {@link Evidence} says what was found out
- * before such a word is recorded.
+ * <p>At most one target is registered per address. If incarnations with different names announce the same address, their
+ * heartbeats do not show which is the later one, since a network partition may have delayed any of them. {@link Evidence}
+ * tells what was verified before such a heartbeat is recorded.
  *
- * <p>All calls carry the index of the log entry that causes them, so that members that apply the same entries hold the same
- * registry.
+ * <p>Every change carries the index of its log entry, so that members that apply the same entries hold the same state.
  *
  * <p>TargetRegistry is mutable and not thread-safe.
  */
 public final class TargetRegistry {
-    private static final int REMEMBERED_DEPARTURES = 512;
+    private static final int MAX_DEPARTURES = 512;
 
     private final Map<String, TargetRecord> targets = new LinkedHashMap<>();
     private final Map<String, Departure> departures = new LinkedHashMap<>();
     private long forgottenUntil;
 
     /**
-     * A target that is gone.
+     * A removed incarnation.
      *
-     * @param id its incarnation, not null
-     * @param name what it called itself; null if an earlier version stored it, whose incarnations are names
-     * @param bornMillis when it started, 0 if not known
-     * @param lastSequence its newest heartbeat
-     * @param index the log entry that removed it
-     * @param byItself true if the target said so itself and may not come back
-     * @param address where it was reached; null if it was never listed, or an earlier version stored it
+     * @param id the incarnation, not null
+     * @param name the target's name; null if stored by an earlier version, where the incarnation is the name
+     * @param bornMillis the start time of the incarnation, 0 if unknown
+     * @param lastSequence the sequence of its last recorded heartbeat
+     * @param index the index of the log entry that removed it
+     * @param byItself true if the target deregistered itself and must not be registered again
+     * @param address its address; null if it was never registered, or was stored by an earlier version
      */
     public record Departure(
             String id, String name, long bornMillis, long lastSequence, long index, boolean byItself, String address) {
-        private boolean isOfLaterStartThan(TargetSighting sighting) {
+        private boolean supersedes(TargetSighting sighting) {
             return sighting.name().equals(name) && bornMillis > sighting.bornMillis();
         }
 
-        private boolean isFormerStartOf(TargetSighting sighting) {
+        private boolean isSupersededBy(TargetSighting sighting) {
             return sighting.name().equals(name) && bornMillis < sighting.bornMillis();
         }
     }
 
     /**
-     * What a registry holds, for a snapshot.
+     * The content of a registry in a snapshot.
      *
-     * @param targets the targets, not null
-     * @param departures those that lately left, not null
-     * @param forgottenUntil the newest log entry whose departures may no longer be listed
+     * @param targets the registered targets, not null
+     * @param departures the recently removed incarnations, not null
+     * @param forgottenUntil the highest log index up to which departures may have been evicted
      */
     public record Content(List<TargetRecord> targets, List<Departure> departures, long forgottenUntil) {}
 
@@ -78,68 +76,68 @@
 
     private TargetRegistry() {}
 
-    /** Returns what this registry holds, not null. */
+    /** Returns the content for a snapshot, not null. */
     public Content content() {
         return new Content(List.copyOf(targets.values()), List.copyOf(departures.values()), forgottenUntil);
     }
 
-    /** Returns the newest log entry whose departures may no longer be listed, 0 if all are. */
+    /** Returns the highest log index up to which departures may have been evicted, 0 if none were. */
     public long forgottenUntil() {
         return forgottenUntil;
     }
 
-    /** Returns the target of that incarnation, empty if it is not there. */
+    /** Returns the target with an incarnation, empty if it is not registered. */
     public Optional<TargetRecord> find(String id) {
         return Optional.ofNullable(targets.get(id));
     }
 
-    /** Returns the newest start of the target that calls itself so, empty if none is there. */
+    /** Returns the latest incarnation of the target with a name, empty if none is registered. */
     public Optional<TargetRecord> findByName(String name) {
         return targets.values().stream()
                 .filter(each -> each.sighting().name().equals(name))
                 .max(Comparator.comparingLong(each -> each.sighting().bornMillis()));
     }
 
-    /** Returns all targets, not null. */
+    /** Returns all registered targets, not null. */
     public Collection<TargetRecord> all() {
         return List.copyOf(targets.values());
     }
 
-    /** Returns true if the target has left for good. */
+    /** Returns true if the incarnation deregistered itself. */
     public boolean hasLeft(String id) {
         Departure departure = departures.get(id);
         return departure != null && departure.byItself();
     }
 
-    /** Returns true if recording the sighting, as it came, would change what is known. */
+    /** Returns true if recording the sighting without further evidence would change the registry. */
     public boolean wouldChange(TargetSighting sighting) {
         return wouldChange(sighting, Evidence.ARRIVAL);
     }
 
-    /** Returns true if recording the sighting would change what is known. */
+    /** Returns true if recording the sighting would change the registry. */
     public boolean wouldChange(TargetSighting sighting, Evidence evidence) {
         TargetRecord known = targets.get(sighting.id());
         if (known != null) {
             return sighting.sequence() > known.sighting().sequence()
-                    && !known.sighting().hasSameStateAs(stickyDraining(known, sighting));
+                    && !known.sighting().hasSameStateAs(retainDraining(known, sighting));
         }
-        if (isOfFormerStart(sighting) || !evidence.suffices(hasAddressConflict(sighting))) {
+        if (isSuperseded(sighting) || !evidence.permitsRecording(hasAddressConflict(sighting))) {
             return false;
         }
         Departure departure = departures.get(sighting.id());
         if (departure == null) {
             return true;
         }
-        boolean mayReturn = !departure.byItself() && (evidence == Evidence.SETTLED || !isSucceeded(sighting));
+        boolean mayReturn = !departure.byItself() && (evidence == Evidence.SETTLED || !isAddressTaken(sighting));
         return mayReturn && sighting.sequence() > departure.lastSequence();
     }
 
     /**
-     * Returns true if another start is, or was later, at the address of one that is not listed, so that the sighting alone
-     * does not show which of them is there now.
+     * Returns true if an unregistered incarnation announces an address at which another incarnation is registered, or was
+     * registered later, so that the sighting alone does not show which of them is reachable there.
      */
     public boolean hasAddressConflict(TargetSighting sighting) {
-        if (targets.containsKey(sighting.id()) || hasLeft(sighting.id()) || isOfFormerStart(sighting)) {
+        if (targets.containsKey(sighting.id()) || hasLeft(sighting.id()) || isSuperseded(sighting)) {
             return false;
         }
         boolean another = targets.values().stream()
@@ -150,27 +148,27 @@
         return another
                 || departures.values().stream()
                         .filter(each -> !each.id().equals(sighting.id()) && each.index() > since)
-                        .filter(each -> !each.isFormerStartOf(sighting))
+                        .filter(each -> !each.isSupersededBy(sighting))
                         .anyMatch(each -> sighting.address().equals(each.address()));
     }
 
-    /** Returns true if the target has started again since it said that. */
-    private boolean isOfFormerStart(TargetSighting sighting) {
+    /** Returns true if a later incarnation of the target is known. */
+    private boolean isSuperseded(TargetSighting sighting) {
         boolean present =
                 targets.values().stream().anyMatch(each -> each.sighting().isLaterStartOf(sighting));
-        return present || departures.values().stream().anyMatch(each -> each.isOfLaterStartThan(sighting));
+        return present || departures.values().stream().anyMatch(each -> each.supersedes(sighting));
     }
 
-    /** Returns true if another incarnation lives at the address; a heartbeat that a cut delayed must not displace it. */
-    private boolean isSucceeded(TargetSighting departed) {
+    /** Returns true if another incarnation is registered at the address; a delayed heartbeat must not displace it. */
+    private boolean isAddressTaken(TargetSighting departed) {
         return targets.values().stream()
                 .anyMatch(each -> each.sighting().address().equals(departed.address()));
     }
 
     /**
-     * Takes in a sighting as it came.
+     * Records a sighting without further evidence.
      *
-     * @param index the log entry
+     * @param index the index of the log entry
      * @param sighting the sighting, not null
      */
     public void record(long index, TargetSighting sighting) {
@@ -178,11 +176,11 @@
     }
 
     /**
-     * Takes in a sighting.
+     * Records a sighting.
      *
-     * @param index the log entry
+     * @param index the index of the log entry
      * @param sighting the sighting, not null
-     * @param evidence what is known of the start beside its word, not null
+     * @param evidence the evidence besides the heartbeat, not null
      */
     public void record(long index, TargetSighting sighting, Evidence evidence) {
         if (!wouldChange(sighting, evidence)) {
@@ -199,41 +197,41 @@
         replaced.forEach(id -> remove(index, id, false));
         TargetRecord known = targets.get(sighting.id());
         departures.remove(sighting.id());
-        targets.put(sighting.id(), new TargetRecord(known == null ? sighting : stickyDraining(known, sighting), index));
+        targets.put(sighting.id(), new TargetRecord(known == null ? sighting : retainDraining(known, sighting), index));
     }
 
     /**
-     * Takes a target off the list.
+     * Removes an incarnation.
      *
-     * @param index the log entry
-     * @param id the target's incarnation, not null
-     * @param byItself true if the target said so itself
+     * @param index the index of the log entry
+     * @param id the incarnation, not null
+     * @param byItself true if the target deregistered itself
      */
     public void remove(long index, String id, boolean byItself) {
         remove(index, id, id, 0, byItself);
     }
 
     /**
-     * Takes a start of a target off the list, listed or not, and the former starts of it that still are.
+     * Removes an incarnation, whether registered or not, and all earlier incarnations of the same target.
      *
-     * @param index the log entry
-     * @param id the target's incarnation, not null
-     * @param name what it calls itself, not null
-     * @param bornMillis when it started, 0 if that is not known
-     * @param byItself true if the target said so itself
+     * @param index the index of the log entry
+     * @param id the incarnation, not null
+     * @param name the target's name, not null
+     * @param bornMillis the start time of the incarnation, 0 if unknown
+     * @param byItself true if the target deregistered itself
      */
     public void remove(long index, String id, String name, long bornMillis, boolean byItself) {
-        // a former start would stay listed, and its later words that it drains would count for nothing
+        // otherwise an earlier incarnation would stay registered, since its heartbeats are superseded
         List<String> former = targets.values().stream()
                 .map(TargetRecord::sighting)
                 .filter(each -> each.name().equals(name) && each.bornMillis() < bornMillis)
                 .map(TargetSighting::id)
                 .toList();
-        former.forEach(each -> departOne(index, each, each, 0, false));
-        departOne(index, id, name, bornMillis, byItself);
+        former.forEach(each -> removeOne(index, each, each, 0, false));
+        removeOne(index, id, name, bornMillis, byItself);
     }
 
-    private void departOne(long index, String id, String assumedName, long assumedBornMillis, boolean byItself) {
+    private void removeOne(long index, String id, String assumedName, long assumedBornMillis, boolean byItself) {
         TargetRecord known = targets.remove(id);
         long last = known == null ? 0 : known.sighting().sequence();
         departures.remove(id);
@@ -241,14 +239,14 @@
         long bornMillis = known == null ? assumedBornMillis : known.sighting().bornMillis();
         String address = known == null ? null : known.sighting().address();
         departures.put(id, new Departure(id, name, bornMillis, last, index, byItself, address));
-        if (departures.size() > REMEMBERED_DEPARTURES) {
+        if (departures.size() > MAX_DEPARTURES) {
             Departure oldest = departures.values().iterator().next();
             departures.remove(oldest.id());
             forgottenUntil = Math.max(forgottenUntil, oldest.index());
         }
     }
 
-    private static TargetSighting stickyDraining(TargetRecord known, TargetSighting sighting) {
+    private static TargetSighting retainDraining(TargetRecord known, TargetSighting sighting) {
         return known.sighting().draining() ? sighting.asDraining() : sighting;
     }
 }
--- a/core/src/main/java/org/bankturn/registry/TargetSighting.java
+++ b/core/src/main/java/org/bankturn/registry/TargetSighting.java
@@ -1,18 +1,18 @@
 package org.bankturn.registry;
 
 /**
- * What a target says of itself in a heartbeat.
+ * The content of a target's heartbeat.
  *
- * @param id the target's incarnation: each start has another one, not null
- * @param name what the target calls itself; it may start again under the same name, not null
- * @param bornMillis when it started, in Unix milliseconds by its own clock, 0 if it does not say
+ * @param id the target's incarnation, unique to each start, not null
+ * @param name the target's name, which it may keep across restarts, not null
+ * @param bornMillis its start time in Unix milliseconds by its own clock, 0 if unknown
  * @param service the service it belongs to, not null
- * @param address where it is reached, host:port, not null
- * @param dataHall the data hall it is in, not null
- * @param slots the requests it runs at once
- * @param draining true once it is about to leave
- * @param heldVersion the version of the weights that it holds whole, 0 for none, -1 if it needs none
- * @param sequence rises with each heartbeat of the incarnation
+ * @param address its address as host:port, not null
+ * @param dataHall its data hall, not null
+ * @param slots the number of requests it runs concurrently
+ * @param draining true if it is about to leave
+ * @param heldVersion the version of the weights that it holds completely, 0 for none, -1 if it needs none
+ * @param sequence the number of the heartbeat, increasing within an incarnation
  */
 public record TargetSighting(
         String id,
@@ -25,14 +25,14 @@
         boolean draining,
         int heldVersion,
         long sequence) {
-    private static final String BORN = "@";
+    private static final String START_TIME_SEPARATOR = "@";
 
-    /** Takes what an earlier version stored, which knew no names, for targets whose incarnation is their name. */
+    /** Uses the incarnation as the name of sightings that an earlier version stored without names. */
     public TargetSighting {
         name = name == null ? id : name;
     }
 
-    /** Returns the sighting of a target whose name is another one at each start. */
+    /** Creates the sighting of a target whose name is unique to each start. */
     public TargetSighting(
             String id,
             String service,
@@ -45,17 +45,17 @@
         this(id, id, 0, service, address, dataHall, slots, draining, heldVersion, sequence);
     }
 
-    /** Returns the incarnation of a target that calls itself so and was born then, not null. */
+    /** Returns the incarnation of a target with the given name and start time, not null. */
     public static String incarnation(String name, long bornMillis) {
-        return bornMillis == 0 ? name : name + BORN + bornMillis;
+        return bornMillis == 0 ? name : name + START_TIME_SEPARATOR + bornMillis;
     }
 
-    /** Returns true if this is a later start of the target that {@code other} was a start of. */
+    /** Returns true if this is a later incarnation of the same target as {@code other}. */
     public boolean isLaterStartOf(TargetSighting other) {
         return name.equals(other.name) && bornMillis > other.bornMillis;
     }
 
-    /** Returns true if a target that said this before says nothing new with {@code other}, times and counts apart. */
+    /** Returns true if {@code other} is equal to this sighting, apart from name, start time and sequence. */
     public boolean hasSameStateAs(TargetSighting other) {
         return id.equals(other.id)
                 && service.equals(other.service)
@@ -66,7 +66,7 @@
                 && heldVersion == other.heldVersion;
     }
 
-    /** Returns this sighting as that of a leaving target. */
+    /** Returns a copy of this sighting that is draining. */
     public TargetSighting asDraining() {
         return new TargetSighting(id, name, bornMillis, service, address, dataHall, slots, true, heldVersion, sequence);
     }
--- a/core/src/main/java/org/bankturn/registry/package-info.java
+++ b/core/src/main/java/org/bankturn/registry/package-info.java
@@ -1,2 +1,2 @@
-/** The targets that announced themselves: what they said last, kept by the control group. */
+/** The registry of targets that the control group replicates. */
 package org.bankturn.registry;
--- a/core/src/test/java/org/bankturn/registry/DelayedHeartbeatTest.java
+++ b/core/src/test/java/org/bankturn/registry/DelayedHeartbeatTest.java
@@ -9,9 +9,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * A cut held back a heartbeat of a target that then crashed; another one started at its address and was listed. When the
- * delayed heartbeat arrived, it took the place of the live target, whose own heartbeats were ignored until the dead one had
- * been silent for long. Once the live one had been dropped for silence, such a word listed the dead one again.
+ * Guards against a delayed heartbeat of a crashed target displacing the live target at the same address, or registering
+ * the crashed one again after the live one was removed.
  */
 class DelayedHeartbeatTest {
     private static final String ADDRESS = "10.0.0.1:80";
@@ -19,90 +18,90 @@
     private final TargetRegistry registry = TargetRegistry.empty();
 
     @Test
-    void a_delayed_word_of_a_start_that_was_never_heard_of_displaces_nobody() {
-        registry.record(1, word("later", 3), Evidence.UNDISPUTED);
-        registry.record(2, word("former", 9), Evidence.UNDISPUTED);
-        assertThat(listed()).containsExactly("later");
+    void a_delayed_heartbeat_of_an_unknown_incarnation_displaces_no_target() {
+        registry.record(1, sighting("later", 3), Evidence.UNDISPUTED);
+        registry.record(2, sighting("former", 9), Evidence.UNDISPUTED);
+        assertThat(registered()).containsExactly("later");
     }
 
     @Test
-    void a_delayed_word_lists_nobody_after_the_later_start_was_dropped_for_silence() {
-        registry.record(1, word("former", 1), Evidence.UNDISPUTED);
-        registry.record(2, word("later", 1), Evidence.SETTLED);
+    void a_delayed_heartbeat_registers_nothing_after_the_later_target_timed_out() {
+        registry.record(1, sighting("former", 1), Evidence.UNDISPUTED);
+        registry.record(2, sighting("later", 1), Evidence.SETTLED);
         registry.remove(3, "later", false);
-        registry.record(4, word("former", 9), Evidence.UNDISPUTED);
-        assertThat(listed()).isEmpty();
+        registry.record(4, sighting("former", 9), Evidence.UNDISPUTED);
+        assertThat(registered()).isEmpty();
     }
 
     @Test
-    void a_delayed_word_lists_nobody_after_the_later_start_left_though_the_former_was_never_heard_of() {
-        registry.record(1, word("later", 1), Evidence.UNDISPUTED);
+    void a_delayed_heartbeat_of_an_unknown_incarnation_registers_nothing_after_the_later_target_left() {
+        registry.record(1, sighting("later", 1), Evidence.UNDISPUTED);
         registry.remove(2, "later", true);
-        registry.record(3, word("former", 9), Evidence.UNDISPUTED);
-        assertThat(listed()).isEmpty();
+        registry.record(3, sighting("former", 9), Evidence.UNDISPUTED);
+        assertThat(registered()).isEmpty();
     }
 
     @Test
-    void a_start_that_was_found_at_its_address_takes_the_place_of_the_one_that_is_listed() {
-        registry.record(1, word("former", 9), Evidence.UNDISPUTED);
-        registry.record(2, word("later", 1), Evidence.SETTLED);
-        assertThat(listed()).containsExactly("later");
+    void an_incarnation_verified_at_its_address_replaces_the_registered_one() {
+        registry.record(1, sighting("former", 9), Evidence.UNDISPUTED);
+        registry.record(2, sighting("later", 1), Evidence.SETTLED);
+        assertThat(registered()).containsExactly("later");
     }
 
     @Test
-    void a_start_that_was_wrongly_displaced_returns_once_it_was_found_at_its_address() {
-        registry.record(1, word("later", 3), Evidence.UNDISPUTED);
-        registry.record(2, word("former", 9), Evidence.SETTLED);
-        registry.record(3, word("later", 4), Evidence.SETTLED);
-        assertThat(listed()).containsExactly("later");
+    void a_wrongly_displaced_incarnation_returns_once_verified_at_its_address() {
+        registry.record(1, sighting("later", 3), Evidence.UNDISPUTED);
+        registry.record(2, sighting("former", 9), Evidence.SETTLED);
+        registry.record(3, sighting("later", 4), Evidence.SETTLED);
+        assertThat(registered()).containsExactly("later");
     }
 
     @Test
-    void a_start_that_fell_silent_returns_without_doubt_where_no_other_came_since() {
-        registry.record(1, word("former", 9), Evidence.UNDISPUTED);
-        registry.record(2, word("later", 1), Evidence.SETTLED);
+    void a_timed_out_incarnation_returns_without_a_conflict_if_no_other_followed() {
+        registry.record(1, sighting("former", 9), Evidence.UNDISPUTED);
+        registry.record(2, sighting("later", 1), Evidence.SETTLED);
         registry.remove(3, "later", false);
-        assertThat(registry.hasAddressConflict(word("later", 2))).isFalse();
-        registry.record(4, word("later", 2), Evidence.UNDISPUTED);
-        assertThat(listed()).containsExactly("later");
+        assertThat(registry.hasAddressConflict(sighting("later", 2))).isFalse();
+        registry.record(4, sighting("later", 2), Evidence.UNDISPUTED);
+        assertThat(registered()).containsExactly("later");
     }
 
     @Test
-    void a_later_start_under_the_same_name_is_told_by_its_birth() {
-        registry.record(1, born("a", 100, 9), Evidence.UNDISPUTED);
-        assertThat(registry.hasAddressConflict(born("a", 200, 1))).isFalse();
-        registry.record(2, born("a", 200, 1), Evidence.UNDISPUTED);
-        registry.record(3, born("a", 100, 10), Evidence.SETTLED);
-        assertThat(listed()).containsExactly(TargetSighting.incarnation("a", 200));
+    void a_later_incarnation_of_the_same_name_is_identified_by_its_start_time() {
+        registry.record(1, restarted("a", 100, 9), Evidence.UNDISPUTED);
+        assertThat(registry.hasAddressConflict(restarted("a", 200, 1))).isFalse();
+        registry.record(2, restarted("a", 200, 1), Evidence.UNDISPUTED);
+        registry.record(3, restarted("a", 100, 10), Evidence.SETTLED);
+        assertThat(registered()).containsExactly(TargetSighting.incarnation("a", 200));
     }
 
     @Test
-    void a_restored_registry_has_the_same_doubts() {
-        registry.record(1, word("former", 1), Evidence.UNDISPUTED);
-        registry.record(2, word("later", 1), Evidence.SETTLED);
+    void a_restored_registry_has_the_same_address_conflicts() {
+        registry.record(1, sighting("former", 1), Evidence.UNDISPUTED);
+        registry.record(2, sighting("later", 1), Evidence.SETTLED);
         registry.remove(3, "later", false);
         TargetRegistry restored = TargetRegistry.restore(registry.content());
-        assertThat(restored.hasAddressConflict(word("former", 9))).isTrue();
-        assertThat(restored.hasAddressConflict(word("unheard", 9))).isTrue();
-        assertThat(restored.hasAddressConflict(word("later", 2))).isFalse();
+        assertThat(restored.hasAddressConflict(sighting("former", 9))).isTrue();
+        assertThat(restored.hasAddressConflict(sighting("unheard", 9))).isTrue();
+        assertThat(restored.hasAddressConflict(sighting("later", 2))).isFalse();
     }
 
     @Test
-    void a_command_that_an_earlier_version_stored_is_applied_as_it_was() {
-        byte[] stored = MessagePackCodec.instance().encode(Map.of("do", "target", "sighting", word("a", 1)));
+    void a_command_stored_by_an_earlier_version_decodes_with_arrival_evidence() {
+        byte[] stored = MessagePackCodec.instance().encode(Map.of("do", "target", "sighting", sighting("a", 1)));
         PublicationCommand read = MessagePackCodec.instance().decode(stored, PublicationCommand.class);
-        assertThat(read).isEqualTo(new PublicationCommand.RecordTarget(word("a", 1), Evidence.ARRIVAL));
+        assertThat(read).isEqualTo(new PublicationCommand.RecordTarget(sighting("a", 1), Evidence.ARRIVAL));
     }
 
-    private List<String> listed() {
+    private List<String> registered() {
         return registry.all().stream().map(each -> each.sighting().id()).toList();
     }
 
-    private static TargetSighting word(String id, long sequence) {
+    private static TargetSighting sighting(String id, long sequence) {
         return new TargetSighting(id, "chat", ADDRESS, "north", 4, false, 1, sequence);
     }
 
-    private static TargetSighting born(String name, long bornMillis, long sequence) {
+    private static TargetSighting restarted(String name, long bornMillis, long sequence) {
         return new TargetSighting(
                 TargetSighting.incarnation(name, bornMillis),
                 name,
--- a/core/src/test/java/org/bankturn/registry/HeartbeatTableTest.java
+++ b/core/src/test/java/org/bankturn/registry/HeartbeatTableTest.java
@@ -11,7 +11,7 @@
     private final HeartbeatTable table = HeartbeatTable.of(clock, 100);
 
     @Test
-    void a_target_is_silent_only_after_the_whole_time() {
+    void a_target_is_silent_only_after_the_timeout() {
         table.record(List.of("a", "b"));
         clock.advance(60);
         table.record(List.of("b"));
@@ -20,7 +20,7 @@
     }
 
     @Test
-    void a_new_leader_gives_every_target_the_whole_time_again() {
+    void a_new_leader_restarts_the_timeout_of_every_target() {
         table.record(List.of("a"));
         clock.advance(90);
         table.restart();
--- a/core/src/test/java/org/bankturn/registry/TargetRegistryTest.java
+++ b/core/src/test/java/org/bankturn/registry/TargetRegistryTest.java
@@ -8,7 +8,7 @@
     private final TargetRegistry registry = TargetRegistry.empty();
 
     @Test
-    void a_target_that_said_it_is_leaving_never_becomes_ready_again() {
+    void a_draining_target_never_becomes_ready_again() {
         registry.record(1, sighting("a", "10.0.0.1:80", false, 1));
         registry.record(2, sighting("a", "10.0.0.1:80", true, 2));
         registry.record(3, sighting("a", "10.0.0.1:80", false, 3));
@@ -22,7 +22,7 @@
     }
 
     @Test
-    void a_target_that_left_is_never_listed_again() {
+    void a_target_that_left_is_never_registered_again() {
         registry.record(1, sighting("a", "10.0.0.1:80", false, 1));
         registry.remove(2, "a", true);
         registry.record(3, sighting("a", "10.0.0.1:80", false, 9));
@@ -31,7 +31,7 @@
     }
 
     @Test
-    void a_target_that_fell_silent_comes_back_with_a_newer_heartbeat_only() {
+    void a_timed_out_target_returns_only_with_a_newer_heartbeat() {
         registry.record(1, sighting("a", "10.0.0.1:80", false, 7));
         registry.remove(2, "a", false);
         assertThat(registry.wouldChange(sighting("a", "10.0.0.1:80", false, 7))).isFalse();
@@ -40,7 +40,7 @@
     }
 
     @Test
-    void another_incarnation_at_an_address_takes_the_place_of_the_former() {
+    void another_incarnation_at_an_address_replaces_the_former() {
         registry.record(1, sighting("a", "10.0.0.1:80", false, 7));
         registry.record(2, sighting("b", "10.0.0.1:80", false, 1));
         assertThat(registry.find("a")).isEmpty();
@@ -55,9 +55,9 @@
         assertThat(registry.find("b")).isPresent();
     }
 
-    /** Heartbeats that say nothing new are not recorded, so one that a cut delayed may have a number never seen here. */
+    /** Unchanged heartbeats are not recorded, so a delayed one may have a higher sequence than the recorded one. */
     @Test
-    void a_delayed_heartbeat_of_an_incarnation_that_was_replaced_does_not_displace_its_successor() {
+    void a_delayed_heartbeat_of_a_replaced_incarnation_does_not_displace_its_successor() {
         registry.record(1, sighting("a", "10.0.0.1:80", false, 1));
         registry.record(2, sighting("b", "10.0.0.1:80", false, 1));
         registry.record(3, sighting("a", "10.0.0.1:80", false, 9));
@@ -66,7 +66,7 @@
     }
 
     @Test
-    void a_delayed_heartbeat_of_an_incarnation_that_fell_silent_does_not_displace_its_successor() {
+    void a_delayed_heartbeat_of_a_timed_out_incarnation_does_not_displace_its_successor() {
         registry.record(1, sighting("a", "10.0.0.1:80", false, 1));
         registry.remove(2, "a", false);
         registry.record(3, sighting("b", "10.0.0.1:80", false, 1));
@@ -74,11 +74,11 @@
         assertThat(registry.find("b")).isPresent();
     }
 
-    /** A target that crashed was back under its name at another address; its heartbeats were numbered anew, and ignored. */
+    /** Guards against ignoring the heartbeats of a restarted target, whose sequence starts again. */
     @Test
-    void a_later_start_under_the_same_name_takes_the_place_of_the_former_whatever_its_number() {
-        registry.record(1, born("a", 100, "10.0.0.1:80", 7));
-        registry.record(2, born("a", 200, "10.0.0.2:80", 1));
+    void a_later_incarnation_of_the_same_name_replaces_the_former_whatever_its_sequence() {
+        registry.record(1, restarted("a", 100, "10.0.0.1:80", 7));
+        registry.record(2, restarted("a", 200, "10.0.0.2:80", 1));
         assertThat(registry.all()).singleElement().satisfies(record -> {
             assertThat(record.sighting().address()).isEqualTo("10.0.0.2:80");
             assertThat(record.sighting().bornMillis()).isEqualTo(200);
@@ -86,10 +86,10 @@
     }
 
     @Test
-    void a_late_word_of_a_former_start_changes_nothing_and_displaces_nobody() {
-        registry.record(1, born("a", 200, "10.0.0.2:80", 1));
+    void a_late_heartbeat_of_an_earlier_incarnation_changes_nothing() {
+        registry.record(1, restarted("a", 200, "10.0.0.2:80", 1));
         registry.record(2, sighting("b", "10.0.0.1:80", false, 1));
-        registry.record(3, born("a", 100, "10.0.0.1:80", 9));
+        registry.record(3, restarted("a", 100, "10.0.0.1:80", 9));
         assertThat(registry.find("b")).isPresent();
         assertThat(registry.findByName("a"))
                 .map(each -> each.sighting().bornMillis())
@@ -97,41 +97,41 @@
     }
 
     @Test
-    void a_late_word_of_a_former_start_changes_nothing_after_the_later_one_fell_silent() {
-        registry.record(1, born("a", 200, "10.0.0.2:80", 1));
+    void a_late_heartbeat_of_an_earlier_incarnation_changes_nothing_after_the_later_one_timed_out() {
+        registry.record(1, restarted("a", 200, "10.0.0.2:80", 1));
         registry.remove(2, TargetSighting.incarnation("a", 200), false);
-        registry.record(3, born("a", 100, "10.0.0.1:80", 9));
+        registry.record(3, restarted("a", 100, "10.0.0.1:80", 9));
         assertThat(registry.all()).isEmpty();
     }
 
     @Test
-    void leaving_holds_for_a_start_and_not_for_the_name() {
-        registry.record(1, born("a", 100, "10.0.0.1:80", 7));
+    void leaving_applies_to_an_incarnation_and_not_to_the_name() {
+        registry.record(1, restarted("a", 100, "10.0.0.1:80", 7));
         registry.remove(2, TargetSighting.incarnation("a", 100), true);
-        registry.record(3, born("a", 100, "10.0.0.1:80", 8));
+        registry.record(3, restarted("a", 100, "10.0.0.1:80", 8));
         assertThat(registry.all()).isEmpty();
-        registry.record(4, born("a", 200, "10.0.0.1:80", 1));
+        registry.record(4, restarted("a", 200, "10.0.0.1:80", 1));
         assertThat(registry.findByName("a")).isPresent();
     }
 
-    /** The specification showed it: a later start left before it was listed, and the former one drained, which nobody noted. */
+    /** Guards against an earlier incarnation staying registered when the later one leaves before it was registered. */
     @Test
-    void a_later_start_that_leaves_before_it_was_listed_takes_the_former_with_it() {
-        registry.record(1, born("a", 100, "10.0.0.1:80", 1));
+    void an_unregistered_incarnation_that_leaves_removes_earlier_incarnations() {
+        registry.record(1, restarted("a", 100, "10.0.0.1:80", 1));
         registry.remove(2, TargetSighting.incarnation("a", 200), "a", 200, true);
         assertThat(registry.all()).isEmpty();
-        assertThat(registry.wouldChange(born("a", 100, "10.0.0.1:80", 2))).isFalse();
+        assertThat(registry.wouldChange(restarted("a", 100, "10.0.0.1:80", 2))).isFalse();
     }
 
     @Test
-    void a_restored_registry_knows_former_starts() {
-        registry.record(1, born("a", 100, "10.0.0.1:80", 7));
-        registry.record(2, born("a", 200, "10.0.0.2:80", 1));
+    void a_restored_registry_rejects_earlier_incarnations() {
+        registry.record(1, restarted("a", 100, "10.0.0.1:80", 7));
+        registry.record(2, restarted("a", 200, "10.0.0.2:80", 1));
         TargetRegistry restored = TargetRegistry.restore(registry.content());
-        assertThat(restored.wouldChange(born("a", 100, "10.0.0.1:80", 9))).isFalse();
+        assertThat(restored.wouldChange(restarted("a", 100, "10.0.0.1:80", 9))).isFalse();
     }
 
-    private static TargetSighting born(String name, long bornMillis, String address, long sequence) {
+    private static TargetSighting restarted(String name, long bornMillis, String address, long sequence) {
         return new TargetSighting(
                 TargetSighting.incarnation(name, bornMillis),
                 name,
@@ -146,7 +146,7 @@
     }
 
     @Test
-    void a_restored_registry_holds_the_same() {
+    void a_restored_registry_has_equal_content() {
         registry.record(1, sighting("a", "10.0.0.1:80", false, 7));
         registry.record(2, sighting("b", "10.0.0.2:80", true, 7));
         registry.remove(3, "a", true);
