--- a/core/src/main/java/org/bankturn/crash/InterruptedRequests.java
+++ b/core/src/main/java/org/bankturn/crash/InterruptedRequests.java
@@ -78,7 +78,7 @@
     }
 
     /** Returns true if the target is known to have ended. */
-    public boolean hasEnded(String target) {
+    public boolean hasCrashed(String target) {
         Runs runs = targets.get(target);
         return runs != null && runs.ended;
     }
--- a/core/src/test/java/org/bankturn/crash/InterruptedRequestsTest.java
+++ b/core/src/test/java/org/bankturn/crash/InterruptedRequestsTest.java
@@ -28,7 +28,7 @@
         runs.recordInterruption(TARGET, ONE);
         runs.recordCrash("t1");
         runs.recordInterruption(TARGET, OTHER);
-        assertThat(runs.hasEnded("t1")).isTrue();
+        assertThat(runs.hasCrashed("t1")).isTrue();
         assertThat(runs.recordCrash("t1")).containsExactly(OTHER);
     }
 
--- a/daemon/src/main/java/org/bankturn/daemon/gateway/CrashWatch.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/CrashWatch.java
@@ -175,7 +175,7 @@
             return Promise.complete();
         }
         interruptedRequests.recordInterruption(target, request.fingerprint());
-        if (interruptedRequests.hasEnded(target.id())) {
+        if (interruptedRequests.hasCrashed(target.id())) {
             ended(target.id());
             return Promise.complete();
         }
