--- a/core/src/main/java/org/bankturn/crash/EndedTarget.java
+++ b/core/src/main/java/org/bankturn/crash/EndedTarget.java
@@ -3,10 +3,10 @@
 import java.util.List;
 
 /**
- * A target that ended, and the requests of one gateway that broke off there as it did. One of them may be to blame.
+ * A target that crashed, with the requests of one gateway that were in flight there. One of them may be the cause.
  *
- * @param target its incarnation, not null
- * @param underWay the requests, not null
+ * @param target the incarnation, not null
+ * @param underWay the requests in flight, not null
  */
 public record EndedTarget(String target, List<RequestFingerprint> underWay) {
     /** Copies the requests. */
--- a/core/src/main/java/org/bankturn/crash/InterruptedRequests.java
+++ b/core/src/main/java/org/bankturn/crash/InterruptedRequests.java
@@ -11,36 +11,36 @@
 import org.bankturn.time.Clock;
 
 /**
- * What broke off at which target, as one gateway saw it, until it is known whether the target ended.
+ * The requests interrupted at each target, as one gateway observed them, until it is known whether the target crashed.
  *
- * <p>A broken answer is not an ended target: connections are reset and answers cut by targets that live on. So what broke
- * off is held against nobody until the target's address refuses connections or another incarnation has it. InterruptedRequests is
- * mutable and not thread-safe.
+ * <p>An interrupted response does not prove a crash, since a running target may reset connections and truncate
+ * responses. Interruptions count against a request only once the target's address refuses connections or another
+ * incarnation has it. InterruptedRequests is mutable and not thread-safe.
  */
 public final class InterruptedRequests {
-    /** Another incarnation is there some seconds after a crash; a target that is silent is taken off within about ten. */
-    private static final long REMEMBERED_MILLIS = 30_000;
+    /** Exceeds the time for a restart after a crash and the timeout of a target without heartbeats. */
+    private static final long RETENTION_MILLIS = 30_000;
 
-    /** Requests remembered of one target: more than a gateway has under way there at its busiest. */
-    private static final int MOST_RUNS = 64;
+    /** The maximum number of requests kept per target; exceeds the number that one gateway has in flight there. */
+    private static final int MAX_REQUESTS_PER_TARGET = 64;
 
     private final Clock clock;
-    private final Map<String, Runs> targets = new LinkedHashMap<>();
+    private final Map<String, Interruptions> targets = new LinkedHashMap<>();
 
-    private static final class Runs {
+    private static final class Interruptions {
         private final Set<RequestFingerprint> requests = new LinkedHashSet<>();
         private final TargetSighting target;
-        private final long brokeOffMillis;
-        private boolean ended;
-        private boolean livesOn;
+        private final long firstMillis;
+        private boolean crashed;
+        private boolean alive;
 
-        Runs(TargetSighting target, long brokeOffMillis) {
+        Interruptions(TargetSighting target, long firstMillis) {
             this.target = target;
-            this.brokeOffMillis = brokeOffMillis;
+            this.firstMillis = firstMillis;
         }
     }
 
-    /** Returns one to which nothing happened yet, not null. */
+    /** Returns an instance without any interruption, not null. */
     public static InterruptedRequests of(Clock clock) {
         return new InterruptedRequests(clock);
     }
@@ -51,89 +51,91 @@
 
     // ---- queries
 
-    /** Returns true if nothing broke off of late. */
+    /** Returns true if there was no recent interruption. */
     public boolean isEmpty() {
-        forgetOld();
+        evictExpired();
         return targets.isEmpty();
     }
 
     /**
-     * Returns the targets at which something broke off and that another incarnation has succeeded, not null.
+     * Returns the targets with interruptions that another incarnation has replaced, not null.
      *
-     * @param present the targets that are there, not null
+     * @param present the registered targets, not null
      */
     public List<String> findReplaced(Collection<TargetSighting> present) {
         return targets.values().stream()
-                .filter(runs -> !runs.ended)
-                .map(runs -> runs.target)
-                .filter(target -> present.stream().anyMatch(each -> succeeds(each, target)))
+                .filter(interruptions -> !interruptions.crashed)
+                .map(interruptions -> interruptions.target)
+                .filter(target -> present.stream().anyMatch(each -> replaces(each, target)))
                 .map(TargetSighting::id)
                 .toList();
     }
 
-    private static boolean succeeds(TargetSighting present, TargetSighting former) {
+    private static boolean replaces(TargetSighting present, TargetSighting former) {
         boolean sameAddress =
                 present.address().equals(former.address()) && !present.id().equals(former.id());
         return sameAddress || present.isLaterStartOf(former);
     }
 
-    /** Returns true if the target is known to have ended. */
+    /** Returns true if the target is known to have crashed. */
     public boolean hasCrashed(String target) {
-        Runs runs = targets.get(target);
-        return runs != null && runs.ended;
+        Interruptions interruptions = targets.get(target);
+        return interruptions != null && interruptions.crashed;
     }
 
-    /** Returns the targets at which a request broke off and of which it is still to be seen whether they ended, not null. */
+    /** Returns the targets that interrupted a request and of which neither a crash nor survival is known, not null. */
     public List<String> findUndecided(RequestFingerprint request) {
         return targets.values().stream()
-                .filter(runs -> !runs.ended && !runs.livesOn && runs.requests.contains(request))
-                .map(runs -> runs.target.id())
+                .filter(interruptions ->
+                        !interruptions.crashed && !interruptions.alive && interruptions.requests.contains(request))
+                .map(interruptions -> interruptions.target.id())
                 .toList();
     }
 
-    // ---- what happens
+    // ---- updates
 
-    /** A request broke off at a target. */
+    /** Records that a target interrupted a request. */
     public void recordInterruption(TargetSighting target, RequestFingerprint request) {
-        forgetOld();
-        Runs runs = targets.computeIfAbsent(target.id(), key -> new Runs(target, clock.millis()));
-        runs.livesOn = false;
-        if (runs.requests.size() < MOST_RUNS) {
-            runs.requests.add(request);
+        evictExpired();
+        Interruptions interruptions =
+                targets.computeIfAbsent(target.id(), key -> new Interruptions(target, clock.millis()));
+        interruptions.alive = false;
+        if (interruptions.requests.size() < MAX_REQUESTS_PER_TARGET) {
+            interruptions.requests.add(request);
         }
     }
 
     /**
-     * A target has ended.
+     * Records that a target crashed.
      *
-     * @return the requests that broke off there and that were not given out before, not null
+     * @return the requests interrupted there that no earlier call returned, not null
      */
     public List<RequestFingerprint> recordCrash(String target) {
-        Runs runs = targets.get(target);
-        if (runs == null) {
+        Interruptions interruptions = targets.get(target);
+        if (interruptions == null) {
             return List.of();
         }
-        runs.ended = true;
-        List<RequestFingerprint> given = new ArrayList<>(runs.requests);
-        runs.requests.clear();
-        return given;
+        interruptions.crashed = true;
+        List<RequestFingerprint> interrupted = new ArrayList<>(interruptions.requests);
+        interruptions.requests.clear();
+        return interrupted;
     }
 
-    /** A target still takes connections some time after something broke off. */
+    /** Records that a target accepts connections some time after an interruption. */
     public void markAlive(String target) {
-        Runs runs = targets.get(target);
-        if (runs != null) {
-            runs.livesOn = true;
+        Interruptions interruptions = targets.get(target);
+        if (interruptions != null) {
+            interruptions.alive = true;
         }
     }
 
-    /** Requests ran to their end, so what broke off before is not held against them. */
+    /** Records that requests completed; their earlier interruptions no longer count. */
     public void recordCompletion(Collection<RequestFingerprint> requests) {
-        targets.values().forEach(runs -> runs.requests.removeAll(requests));
+        targets.values().forEach(interruptions -> interruptions.requests.removeAll(requests));
     }
 
-    private void forgetOld() {
-        long oldest = clock.millis() - REMEMBERED_MILLIS;
-        targets.values().removeIf(runs -> runs.brokeOffMillis < oldest);
+    private void evictExpired() {
+        long oldest = clock.millis() - RETENTION_MILLIS;
+        targets.values().removeIf(interruptions -> interruptions.firstMillis < oldest);
     }
 }
--- a/core/src/main/java/org/bankturn/crash/KnownSuspects.java
+++ b/core/src/main/java/org/bankturn/crash/KnownSuspects.java
@@ -8,16 +8,16 @@
 import java.util.stream.Stream;
 
 /**
- * What one gateway holds against requests: what is published, and what it saw itself and the control group has not
- * published yet. A gateway that is cut off from the control group goes by both.
+ * The suspects known to one gateway: those that the control group published, and crashes that the gateway observed
+ * itself and that are not published yet. A gateway without contact to the control group uses both.
  *
  * <p>KnownSuspects is mutable and not thread-safe.
  */
 public final class KnownSuspects {
     private SuspectTable published = SuspectTable.empty();
-    private final SuspectTable seenHere = SuspectTable.empty();
+    private final SuspectTable observed = SuspectTable.empty();
 
-    /** Returns one that holds nothing against any request, not null. */
+    /** Returns an instance without suspects, not null. */
     public static KnownSuspects empty() {
         return new KnownSuspects();
     }
@@ -26,57 +26,57 @@
 
     // ---- queries
 
-    /** Returns true if nothing is held against any request, so that none need be looked up. */
+    /** Returns true if there are no suspects. */
     public boolean isEmpty() {
-        return published.isEmpty() && seenHere.isEmpty();
+        return published.isEmpty() && observed.isEmpty();
     }
 
-    /** Returns what the control group holds against a request, empty if nothing, not null. */
+    /** Returns the published suspect for a request, empty if there is none, not null. */
     public Optional<Suspect> findPublished(RequestFingerprint request) {
         return published.find(request);
     }
 
-    /** Returns the requests that must be sent to no target any more, not null. */
+    /** Returns the condemned requests, which must not be sent to any target, not null. */
     public Set<RequestFingerprint> condemned() {
-        return Stream.concat(published.content().stream(), seenHere.content().stream())
+        return Stream.concat(published.content().stream(), observed.content().stream())
                 .map(Suspect::fingerprint)
                 .filter(this::isCondemned)
                 .collect(Collectors.toSet());
     }
 
-    /** Returns the targets known to have ended under a request, each once, not null. */
+    /** Returns the distinct targets that crashed while running a request, not null. */
     public Set<String> endedTargetsOf(RequestFingerprint request) {
-        Set<String> ended = new LinkedHashSet<>(published.endedTargetsOf(request));
-        ended.addAll(seenHere.endedTargetsOf(request));
-        return ended;
+        Set<String> targets = new LinkedHashSet<>(published.endedTargetsOf(request));
+        targets.addAll(observed.endedTargetsOf(request));
+        return targets;
     }
 
-    /** Returns true if the request must be sent to no target any more. */
+    /** Returns true if the request must not be sent to any target. */
     public boolean isCondemned(RequestFingerprint request) {
         return endedTargetsOf(request).size() >= Suspect.CONDEMNATION_THRESHOLD;
     }
 
-    // ---- what is learned
+    // ---- updates
 
-    /** Takes in all that is published; what was cleared there is cleared here. */
+    /** Replaces the published suspects and drops observations that they include or that were cleared. */
     public void published(List<Suspect> suspects) {
         published = SuspectTable.restore(
                 suspects.stream().filter(each -> !each.endedTargets().isEmpty()).toList());
         for (Suspect each : suspects) {
-            boolean covers = each.endedTargets().containsAll(seenHere.endedTargetsOf(each.fingerprint()));
+            boolean covers = each.endedTargets().containsAll(observed.endedTargetsOf(each.fingerprint()));
             if (each.endedTargets().isEmpty() || covers) {
-                seenHere.remove(each.fingerprint());
+                observed.remove(each.fingerprint());
             }
         }
     }
 
-    /** A target ended while the request ran there. */
+    /** Records that a target crashed while running a request. */
     public void recordCrash(String target, RequestFingerprint request) {
-        seenHere.recordCrash(0, request, target);
+        observed.recordCrash(0, request, target);
     }
 
-    /** The request ran to its end here. */
+    /** Records that a request completed at this gateway. */
     public void recordCompletion(RequestFingerprint request) {
-        seenHere.remove(request);
+        observed.remove(request);
     }
 }
--- a/core/src/main/java/org/bankturn/crash/RequestFingerprint.java
+++ b/core/src/main/java/org/bankturn/crash/RequestFingerprint.java
@@ -6,12 +6,12 @@
 import java.security.NoSuchAlgorithmException;
 
 /**
- * Tells whether two requests are the same one that came again: same path, caller and body, whatever their ids.
+ * Identifies repetitions of a request: requests with the same path, caller and body have the same fingerprint.
  *
- * <p>It is the first half of a SHA-256 digest, so that nobody can make one request pass for another. RequestFingerprint is
- * immutable and thread-safe.
+ * <p>The fingerprint is the first half of a SHA-256 digest, so that collisions cannot be constructed.
+ * RequestFingerprint is immutable and thread-safe.
  *
- * @param high the first eight bytes
+ * @param high the first eight bytes of the digest
  * @param low the next eight bytes
  */
 public record RequestFingerprint(long high, long low) {
@@ -22,9 +22,9 @@
     /**
      * Returns the fingerprint of a request, not null.
      *
-     * @param path its path, without the query, not null
-     * @param caller the client account that speaks, empty if there is none, not null
-     * @param body its body, not null
+     * @param path the path without the query, not null
+     * @param caller the client account, empty if there is none, not null
+     * @param body the body, not null
      */
     public static RequestFingerprint of(String path, String caller, byte[] body) {
         MessageDigest digest = digest();
@@ -37,21 +37,21 @@
     }
 
     /**
-     * Returns the fingerprint that {@link #toString()} wrote, not null.
+     * Parses the format of {@link #toString()}, not null.
      *
      * @param text 32 hexadecimal digits, not null
-     * @throws IllegalArgumentException if the text is no fingerprint
+     * @throws IllegalArgumentException if the text is not a fingerprint
      */
     public static RequestFingerprint parse(String text) {
         if (text.length() != 2 * HEX_DIGITS) {
-            throw new IllegalArgumentException("a fingerprint has " + 2 * HEX_DIGITS + " digits: " + text);
+            throw new IllegalArgumentException("fingerprint must have " + 2 * HEX_DIGITS + " digits: " + text);
         }
         try {
             return new RequestFingerprint(
                     Long.parseUnsignedLong(text.substring(0, HEX_DIGITS), 16),
                     Long.parseUnsignedLong(text.substring(HEX_DIGITS), 16));
         } catch (NumberFormatException e) {
-            throw new IllegalArgumentException("a fingerprint is made of hexadecimal digits: " + text, e);
+            throw new IllegalArgumentException("fingerprint must be hexadecimal: " + text, e);
         }
     }
 
@@ -59,7 +59,7 @@
         try {
             return MessageDigest.getInstance(ALGORITHM);
         } catch (NoSuchAlgorithmException e) {
-            throw new IllegalStateException("every Java runtime has " + ALGORITHM, e);
+            throw new IllegalStateException(ALGORITHM + " is not available", e);
         }
     }
 
--- a/core/src/main/java/org/bankturn/crash/Suspect.java
+++ b/core/src/main/java/org/bankturn/crash/Suspect.java
@@ -4,22 +4,23 @@
 import java.util.List;
 
 /**
- * A request under which targets ended and that has not run to its end since.
+ * A request during which targets crashed and that has not completed since.
  *
- * @param fingerprint the request, not null
- * @param endedTargets the incarnations that ended under it, each once, the first few; none once it ran to its end, not null
- * @param trials how often it was sent once more after it was condemned, to see whether it is to blame
- * @param trialBy who took the last of these trials, null if nobody did
- * @param changedIndex the log entry that last changed this, 0 for what only this process knows
+ * @param fingerprint the fingerprint of the request, not null
+ * @param endedTargets the distinct incarnations that crashed, up to the threshold; empty once the request completed,
+ *     not null
+ * @param trials the number of trials, in which the condemned request was sent again to check whether it causes crashes
+ * @param trialBy the process that took the last trial, null if there was none
+ * @param changedIndex the index of the log entry that last changed this, 0 if only this process observed it
  */
 public record Suspect(
         RequestFingerprint fingerprint, List<String> endedTargets, int trials, String trialBy, long changedIndex) {
-    /** A request under which that many targets ended is sent to no further one. */
+    /** The number of crashed targets at which a request is condemned. */
     public static final int CONDEMNATION_THRESHOLD = 3;
 
     /**
-     * Bystanders that many copies of were under way when many targets ended at once are condemned as well; without a trial
-     * they would be refused for good. A request that does end its targets ends that many more.
+     * The maximum number of trials of a condemned request. Trials clear requests that were condemned without being the
+     * cause; a request that is the cause crashes that many further targets.
      */
     public static final int MAX_TRIALS = 2;
 
@@ -28,34 +29,34 @@
         endedTargets = List.copyOf(endedTargets);
     }
 
-    /** Returns a request that nothing is held against, not null. */
+    /** Returns a request without crashed targets, not null. */
     public static Suspect cleared(RequestFingerprint fingerprint, long index) {
         return new Suspect(fingerprint, List.of(), 0, null, index);
     }
 
-    /** Returns true if it must be sent to no target any more. */
+    /** Returns true if the request must not be sent to any target. */
     public boolean isCondemned() {
         return endedTargets.size() >= CONDEMNATION_THRESHOLD;
     }
 
-    /** Returns true if the end of a target would add to what is held against it. */
+    /** Returns true if recording the crash of a target would change this suspect. */
     boolean wouldChange(String target) {
         return !isCondemned() && !endedTargets.contains(target);
     }
 
-    /** Returns this request with one more target that ended under it, not null. */
+    /** Returns a copy with one more crashed target, not null. */
     Suspect withEndedTarget(String target, long index) {
         List<String> more = new ArrayList<>(endedTargets);
         more.add(target);
         return new Suspect(fingerprint, more, trials, trialBy, index);
     }
 
-    /** Returns true if a trial with that number may be taken. */
+    /** Returns true if the trial with a number, starting at 1, may be taken. */
     boolean isTrialAvailable(int number) {
         return isCondemned() && number == trials + 1 && number <= MAX_TRIALS;
     }
 
-    /** Returns this request with one more trial taken, not null. */
+    /** Returns a copy with one more trial, not null. */
     Suspect withTrial(String who, long index) {
         return new Suspect(fingerprint, endedTargets, trials + 1, who, index);
     }
--- a/core/src/main/java/org/bankturn/crash/SuspectTable.java
+++ b/core/src/main/java/org/bankturn/crash/SuspectTable.java
@@ -8,20 +8,21 @@
 import java.util.Optional;
 
 /**
- * The requests under which targets ended.
+ * The requests during which targets crashed.
  *
- * <p>Each incarnation counts once, however many gateways and copies of the request tell of its end. A request that runs to
- * its end is cleared: bystanders do so soon, at another target. What was cleared is kept without anything against it, so
- * that followers hear of it.
+ * <p>Each incarnation counts once per request, however many gateways report its crash. A request that completes is
+ * cleared, since it did not cause the crash. Cleared requests stay in the table, so that updates to followers include
+ * them.
  *
- * <p>The table is bounded. First those with the fewest ends are forgotten, of these the oldest; such a request must end as
- * many targets anew before it is condemned. SuspectTable is mutable and not thread-safe.
+ * <p>The table is bounded. Requests with the fewest crashed targets are evicted first, the least recently changed ones
+ * among them first; an evicted request starts again without crashed targets. SuspectTable is mutable and not
+ * thread-safe.
  */
 public final class SuspectTable {
-    /** As many as are under way at 64 engines of 16 places that end at the same moment; 121 KB as it is stored. */
+    /** The number of requests in flight at 64 targets with 16 slots each. */
     public static final int MAX_SUSPECTS = 1_024;
 
-    private static final Comparator<Suspect> LEAST_NEEDED = Comparator.<Suspect>comparingInt(
+    private static final Comparator<Suspect> EVICTION_ORDER = Comparator.<Suspect>comparingInt(
                     each -> each.endedTargets().size())
             .thenComparingLong(Suspect::changedIndex);
 
@@ -43,52 +44,52 @@
 
     // ---- queries
 
-    /** Returns all that it holds, those that were cleared included, not null. */
+    /** Returns all requests, including cleared ones, not null. */
     public List<Suspect> content() {
         return List.copyOf(suspects.values());
     }
 
-    /** Returns what changed after a log entry, not null. */
+    /** Returns the requests that changed after a log index, not null. */
     public List<Suspect> changedSince(long index) {
         return suspects.values().stream()
                 .filter(each -> each.changedIndex() > index)
                 .toList();
     }
 
-    /** Returns what is held against a request, empty if nothing ever was, not null. */
+    /** Returns the entry for a request, empty if there is none, not null. */
     public Optional<Suspect> find(RequestFingerprint fingerprint) {
         return Optional.ofNullable(suspects.get(fingerprint));
     }
 
-    /** Returns true if a trial with that number may be taken of a condemned request. */
+    /** Returns true if the trial of a condemned request with a number, starting at 1, may be taken. */
     public boolean isTrialAvailable(RequestFingerprint fingerprint, int number) {
         return known(fingerprint).isTrialAvailable(number);
     }
 
-    /** Returns the targets that ended under a request, none if nothing is held against it, not null. */
+    /** Returns the targets that crashed while running a request, not null. */
     public List<String> endedTargetsOf(RequestFingerprint fingerprint) {
         Suspect known = suspects.get(fingerprint);
         return known == null ? List.of() : known.endedTargets();
     }
 
-    /** Returns true if nothing is held against any request. */
+    /** Returns true if the table has no entries. */
     public boolean isEmpty() {
         return suspects.isEmpty();
     }
 
-    /** Returns true if the end of a target would add to what is held against a request. */
+    /** Returns true if recording the crash of a target would change the entry for a request. */
     public boolean wouldRecordCrash(RequestFingerprint fingerprint, String target) {
         return known(fingerprint).wouldChange(target);
     }
 
-    // ---- what is learned
+    // ---- updates
 
     /**
-     * A target ended while the request ran there.
+     * Records that a target crashed while running a request.
      *
-     * @param index the log entry that tells of it
-     * @param fingerprint the request, not null
-     * @param target the incarnation that ended, not null
+     * @param index the index of the log entry
+     * @param fingerprint the fingerprint of the request, not null
+     * @param target the incarnation that crashed, not null
      */
     public void recordCrash(long index, RequestFingerprint fingerprint, String target) {
         Suspect known = known(fingerprint);
@@ -98,12 +99,12 @@
     }
 
     /**
-     * Someone takes a trial of a condemned request: it alone may send the request once more.
+     * Grants a trial of a condemned request: only the process that takes it may send the request again.
      *
-     * @param index the log entry that tells of it
-     * @param fingerprint the request, not null
-     * @param number the number of the trial, from 1; taken by whoever asks first
-     * @param who takes it, not null
+     * @param index the index of the log entry
+     * @param fingerprint the fingerprint of the request, not null
+     * @param number the number of the trial, starting at 1; granted to the first process that asks
+     * @param who the process that takes the trial, not null
      */
     public void takeTrial(long index, RequestFingerprint fingerprint, int number, String who) {
         if (isTrialAvailable(fingerprint, number)) {
@@ -111,29 +112,29 @@
         }
     }
 
-    /** The request ran to its end, or an operator says that it may run again. */
+    /** Clears a request that completed, or that an operator allows to run again. */
     public void clear(long index, RequestFingerprint fingerprint) {
         if (!endedTargetsOf(fingerprint).isEmpty()) {
             put(Suspect.cleared(fingerprint, index));
         }
     }
 
-    /** Takes in what another table holds of one request. */
+    /** Adds or replaces the entry for a request. */
     public void put(Suspect suspect) {
         suspects.remove(suspect.fingerprint());
         if (suspects.size() >= MAX_SUSPECTS) {
-            forgetLeastNeeded();
+            evictOne();
         }
         suspects.put(suspect.fingerprint(), suspect);
     }
 
-    /** Forgets a request, whatever is held against it. */
+    /** Removes the entry for a request. */
     public void remove(RequestFingerprint fingerprint) {
         suspects.remove(fingerprint);
     }
 
-    private void forgetLeastNeeded() {
-        suspects.values().stream().min(LEAST_NEEDED).ifPresent(each -> suspects.remove(each.fingerprint()));
+    private void evictOne() {
+        suspects.values().stream().min(EVICTION_ORDER).ifPresent(each -> suspects.remove(each.fingerprint()));
     }
 
     private Suspect known(RequestFingerprint fingerprint) {
--- a/core/src/main/java/org/bankturn/crash/TrialScheduler.java
+++ b/core/src/main/java/org/bankturn/crash/TrialScheduler.java
@@ -7,24 +7,24 @@
 import org.bankturn.time.Clock;
 
 /**
- * Says when a condemned request is sent once more to see whether it does end its targets.
+ * Schedules the trials of condemned requests, which check whether a request causes the crashes.
  *
- * <p>Load pattern: many targets end at once, for a reason of their own, while copies of one request are under way at several
- * of them. The request is condemned although it ends nothing, and since it is sent no more nothing would ever clear it. The
- * first trial waits until targets that ended are back and have little to do; the second shows that the first did not break
- * off by chance. A request that does end its targets ends two more for it. TrialScheduler is mutable and not thread-safe.
+ * <p>If many targets crash at once for an unrelated reason while copies of a request are in flight at several of them,
+ * that request is condemned although it is harmless. Since it is no longer sent, only a trial can clear it. The first
+ * trial waits until the crashed targets have restarted; the second covers a first trial that was interrupted by an
+ * unrelated failure. TrialScheduler is mutable and not thread-safe.
  */
 public final class TrialScheduler {
-    /** How long what is held against a request must have stood, before the first trial and before the second. */
-    private static final long[] STANDS_MILLIS = {5_000, 60_000};
+    /** The delays after the last change of a suspect before the first and the second trial. */
+    private static final long[] TRIAL_DELAYS_MILLIS = {5_000, 60_000};
 
     private final Clock clock;
-    private final Map<RequestFingerprint, Learned> learned = new HashMap<>();
+    private final Map<RequestFingerprint, Received> received = new HashMap<>();
 
-    /** When it was learned what a log entry says of a request. */
-    private record Learned(long index, long atMillis) {}
+    /** The time at which the state of a suspect as of a log index was received. */
+    private record Received(long index, long atMillis) {}
 
-    /** Returns a plan for a gateway that knows of no condemned request, not null. */
+    /** Returns a scheduler without condemned requests, not null. */
     public static TrialScheduler of(Clock clock) {
         return new TrialScheduler(clock);
     }
@@ -33,16 +33,16 @@
         this.clock = clock;
     }
 
-    /** Takes in which requests are condemned, and what the control group holds against them. */
+    /** Updates the condemned requests from the known suspects. */
     public void update(Collection<RequestFingerprint> condemned, KnownSuspects suspects) {
         long now = clock.millis();
-        learned.keySet().retainAll(condemned);
+        received.keySet().retainAll(condemned);
         for (RequestFingerprint request : condemned) {
             long index =
                     suspects.findPublished(request).map(Suspect::changedIndex).orElse(0L);
-            Learned former = learned.get(request);
-            if (former == null || former.index() != index) {
-                learned.put(request, new Learned(index, now));
+            Received previous = received.get(request);
+            if (previous == null || previous.index() != index) {
+                received.put(request, new Received(index, now));
             }
         }
     }
@@ -50,15 +50,15 @@
     /**
      * Returns true if the next trial of a request is due.
      *
-     * @param agreed what the control group holds against it, empty if it does not condemn it, not null
+     * @param agreed the published suspect, empty if the control group has not condemned the request, not null
      */
     public boolean isDue(Optional<Suspect> agreed) {
         if (agreed.isEmpty() || !agreed.get().isTrialAvailable(agreed.get().trials() + 1)) {
             return false;
         }
-        Learned known = learned.get(agreed.get().fingerprint());
-        return known != null
-                && clock.millis() - known.atMillis()
-                        >= STANDS_MILLIS[agreed.get().trials()];
+        Received current = received.get(agreed.get().fingerprint());
+        return current != null
+                && clock.millis() - current.atMillis()
+                        >= TRIAL_DELAYS_MILLIS[agreed.get().trials()];
     }
 }
--- a/core/src/main/java/org/bankturn/crash/package-info.java
+++ b/core/src/main/java/org/bankturn/crash/package-info.java
@@ -1,2 +1,2 @@
-/** Requests that end the targets that run them ("queries of death"): how they are told from bystanders, and stopped. */
+/** Detection and blocking of requests that crash the targets running them ("queries of death"). */
 package org.bankturn.crash;
--- a/core/src/test/java/org/bankturn/crash/InterruptedRequestsTest.java
+++ b/core/src/test/java/org/bankturn/crash/InterruptedRequestsTest.java
@@ -13,56 +13,58 @@
     private static final TargetSighting TARGET = target("t1", "a:1");
 
     private final ManualClock clock = ManualClock.startingAt(1_000_000);
-    private final InterruptedRequests runs = InterruptedRequests.of(clock);
+    private final InterruptedRequests interruptedRequests = InterruptedRequests.of(clock);
 
     @Test
-    void requests_are_given_out_once_when_their_target_has_ended() {
-        runs.recordInterruption(TARGET, ONE);
-        runs.recordInterruption(TARGET, OTHER);
-        assertThat(runs.recordCrash("t1")).containsExactly(ONE, OTHER);
-        assertThat(runs.recordCrash("t1")).isEmpty();
+    void interrupted_requests_of_a_crashed_target_are_returned_once() {
+        interruptedRequests.recordInterruption(TARGET, ONE);
+        interruptedRequests.recordInterruption(TARGET, OTHER);
+        assertThat(interruptedRequests.recordCrash("t1")).containsExactly(ONE, OTHER);
+        assertThat(interruptedRequests.recordCrash("t1")).isEmpty();
     }
 
     @Test
-    void what_breaks_off_after_the_end_is_known_counts_as_well() {
-        runs.recordInterruption(TARGET, ONE);
-        runs.recordCrash("t1");
-        runs.recordInterruption(TARGET, OTHER);
-        assertThat(runs.hasCrashed("t1")).isTrue();
-        assertThat(runs.recordCrash("t1")).containsExactly(OTHER);
+    void requests_interrupted_after_the_crash_was_recorded_are_returned() {
+        interruptedRequests.recordInterruption(TARGET, ONE);
+        interruptedRequests.recordCrash("t1");
+        interruptedRequests.recordInterruption(TARGET, OTHER);
+        assertThat(interruptedRequests.hasCrashed("t1")).isTrue();
+        assertThat(interruptedRequests.recordCrash("t1")).containsExactly(OTHER);
     }
 
     @Test
-    void a_request_that_ran_whole_meanwhile_is_not_given_out() {
-        runs.recordInterruption(TARGET, ONE);
-        runs.recordCompletion(List.of(ONE));
-        assertThat(runs.recordCrash("t1")).isEmpty();
+    void a_request_that_completed_meanwhile_is_not_returned() {
+        interruptedRequests.recordInterruption(TARGET, ONE);
+        interruptedRequests.recordCompletion(List.of(ONE));
+        assertThat(interruptedRequests.recordCrash("t1")).isEmpty();
     }
 
     @Test
-    void another_incarnation_at_the_address_shows_that_the_former_one_ended() {
-        runs.recordInterruption(TARGET, ONE);
-        assertThat(runs.findReplaced(List.of(TARGET, target("t2", "b:1")))).isEmpty();
-        assertThat(runs.findReplaced(List.of(target("t2", "a:1")))).containsExactly("t1");
+    void another_incarnation_at_the_address_replaces_the_former_one() {
+        interruptedRequests.recordInterruption(TARGET, ONE);
+        assertThat(interruptedRequests.findReplaced(List.of(TARGET, target("t2", "b:1"))))
+                .isEmpty();
+        assertThat(interruptedRequests.findReplaced(List.of(target("t2", "a:1"))))
+                .containsExactly("t1");
     }
 
     @Test
-    void a_target_that_lives_on_is_no_longer_undecided_until_something_breaks_off_again() {
-        runs.recordInterruption(TARGET, ONE);
-        assertThat(runs.findUndecided(ONE)).containsExactly("t1");
-        runs.markAlive("t1");
-        assertThat(runs.findUndecided(ONE)).isEmpty();
-        runs.recordInterruption(TARGET, ONE);
-        assertThat(runs.findUndecided(ONE)).containsExactly("t1");
+    void an_alive_target_is_undecided_only_after_a_further_interruption() {
+        interruptedRequests.recordInterruption(TARGET, ONE);
+        assertThat(interruptedRequests.findUndecided(ONE)).containsExactly("t1");
+        interruptedRequests.markAlive("t1");
+        assertThat(interruptedRequests.findUndecided(ONE)).isEmpty();
+        interruptedRequests.recordInterruption(TARGET, ONE);
+        assertThat(interruptedRequests.findUndecided(ONE)).containsExactly("t1");
     }
 
     @Test
-    void what_broke_off_long_ago_is_forgotten() {
-        runs.recordInterruption(TARGET, ONE);
+    void old_interruptions_are_evicted() {
+        interruptedRequests.recordInterruption(TARGET, ONE);
         clock.advance(30_001);
-        assertThat(runs.isEmpty()).isTrue();
-        runs.recordInterruption(target("t2", "b:1"), OTHER);
-        assertThat(runs.recordCrash("t1")).isEmpty();
+        assertThat(interruptedRequests.isEmpty()).isTrue();
+        interruptedRequests.recordInterruption(target("t2", "b:1"), OTHER);
+        assertThat(interruptedRequests.recordCrash("t1")).isEmpty();
     }
 
     private static TargetSighting target(String id, String address) {
--- a/core/src/test/java/org/bankturn/crash/KnownSuspectsTest.java
+++ b/core/src/test/java/org/bankturn/crash/KnownSuspectsTest.java
@@ -6,45 +6,45 @@
 import org.junit.jupiter.api.Test;
 
 class KnownSuspectsTest {
-    private static final RequestFingerprint DEADLY = new RequestFingerprint(1, 1);
+    private static final RequestFingerprint CRASHING = new RequestFingerprint(1, 1);
 
     private final KnownSuspects suspects = KnownSuspects.empty();
 
     @Test
-    void ends_that_are_published_and_ends_seen_here_count_together_each_once() {
-        suspects.published(List.of(new Suspect(DEADLY, List.of("t1", "t2"), 0, null, 7)));
-        suspects.recordCrash("t2", DEADLY);
+    void published_and_observed_crashes_count_together_without_duplicates() {
+        suspects.published(List.of(new Suspect(CRASHING, List.of("t1", "t2"), 0, null, 7)));
+        suspects.recordCrash("t2", CRASHING);
         assertThat(suspects.condemned()).isEmpty();
-        suspects.recordCrash("t3", DEADLY);
-        assertThat(suspects.condemned()).containsExactly(DEADLY);
+        suspects.recordCrash("t3", CRASHING);
+        assertThat(suspects.condemned()).containsExactly(CRASHING);
     }
 
     @Test
-    void without_a_control_group_three_ends_seen_here_condemn() {
+    void three_observed_crashes_condemn_without_a_control_group() {
         for (String target : List.of("t1", "t2", "t3")) {
-            suspects.recordCrash(target, DEADLY);
+            suspects.recordCrash(target, CRASHING);
         }
-        assertThat(suspects.isCondemned(DEADLY)).isTrue();
+        assertThat(suspects.isCondemned(CRASHING)).isTrue();
     }
 
     @Test
-    void what_was_cleared_elsewhere_is_cleared_here() {
-        suspects.recordCrash("t1", DEADLY);
-        suspects.published(List.of(Suspect.cleared(DEADLY, 8)));
+    void a_published_clearing_removes_observed_crashes() {
+        suspects.recordCrash("t1", CRASHING);
+        suspects.published(List.of(Suspect.cleared(CRASHING, 8)));
         assertThat(suspects.isEmpty()).isTrue();
     }
 
     @Test
-    void what_another_request_is_blamed_for_changes_nothing_of_what_was_seen_here() {
-        suspects.recordCrash("t1", DEADLY);
+    void a_published_suspect_keeps_observed_crashes_of_other_requests() {
+        suspects.recordCrash("t1", CRASHING);
         suspects.published(List.of(new Suspect(new RequestFingerprint(2, 2), List.of("t9"), 0, null, 8)));
-        assertThat(suspects.endedTargetsOf(DEADLY)).containsExactly("t1");
+        assertThat(suspects.endedTargetsOf(CRASHING)).containsExactly("t1");
     }
 
     @Test
-    void a_request_that_ran_whole_here_begins_anew() {
-        suspects.recordCrash("t1", DEADLY);
-        suspects.recordCompletion(DEADLY);
+    void a_request_that_completed_here_is_cleared() {
+        suspects.recordCrash("t1", CRASHING);
+        suspects.recordCompletion(CRASHING);
         assertThat(suspects.isEmpty()).isTrue();
     }
 }
--- a/core/src/test/java/org/bankturn/crash/RequestFingerprintTest.java
+++ b/core/src/test/java/org/bankturn/crash/RequestFingerprintTest.java
@@ -23,12 +23,12 @@
     }
 
     @Test
-    void a_fingerprint_is_read_from_what_it_was_written_as() {
+    void a_fingerprint_is_parsed_from_its_string_form() {
         assertThat(RequestFingerprint.parse(FINGERPRINT.toString())).isEqualTo(FINGERPRINT);
     }
 
     @Test
-    void what_is_no_fingerprint_is_refused() {
+    void malformed_fingerprints_are_rejected() {
         assertThatThrownBy(() -> RequestFingerprint.parse("12")).isInstanceOf(IllegalArgumentException.class);
         assertThatThrownBy(() -> RequestFingerprint.parse("z".repeat(32))).isInstanceOf(IllegalArgumentException.class);
     }
--- a/core/src/test/java/org/bankturn/crash/TrialSchedulerTest.java
+++ b/core/src/test/java/org/bankturn/crash/TrialSchedulerTest.java
@@ -13,13 +13,13 @@
 
     private final ManualClock clock = ManualClock.startingAt(1_000_000);
     private final KnownSuspects suspects = KnownSuspects.empty();
-    private final TrialScheduler plan = TrialScheduler.of(clock);
+    private final TrialScheduler scheduler = TrialScheduler.of(clock);
 
     @Test
     void the_first_trial_is_due_some_seconds_after_the_request_was_condemned() {
-        learn(new Suspect(REQUEST, ENDED, 0, null, 7));
+        update(new Suspect(REQUEST, ENDED, 0, null, 7));
         clock.advance(4_999);
-        learn(new Suspect(REQUEST, ENDED, 0, null, 7));
+        update(new Suspect(REQUEST, ENDED, 0, null, 7));
         assertThat(isDue()).isFalse();
         clock.advance(1);
         assertThat(isDue()).isTrue();
@@ -27,30 +27,30 @@
 
     @Test
     void the_second_trial_is_due_a_minute_after_the_first_and_there_is_no_third() {
-        learn(new Suspect(REQUEST, ENDED, 1, "a", 8));
+        update(new Suspect(REQUEST, ENDED, 1, "a", 8));
         clock.advance(59_999);
         assertThat(isDue()).isFalse();
         clock.advance(1);
         assertThat(isDue()).isTrue();
-        learn(new Suspect(REQUEST, ENDED, 2, "b", 9));
+        update(new Suspect(REQUEST, ENDED, 2, "b", 9));
         clock.advance(10_000_000);
         assertThat(isDue()).isFalse();
     }
 
     @Test
-    void what_only_this_gateway_holds_against_a_request_gives_it_no_trial() {
+    void a_request_condemned_only_by_this_gateway_has_no_trial() {
         ENDED.forEach(target -> suspects.recordCrash(target, REQUEST));
-        plan.update(Set.of(REQUEST), suspects);
+        scheduler.update(Set.of(REQUEST), suspects);
         clock.advance(10_000_000);
         assertThat(isDue()).isFalse();
     }
 
-    private void learn(Suspect suspect) {
+    private void update(Suspect suspect) {
         suspects.published(List.of(suspect));
-        plan.update(suspects.condemned(), suspects);
+        scheduler.update(suspects.condemned(), suspects);
     }
 
     private boolean isDue() {
-        return plan.isDue(suspects.findPublished(REQUEST));
+        return scheduler.isDue(suspects.findPublished(REQUEST));
     }
 }
