--- a/core/src/main/java/org/bankturn/publication/NamedWeights.java
+++ b/core/src/main/java/org/bankturn/publication/NamedWeights.java
@@ -1,10 +1,10 @@
 package org.bankturn.publication;
 
 /**
- * A version of a model's weights that operators named.
+ * The version of a model's weights selected by operators.
  *
  * @param model the model's name, not null
- * @param version the newest named version
- * @param index the log entry that named it
+ * @param version the highest selected version
+ * @param index the index of the log entry that selected it
  */
 public record NamedWeights(String model, int version, long index) {}
--- a/core/src/main/java/org/bankturn/publication/PublicationCommand.java
+++ b/core/src/main/java/org/bankturn/publication/PublicationCommand.java
@@ -8,7 +8,7 @@
 import org.bankturn.registry.Evidence;
 import org.bankturn.registry.TargetSighting;
 
-/** A change of what is published, as it stands in the agreement log. */
+/** A command in the replicated log that changes the published state. */
 @JsonTypeInfo(use = JsonTypeInfo.Id.NAME, property = "do")
 @JsonSubTypes({
     @JsonSubTypes.Type(value = PublicationCommand.PutDocument.class, name = "put"),
@@ -20,46 +20,46 @@
     @JsonSubTypes.Type(value = PublicationCommand.Confirm.class, name = "confirm")
 })
 public sealed interface PublicationCommand {
-    /** Publishes an operators' document, deflated; the highest version wins. */
+    /** Publishes a deflated operators' document; the highest version wins. */
     record PutDocument(long version, byte[] deflated) implements PublicationCommand {}
 
-    /** Names a version of a model's weights; the highest wins. */
+    /** Selects a version of a model's weights; the highest version wins. */
     record NameWeights(String model, int version) implements PublicationCommand {}
 
     /**
-     * Records what a target said.
+     * Records a target's heartbeat.
      *
-     * @param sighting what it said, not null
-     * @param evidence what is known of its start beside that; earlier versions stored none
+     * @param sighting the content of the heartbeat, not null
+     * @param evidence the evidence for its address; commands of earlier versions have none
      */
     record RecordTarget(TargetSighting sighting, Evidence evidence) implements PublicationCommand {
-        /** Takes what an earlier version stored as it came. */
+        /** Defaults to {@link Evidence#ARRIVAL} for commands that an earlier version stored. */
         public RecordTarget {
             evidence = evidence == null ? Evidence.ARRIVAL : evidence;
         }
     }
 
     /**
-     * Takes a start of a target off the list, and its former starts with it.
+     * Removes an incarnation and all earlier incarnations of the same target.
      *
-     * @param id its incarnation, not null
-     * @param name what it calls itself; null for an incarnation that is its name
-     * @param bornMillis when it started, 0 if that is not known
-     * @param byItself true if the target said so itself
+     * @param id the incarnation, not null
+     * @param name the target's name; defaults to the incarnation if null
+     * @param bornMillis the start time of the incarnation, 0 if unknown
+     * @param byItself true if the target deregistered itself
      */
     record RemoveTarget(String id, String name, long bornMillis, boolean byItself) implements PublicationCommand {
-        /** Takes what names no target for an incarnation that is its name. */
+        /** Defaults the name to the incarnation. */
         public RemoveTarget {
             name = name == null ? id : name;
         }
 
-        /** Returns the removal of an incarnation that is listed, or that is its name. */
+        /** Creates the removal of an incarnation that is registered, or that is also the target's name. */
         public RemoveTarget(String id, boolean byItself) {
             this(id, id, 0, byItself);
         }
     }
 
-    /** Records targets that ended with what ran there, and requests that ran to their end since. */
+    /** Records crashed targets with the requests in flight there, and requests that have completed since. */
     record RecordOutcomes(List<EndedTarget> ended, List<RequestFingerprint> ranWhole) implements PublicationCommand {
         /** Copies the lists. */
         public RecordOutcomes {
@@ -68,9 +68,9 @@
         }
     }
 
-    /** Takes the trial with that number of a condemned request; the first who asks has it. */
+    /** Takes the trial of a condemned request with a number; it is granted to the first process that asks. */
     record TakeTrial(RequestFingerprint request, int number, String who) implements PublicationCommand {}
 
-    /** Changes nothing; once it is committed, whoever submitted it knows that it had seen everything before. */
+    /** Changes nothing; its commit proves to the submitter that it has applied all earlier entries. */
     record Confirm() implements PublicationCommand {}
 }
--- a/core/src/main/java/org/bankturn/publication/PublicationState.java
+++ b/core/src/main/java/org/bankturn/publication/PublicationState.java
@@ -13,7 +13,7 @@
 import org.bankturn.registry.TargetSighting;
 
 /**
- * The state that a control group keeps and publishes; members that apply the same entries hold the same state.
+ * The replicated state of a control group; members that apply the same entries hold the same state.
  *
  * <p>PublicationState is mutable and not thread-safe.
  */
@@ -35,15 +35,15 @@
             TargetRegistry.Content registry,
             List<Suspect> suspects) {}
 
-    /** Returns a state in which nothing is published, not null. */
+    /** Returns an empty state, not null. */
     public static PublicationState empty() {
         return new PublicationState();
     }
 
     /**
-     * Returns the state that a snapshot holds.
+     * Returns the state in a snapshot.
      *
-     * @param snapshot what {@link #snapshot()} gave, or no bytes for the empty state, not null
+     * @param snapshot the result of {@link #snapshot()}, or an empty array for the empty state, not null
      */
     public static PublicationState restore(byte[] snapshot) {
         PublicationState state = new PublicationState();
@@ -57,14 +57,14 @@
         state.document = content.document();
         content.weights().forEach(each -> state.weights.put(each.model(), each));
         state.registry = TargetRegistry.restore(content.registry());
-        // a snapshot of an earlier version holds none
+        // snapshots of earlier versions have no suspects
         state.suspects = SuspectTable.restore(content.suspects() == null ? List.of() : content.suspects());
         return state;
     }
 
     private PublicationState() {}
 
-    /** Returns the encoded state, not null. */
+    /** Returns a snapshot of the state, not null. */
     public byte[] snapshot() {
         return MessagePackCodec.instance()
                 .encode(new Content(
@@ -77,44 +77,44 @@
                         suspects.content()));
     }
 
-    /** Returns the last applied index that changed anything. */
+    /** Returns the index of the last log entry that changed the state. */
     public long index() {
         return index;
     }
 
-    /** Returns the version of the document in force, 0 for none. */
+    /** Returns the version of the current document, 0 for none. */
     public long documentVersion() {
         return documentVersion;
     }
 
-    /** Returns the deflated document, null if there is none. */
+    /** Returns the deflated current document, null if there is none. */
     public byte[] document() {
         return document;
     }
 
-    /** Returns the targets, not null. */
+    /** Returns the registry of targets, not null. */
     public TargetRegistry registry() {
         return registry;
     }
 
-    /** Returns the requests under which targets ended, not null. */
+    /** Returns the requests during which targets crashed, not null. */
     public List<Suspect> suspects() {
         return suspects.content();
     }
 
-    /** Returns the named weights, not null. */
+    /** Returns the selected weights, not null. */
     public List<NamedWeights> weights() {
         return List.copyOf(weights.values());
     }
 
-    /** Returns true if applying the command would change anything. */
+    /** Returns true if applying the command would change the state. */
     public boolean wouldChange(PublicationCommand command) {
         if (command instanceof PublicationCommand.PutDocument put) {
             return put.version() > documentVersion;
         }
         if (command instanceof PublicationCommand.NameWeights named) {
-            NamedWeights held = weights.get(named.model());
-            return held == null || named.version() > held.version();
+            NamedWeights current = weights.get(named.model());
+            return current == null || named.version() > current.version();
         }
         if (command instanceof PublicationCommand.RecordTarget record) {
             return registry.wouldChange(record.sighting(), record.evidence());
@@ -122,8 +122,8 @@
         if (command instanceof PublicationCommand.RemoveTarget remove) {
             return registry.find(remove.id()).isPresent() || (remove.byItself() && !registry.hasLeft(remove.id()));
         }
-        if (command instanceof PublicationCommand.RecordOutcomes runs) {
-            return wouldBlameOrClear(runs);
+        if (command instanceof PublicationCommand.RecordOutcomes outcomes) {
+            return wouldChangeSuspects(outcomes);
         }
         if (command instanceof PublicationCommand.TakeTrial trial) {
             return suspects.isTrialAvailable(trial.request(), trial.number());
@@ -131,26 +131,26 @@
         return false;
     }
 
-    private boolean wouldBlameOrClear(PublicationCommand.RecordOutcomes runs) {
-        boolean blames = runs.ended().stream()
+    private boolean wouldChangeSuspects(PublicationCommand.RecordOutcomes outcomes) {
+        boolean addsCrash = outcomes.ended().stream()
                 .anyMatch(ended -> ended.underWay().stream()
                         .anyMatch(request -> suspects.wouldRecordCrash(request, ended.target())));
-        return blames
-                || runs.ranWhole().stream()
+        return addsCrash
+                || outcomes.ranWhole().stream()
                         .anyMatch(request -> !suspects.endedTargetsOf(request).isEmpty());
     }
 
-    private void note(long entryIndex, PublicationCommand.RecordOutcomes runs) {
-        for (EndedTarget ended : runs.ended()) {
+    private void recordOutcomes(long entryIndex, PublicationCommand.RecordOutcomes outcomes) {
+        for (EndedTarget ended : outcomes.ended()) {
             ended.underWay().forEach(request -> suspects.recordCrash(entryIndex, request, ended.target()));
         }
-        runs.ranWhole().forEach(request -> suspects.clear(entryIndex, request));
+        outcomes.ranWhole().forEach(request -> suspects.clear(entryIndex, request));
     }
 
     /**
      * Applies a committed command.
      *
-     * @param entryIndex its index in the log
+     * @param entryIndex the index of its log entry
      * @param command the command, not null
      */
     public void apply(long entryIndex, PublicationCommand command) {
@@ -168,30 +168,31 @@
             registry.record(entryIndex, record.sighting(), record.evidence());
         } else if (command instanceof PublicationCommand.RemoveTarget remove) {
             registry.remove(entryIndex, remove.id(), remove.name(), remove.bornMillis(), remove.byItself());
-        } else if (command instanceof PublicationCommand.RecordOutcomes runs) {
-            note(entryIndex, runs);
+        } else if (command instanceof PublicationCommand.RecordOutcomes outcomes) {
+            recordOutcomes(entryIndex, outcomes);
         } else if (command instanceof PublicationCommand.TakeTrial trial) {
             suspects.takeTrial(entryIndex, trial.request(), trial.number(), trial.who());
         }
     }
 
     /**
-     * Returns the step from an older index to this state.
+     * Returns the update from an older index to this state.
      *
-     * @param haveIndex the index that the asker's view leads to, 0 for none
+     * @param haveIndex the index of the follower's state, 0 for none
      */
     public PublicationUpdate updateSince(long haveIndex) {
-        boolean whole = haveIndex <= registry.forgottenUntil() || haveIndex > index;
+        boolean full = haveIndex <= registry.forgottenUntil() || haveIndex > index;
         List<TargetSighting> changed = registry.all().stream()
-                .filter(each -> whole || each.changedIndex() > haveIndex)
+                .filter(each -> full || each.changedIndex() > haveIndex)
                 .map(TargetRecord::sighting)
                 .toList();
-        List<String> gone = registry.content().departures().stream()
-                .filter(each -> !whole && each.index() > haveIndex)
+        List<String> removed = registry.content().departures().stream()
+                .filter(each -> !full && each.index() > haveIndex)
                 .map(Departure::id)
                 .toList();
-        byte[] sent = whole || documentIndex > haveIndex ? document : null;
-        List<Suspect> suspected = whole ? suspects.content() : suspects.changedSince(haveIndex);
-        return new PublicationUpdate(index, documentVersion, sent, weights(), changed, gone, suspected, whole);
+        byte[] changedDocument = full || documentIndex > haveIndex ? document : null;
+        List<Suspect> changedSuspects = full ? suspects.content() : suspects.changedSince(haveIndex);
+        return new PublicationUpdate(
+                index, documentVersion, changedDocument, weights(), changed, removed, changedSuspects, full);
     }
 }
--- a/core/src/main/java/org/bankturn/publication/PublicationUpdate.java
+++ b/core/src/main/java/org/bankturn/publication/PublicationUpdate.java
@@ -5,16 +5,16 @@
 import org.bankturn.registry.TargetSighting;
 
 /**
- * The step from what an asker holds to what is published now.
+ * The difference between a follower's state and the current published state.
  *
- * @param index the log index that the update leads to
- * @param documentVersion the version of the document in force, 0 for none
- * @param document the deflated document, null if the asker's is the newest
- * @param weights the named weights, all of them
- * @param changed targets that are new or changed, not null
- * @param gone the incarnations of targets that left, not null
- * @param suspects requests under which targets ended, or that were cleared since, not null
- * @param whole true if {@code changed} and {@code suspects} list everything and all else is gone
+ * @param index the log index of the state after the update
+ * @param documentVersion the version of the current document, 0 for none
+ * @param document the deflated current document, null if the follower holds it
+ * @param weights all selected weights, not null
+ * @param changed the added or changed targets, not null
+ * @param gone the incarnations of removed targets, not null
+ * @param suspects the added, changed or cleared suspects, not null
+ * @param whole true if {@code changed} and {@code suspects} are complete and replace the follower's
  */
 public record PublicationUpdate(
         long index,
@@ -25,7 +25,7 @@
         List<String> gone,
         List<Suspect> suspects,
         boolean whole) {
-    /** Takes a sender that knows no suspects for one that has none. */
+    /** Treats missing suspects, as sent by earlier versions, as an empty list. */
     public PublicationUpdate {
         suspects = suspects == null ? List.of() : List.copyOf(suspects);
     }
--- a/core/src/main/java/org/bankturn/publication/package-info.java
+++ b/core/src/main/java/org/bankturn/publication/package-info.java
@@ -1,2 +1,2 @@
-/** What the control group publishes to all processes: the operators' document, named weights and targets. */
+/** The state that the control group publishes to all processes: operators' document, selected weights and targets. */
 package org.bankturn.publication;
--- a/core/src/test/java/org/bankturn/publication/PublicationStateTest.java
+++ b/core/src/test/java/org/bankturn/publication/PublicationStateTest.java
@@ -24,7 +24,7 @@
     }
 
     @Test
-    void other_content_under_the_held_version_changes_nothing() {
+    void other_content_under_the_current_version_changes_nothing() {
         state.apply(1, new PublicationCommand.PutDocument(7, new byte[] {7}));
         state.apply(2, new PublicationCommand.PutDocument(7, new byte[] {8}));
         assertThat(state.document()).containsExactly(7);
@@ -32,7 +32,7 @@
     }
 
     @Test
-    void an_update_carries_only_what_changed_since() {
+    void an_update_contains_only_later_changes() {
         state.apply(1, new PublicationCommand.PutDocument(1, new byte[] {1}));
         state.apply(2, new PublicationCommand.RecordTarget(sighting("a", 1), Evidence.UNDISPUTED));
         state.apply(3, new PublicationCommand.RecordTarget(sighting("b", 1), Evidence.UNDISPUTED));
@@ -45,7 +45,7 @@
     }
 
     @Test
-    void an_asker_that_knows_nothing_gets_everything() {
+    void a_follower_without_state_gets_a_full_update() {
         state.apply(1, new PublicationCommand.PutDocument(1, new byte[] {1}));
         state.apply(2, new PublicationCommand.NameWeights("m", 3));
         PublicationUpdate update = state.updateSince(0);
@@ -66,12 +66,12 @@
     }
 
     @Test
-    void ends_and_whole_runs_are_published_and_survive_a_snapshot() {
+    void crashes_and_completed_requests_are_published_and_survive_a_snapshot() {
         RequestFingerprint one = new RequestFingerprint(1, 1);
         RequestFingerprint other = new RequestFingerprint(2, 2);
         state.apply(1, new PublicationCommand.RecordTarget(sighting("a", 1), Evidence.UNDISPUTED));
-        state.apply(2, noted(List.of(new EndedTarget("t1", List.of(one, other))), List.of()));
-        state.apply(3, noted(List.of(new EndedTarget("t2", List.of(one))), List.of(other)));
+        state.apply(2, outcomes(List.of(new EndedTarget("t1", List.of(one, other))), List.of()));
+        state.apply(3, outcomes(List.of(new EndedTarget("t2", List.of(one))), List.of(other)));
         PublicationState restored = PublicationState.restore(state.snapshot());
         assertThat(restored.suspects())
                 .containsExactlyInAnyOrder(
@@ -81,20 +81,20 @@
     }
 
     @Test
-    void an_end_that_is_told_again_changes_nothing() {
-        PublicationCommand told =
-                noted(List.of(new EndedTarget("t1", List.of(new RequestFingerprint(1, 1)))), List.of());
-        state.apply(1, told);
-        assertThat(state.wouldChange(told)).isFalse();
+    void a_repeated_crash_report_changes_nothing() {
+        PublicationCommand report =
+                outcomes(List.of(new EndedTarget("t1", List.of(new RequestFingerprint(1, 1)))), List.of());
+        state.apply(1, report);
+        assertThat(state.wouldChange(report)).isFalse();
     }
 
     @Test
-    void a_snapshot_of_a_version_that_knew_no_suspects_is_read() {
-        byte[] former = MessagePackCodec.instance()
+    void a_snapshot_of_an_earlier_version_without_suspects_is_restored() {
+        byte[] snapshot = MessagePackCodec.instance()
                 .encode(new FormerContent(
                         4, 1, 1, new byte[] {1}, List.of(), new TargetRegistry.Content(List.of(), List.of(), 0)));
-        assertThat(PublicationState.restore(former).suspects()).isEmpty();
-        assertThat(PublicationState.restore(former).index()).isEqualTo(4);
+        assertThat(PublicationState.restore(snapshot).suspects()).isEmpty();
+        assertThat(PublicationState.restore(snapshot).index()).isEqualTo(4);
     }
 
     private record FormerContent(
@@ -105,12 +105,12 @@
             List<NamedWeights> weights,
             TargetRegistry.Content registry) {}
 
-    private static PublicationCommand noted(List<EndedTarget> ended, List<RequestFingerprint> ranWhole) {
+    private static PublicationCommand outcomes(List<EndedTarget> ended, List<RequestFingerprint> ranWhole) {
         return new PublicationCommand.RecordOutcomes(ended, ranWhole);
     }
 
     @Test
-    void a_state_without_anything_is_restored_from_no_bytes() {
+    void an_empty_state_is_restored_from_an_empty_snapshot() {
         assertThat(PublicationState.restore(new byte[0]).index()).isZero();
     }
 
