--- a/daemon/src/main/java/org/bankturn/daemon/publication/Announcer.java
+++ b/daemon/src/main/java/org/bankturn/daemon/publication/Announcer.java
@@ -13,14 +13,14 @@
 import org.bankturn.registry.TargetSighting;
 
 /**
- * Tells the control group again and again that a process is there, as targets do.
+ * Registers a process with the control group by periodic heartbeats, as targets do.
  *
  * <p>Announcer is confined to its reactor's thread.
  */
 public final class Announcer {
-    private static final long ANSWER_MILLIS = 600;
+    private static final long REQUEST_TIMEOUT_MILLIS = 600;
 
-    /** Control processes that have no leader yet say so at once; they are asked again soon. */
+    /** Short, since control processes without a leader reject requests immediately. */
     private static final long RETRY_MILLIS = 150;
 
     private final NioReactor reactor;
@@ -33,13 +33,13 @@
     private boolean accepted;
 
     /**
-     * Returns an announcer that does not run yet, not null.
+     * Returns an announcer that is not started yet, not null.
      *
      * @param reactor its reactor, not null
-     * @param clients asks control processes, not null
-     * @param follower knows which control process answers, not null
-     * @param sighting what to say with a sequence number, not null
-     * @param heartbeatMillis how often
+     * @param clients connects to control processes, not null
+     * @param follower supplies the current control process, not null
+     * @param sighting creates the heartbeat with a sequence number, not null
+     * @param heartbeatMillis the heartbeat interval
      * @param log the decision log, not null
      */
     public static Announcer of(
@@ -67,23 +67,23 @@
         this.log = log;
     }
 
-    /** Starts to announce. */
+    /** Starts sending heartbeats. */
     public void start() {
         announce();
     }
 
     private void announce() {
-        Optional<Address> asked = follower.controlProcess();
-        if (asked.isEmpty()) {
+        Optional<Address> controlProcess = follower.controlProcess();
+        if (controlProcess.isEmpty()) {
             announceAfter(RETRY_MILLIS);
             return;
         }
         sequence++;
         NodeRequest.Announce request = new NodeRequest.Announce(sighting.apply(sequence));
-        clients.ask(asked.get(), request, ANSWER_MILLIS).whenComplete((reply, failure) -> {
-            boolean taken = failure == null && reply instanceof NodeReply.Received;
-            note(taken, asked.get());
-            announceAfter(taken ? heartbeatMillis : RETRY_MILLIS);
+        clients.ask(controlProcess.get(), request, REQUEST_TIMEOUT_MILLIS).whenComplete((reply, failure) -> {
+            boolean acknowledged = failure == null && reply instanceof NodeReply.Received;
+            logFirstAcceptance(acknowledged, controlProcess.get());
+            announceAfter(acknowledged ? heartbeatMillis : RETRY_MILLIS);
         });
     }
 
@@ -91,13 +91,13 @@
         reactor.delayBackground(millis, this::announce);
     }
 
-    private void note(boolean taken, Address by) {
-        if (taken && !accepted) {
+    private void logFirstAcceptance(boolean acknowledged, Address by) {
+        if (acknowledged && !accepted) {
             log.line(DecisionKind.TARGET)
                     .with(DecisionField.EVENT, "announced")
                     .with(DecisionField.ADDRESS, by)
                     .write();
         }
-        accepted = taken;
+        accepted = acknowledged;
     }
 }
--- a/daemon/src/main/java/org/bankturn/daemon/publication/ChangeSubmitter.java
+++ b/daemon/src/main/java/org/bankturn/daemon/publication/ChangeSubmitter.java
@@ -15,33 +15,33 @@
 import org.bankturn.publication.PublicationCommand;
 
 /**
- * Has the control group agree on what a process saw: in order, and again and again until it is committed.
+ * Submits the changes of a process to the control group in order, retrying each until it is committed.
  *
  * <p>ChangeSubmitter is confined to its reactor's thread.
  */
 public final class ChangeSubmitter {
-    /** A control process that has lost its leader forwards nothing; the next answer is expected after an election. */
-    private static final long ANSWER_MILLIS = 1_000;
+    /** Exceeds the time of an election, during which control processes cannot forward changes. */
+    private static final long REQUEST_TIMEOUT_MILLIS = 1_000;
 
-    /** Control processes that have no leader yet say so at once; they are asked again soon. */
+    /** Short, since control processes without a leader reject requests immediately. */
     private static final long RETRY_MILLIS = 150;
 
-    /** Changes that wait while no control process answers; the oldest is dropped for a further one. */
-    private static final int MOST_WAITING = 256;
+    /** The maximum number of queued changes; if exceeded, the oldest is dropped. */
+    private static final int MAX_QUEUED_CHANGES = 256;
 
     private final NioReactor reactor;
     private final NodeClients clients;
     private final Supplier<Optional<Address>> controlProcess;
     private final DecisionLog log;
-    private final Deque<PublicationCommand> waiting = new ArrayDeque<>();
-    private boolean asking;
+    private final Deque<PublicationCommand> queue = new ArrayDeque<>();
+    private boolean sending;
 
     /**
-     * Returns a submitter that has nothing to submit, not null.
+     * Returns a submitter without queued changes, not null.
      *
      * @param reactor its reactor, not null
-     * @param clients asks control processes, not null
-     * @param controlProcess the control process that answers now, empty if none is known, not null
+     * @param clients connects to control processes, not null
+     * @param controlProcess supplies the current control process, empty if none is known, not null
      * @param log the decision log, not null
      */
     public static ChangeSubmitter of(
@@ -57,44 +57,44 @@
         this.log = log;
     }
 
-    /** Submits a change after those submitted before. */
+    /** Submits a change after all changes submitted earlier. */
     public void submit(PublicationCommand command) {
-        waiting.addLast(command);
-        if (waiting.size() > MOST_WAITING) {
-            waiting.removeFirst();
+        queue.addLast(command);
+        if (queue.size() > MAX_QUEUED_CHANGES) {
+            queue.removeFirst();
             log.line(DecisionKind.LOST)
                     .with(DecisionField.DEPENDENCY, "control")
-                    .with(DecisionField.REASON, "a change that was not submitted for long is dropped")
+                    .with(DecisionField.REASON, "queue full: oldest change dropped")
                     .write();
         }
-        if (!asking) {
-            ask();
+        if (!sending) {
+            sendNext();
         }
     }
 
-    private void ask() {
-        PublicationCommand command = waiting.peekFirst();
-        asking = command != null;
+    private void sendNext() {
+        PublicationCommand command = queue.peekFirst();
+        sending = command != null;
         if (command == null) {
             return;
         }
-        Optional<Address> asked = controlProcess.get();
-        if (asked.isEmpty()) {
-            askLater();
+        Optional<Address> address = controlProcess.get();
+        if (address.isEmpty()) {
+            retryLater();
             return;
         }
-        clients.ask(asked.get(), new NodeRequest.ProposePublication(command), ANSWER_MILLIS)
+        clients.ask(address.get(), new NodeRequest.ProposePublication(command), REQUEST_TIMEOUT_MILLIS)
                 .whenComplete((reply, failure) -> {
                     if (failure == null && reply instanceof NodeReply.Received) {
-                        waiting.remove(command);
-                        ask();
+                        queue.remove(command);
+                        sendNext();
                     } else {
-                        askLater();
+                        retryLater();
                     }
                 });
     }
 
-    private void askLater() {
-        reactor.delayBackground(RETRY_MILLIS, this::ask);
+    private void retryLater() {
+        reactor.delayBackground(RETRY_MILLIS, this::sendNext);
     }
 }
--- a/daemon/src/main/java/org/bankturn/daemon/publication/PublicationFollower.java
+++ b/daemon/src/main/java/org/bankturn/daemon/publication/PublicationFollower.java
@@ -25,23 +25,24 @@
 import org.bankturn.time.Clock;
 
 /**
- * Keeps up with what the control group publishes, by asking one control process at a time and waiting there for news.
+ * Follows the published state of the control group by long polling one control process at a time.
  *
- * <p>It prefers one in its own data hall, and moves on from one that does not answer or is not in touch with a majority.
- * What it shows never goes back. PublicationFollower is confined to its reactor's thread.
+ * <p>It prefers a control process in its own data hall, and switches to another one if the current one does not answer
+ * or has no contact to a majority. The state never moves back to an older index. PublicationFollower is confined to its
+ * reactor's thread.
  */
 public final class PublicationFollower {
-    /** How long a question waits at a control process for news; each answer confirms what is shown. */
+    /** The maximum time of a long poll at a control process; each reply confirms the current state. */
     private static final long WAIT_MILLIS = 500;
 
-    /** How much later than that the answer may be; another control process is asked then. */
-    private static final long ANSWER_MILLIS = 500;
+    /** The time beyond {@link #WAIT_MILLIS} after which a request fails and another control process is used. */
+    private static final long REPLY_TIMEOUT_MILLIS = 500;
 
-    /** The pause after all control processes were asked in vain. */
+    /** The pause after all control processes have failed. */
     private static final long PAUSE_MILLIS = 100;
 
-    /** How long one in another hall is kept before the own hall's is tried again. */
-    private static final long PREFER_OWN_HALL_MILLIS = 5_000;
+    /** The interval of attempts to return to a control process in the own data hall. */
+    private static final long OWN_HALL_RETRY_MILLIS = 5_000;
 
     private final NioReactor reactor;
     private final NodeClients clients;
@@ -52,28 +53,28 @@
     private final DecisionLog log;
     private final ServingMetrics metrics;
     private final PublicationListener listener;
-    private final Map<Address, String> hallOf = new HashMap<>();
+    private final Map<Address, String> dataHalls = new HashMap<>();
     private final Set<Address> members = new LinkedHashSet<>();
-    private final Set<Address> tried = new LinkedHashSet<>();
+    private final Set<Address> failed = new LinkedHashSet<>();
     private PublishedState published = PublishedState.EMPTY;
     private Address current;
-    private long movedMillis;
+    private long switchedMillis;
     private long freshMillis = Long.MIN_VALUE / 2;
 
-    /** When the question was asked whose answer last confirmed what is shown. */
+    /** The send time of the request whose reply last confirmed the current state. */
     private long confirmedMillis = Long.MIN_VALUE / 2;
 
     private boolean stopped;
 
     /**
-     * What a follower needs.
+     * The dependencies of a follower.
      *
-     * @param reactor its reactor, not null
-     * @param clients asks other processes, not null
-     * @param seeds the control boxes that settings name now, not null
-     * @param dataHall the data hall it is in, not null
-     * @param format reads operators' documents, not null
-     * @param clock the time, not null
+     * @param reactor the reactor, not null
+     * @param clients connects to control processes, not null
+     * @param seeds supplies the currently configured control boxes, not null
+     * @param dataHall the own data hall, not null
+     * @param format parses operators' documents, not null
+     * @param clock the clock, not null
      * @param log the decision log, not null
      * @param metrics the metrics, not null
      */
@@ -87,7 +88,7 @@
             DecisionLog log,
             ServingMetrics metrics) {}
 
-    /** Returns a follower that tells {@code listener} of each change; it does not run yet. */
+    /** Returns a follower that is not started yet and notifies a listener of each change, not null. */
     public static PublicationFollower of(Wiring wiring, PublicationListener listener) {
         return new PublicationFollower(wiring, listener);
     }
@@ -104,9 +105,9 @@
         this.listener = listener;
     }
 
-    /** Starts to follow. */
+    /** Starts following. */
     public void start() {
-        ask();
+        poll();
     }
 
     /** Stops following. */
@@ -114,73 +115,73 @@
         stopped = true;
     }
 
-    /** Returns what is published, as far as known, not null. */
+    /** Returns the latest known published state, not null. */
     public PublishedState published() {
         return published;
     }
 
-    /** Returns when a control process in touch with a majority last answered. */
+    /** Returns the time of the last reply of a control process with contact to a majority. */
     public long freshMillis() {
         return freshMillis;
     }
 
-    /** Returns the control process that is asked now, empty if none is known. */
+    /** Returns the current control process, empty if none is known. */
     public Optional<Address> controlProcess() {
         return Optional.ofNullable(current);
     }
 
-    private void ask() {
+    private void poll() {
         if (stopped) {
             return;
         }
         if (current == null) {
-            current = next();
+            current = nextCandidate();
         }
-        Address asked = current;
-        if (asked == null) {
-            askLater();
+        Address polled = current;
+        if (polled == null) {
+            pollLater();
             return;
         }
-        long askedMillis = clock.millis();
+        long sentMillis = clock.millis();
         clients.ask(
-                        asked,
+                        polled,
                         new NodeRequest.WatchPublication(published.index(), WAIT_MILLIS),
-                        WAIT_MILLIS + ANSWER_MILLIS)
+                        WAIT_MILLIS + REPLY_TIMEOUT_MILLIS)
                 .whenComplete((reply, failure) -> {
                     if (failure == null && reply instanceof NodeReply.Watched watched) {
-                        took(asked, watched, askedMillis);
+                        onReply(polled, watched, sentMillis);
                     } else {
-                        lost(asked, failure == null ? "no answer to the question" : failure.toString());
+                        onFailure(polled, failure == null ? "unexpected reply" : failure.toString());
                     }
                 });
     }
 
-    private void took(Address from, NodeReply.Watched watched, long askedMillis) {
-        hallOf.put(from, watched.dataHall());
+    private void onReply(Address from, NodeReply.Watched watched, long sentMillis) {
+        dataHalls.put(from, watched.dataHall());
         if (!watched.members().isEmpty()) {
             members.clear();
             watched.members().forEach(text -> members.add(Address.parse(text)));
         }
         boolean newer = watched.update() != null && watched.update().index() > published.index();
-        PublishedState before = watched.fresh() ? published.confirm() : published;
+        PublishedState base = watched.fresh() ? published.confirm() : published;
         if (newer) {
-            apply(before, watched.update(), from, watched.waited() ? askedMillis : confirmedMillis);
-        } else if (before.confirmed() && !published.confirmed()) {
-            show(before, from, confirmedMillis);
+            apply(base, watched.update(), from, watched.waited() ? sentMillis : confirmedMillis);
+        } else if (base.confirmed() && !published.confirmed()) {
+            publish(base, from, confirmedMillis);
         }
         if (!watched.fresh()) {
-            lost(from, "not in touch with a majority");
+            onFailure(from, "no contact to a majority");
             return;
         }
-        tried.clear();
-        confirmedMillis = askedMillis;
+        failed.clear();
+        confirmedMillis = sentMillis;
         freshMillis = clock.millis();
         preferOwnHall();
-        ask();
+        poll();
     }
 
-    private void apply(PublishedState before, PublicationUpdate update, Address from, long changedSinceMillis) {
-        ServingConfiguration configuration = before.configuration();
+    private void apply(PublishedState base, PublicationUpdate update, Address from, long changedSinceMillis) {
+        ServingConfiguration configuration = base.configuration();
         if (update.document() != null
                 && (configuration == null || update.documentVersion() > configuration.version())) {
             try {
@@ -193,10 +194,10 @@
                 return;
             }
         }
-        show(before.after(update, configuration), from, changedSinceMillis);
+        publish(base.after(update, configuration), from, changedSinceMillis);
     }
 
-    private void show(PublishedState newer, Address from, long changedSinceMillis) {
+    private void publish(PublishedState newer, Address from, long changedSinceMillis) {
         published = newer;
         ServingConfiguration configuration = newer.configuration();
         long version = configuration == null ? 0 : configuration.version();
@@ -211,40 +212,40 @@
         listener.published(published, changedSinceMillis);
     }
 
-    private void lost(Address asked, String reason) {
+    private void onFailure(Address controlProcess, String reason) {
         log.line(DecisionKind.LOST)
                 .with(DecisionField.DEPENDENCY, "control")
-                .with(DecisionField.ADDRESS, asked)
+                .with(DecisionField.ADDRESS, controlProcess)
                 .with(DecisionField.REASON, reason)
                 .write();
-        tried.add(asked);
+        failed.add(controlProcess);
         current = null;
-        Address other = next();
-        if (other == null) {
-            tried.clear();
-            askLater();
+        Address candidate = nextCandidate();
+        if (candidate == null) {
+            failed.clear();
+            pollLater();
         } else {
-            current = other;
-            movedMillis = clock.millis();
-            ask();
+            current = candidate;
+            switchedMillis = clock.millis();
+            poll();
         }
     }
 
-    private void askLater() {
-        reactor.delayBackground(PAUSE_MILLIS, this::ask);
+    private void pollLater() {
+        reactor.delayBackground(PAUSE_MILLIS, this::poll);
     }
 
-    private Address next() {
+    private Address nextCandidate() {
         List<Address> candidates = new ArrayList<>(members);
         seeds.get().stream().filter(seed -> !members.contains(seed)).forEach(candidates::add);
-        candidates.removeAll(tried);
+        candidates.removeAll(failed);
         return candidates.stream()
                 .min((one, other) -> Integer.compare(distance(one), distance(other)))
                 .orElse(null);
     }
 
     private int distance(Address address) {
-        String hall = hallOf.get(address);
+        String hall = dataHalls.get(address);
         if (hall == null) {
             return 1;
         }
@@ -252,17 +253,17 @@
     }
 
     private void preferOwnHall() {
-        boolean due = clock.millis() - movedMillis > PREFER_OWN_HALL_MILLIS;
-        boolean first = movedMillis == 0;
+        boolean due = clock.millis() - switchedMillis > OWN_HALL_RETRY_MILLIS;
+        boolean first = switchedMillis == 0;
         if (distance(current) == 0 || !(due || first)) {
             return;
         }
-        Address nearer = next();
+        Address nearer = nextCandidate();
         if (nearer != null && distance(nearer) < distance(current)) {
             current = nearer;
-            movedMillis = distance(nearer) == 0 ? clock.millis() : movedMillis;
+            switchedMillis = distance(nearer) == 0 ? clock.millis() : switchedMillis;
         } else {
-            movedMillis = clock.millis();
+            switchedMillis = clock.millis();
         }
     }
 }
--- a/daemon/src/main/java/org/bankturn/daemon/publication/PublicationListener.java
+++ b/daemon/src/main/java/org/bankturn/daemon/publication/PublicationListener.java
@@ -1,14 +1,14 @@
 package org.bankturn.daemon.publication;
 
-/** Hears of each change of what is published, and when it is confirmed for the first time. */
+/** Receives each change of the published state and its first confirmation. */
 @FunctionalInterface
 public interface PublicationListener {
     /**
-     * Takes in what is published now.
+     * Handles a new published state.
      *
-     * @param newer what is published, not null
-     * @param changedSinceMillis a moment at which nothing of what is new in it was in force yet, by this process's clock;
-     *     long ago if that is not known, as at the first change
+     * @param newer the published state, not null
+     * @param changedSinceMillis a time, by the clock of this process, before which none of the changes were committed;
+     *     far in the past if unknown, as at the first change
      */
     void published(PublishedState newer, long changedSinceMillis);
 }
--- a/daemon/src/main/java/org/bankturn/daemon/publication/PublishedState.java
+++ b/daemon/src/main/java/org/bankturn/daemon/publication/PublishedState.java
@@ -12,17 +12,17 @@
 import org.bankturn.service.ServingConfiguration;
 
 /**
- * What is published, as far as one process knows.
+ * The published state as known to one process.
  *
  * <p>PublishedState is immutable and thread-safe.
  *
- * @param index the log index it leads to, 0 if nothing is known
+ * @param index the log index of the state, 0 if no state is known
  * @param configuration the operators' document, null if none is known
- * @param weights the named weights, not null
+ * @param weights the selected weights, not null
  * @param targets the targets by incarnation, not null
- * @param suspects the requests under which targets ended, not null
- * @param confirmed true once a control process in touch with a majority has published to this process; before that, what
- *     is shown may be what one of them held when it started, and newer changes may be in force
+ * @param suspects the requests during which targets crashed, not null
+ * @param confirmed true after the first reply of a control process with contact to a majority; before that, the state
+ *     may be the recovered state of a restarted control process, and newer changes may be committed
  */
 public record PublishedState(
         long index,
@@ -31,7 +31,7 @@
         Map<String, TargetSighting> targets,
         List<Suspect> suspects,
         boolean confirmed) {
-    /** Nothing is known. */
+    /** The state of a process that has not received any update. */
     public static final PublishedState EMPTY = new PublishedState(0, null, List.of(), Map.of(), List.of(), false);
 
     /** Copies the collections. */
@@ -41,21 +41,21 @@
         suspects = List.copyOf(suspects);
     }
 
-    /** Returns the named weights of a model, empty if none are named. */
+    /** Returns the selected weights of a model, empty if there are none. */
     public Optional<NamedWeights> weightsOf(String model) {
         return weights.stream().filter(each -> each.model().equals(model)).findFirst();
     }
 
-    /** Returns the same, confirmed by a control process in touch with a majority. */
+    /** Returns a confirmed copy of this state. */
     PublishedState confirm() {
         return new PublishedState(index, configuration, weights, targets, suspects, true);
     }
 
     /**
-     * Returns what is published after an update.
+     * Returns the state after an update.
      *
      * @param update the update, not null
-     * @param newest the document that it brought, or the one held, null if there is none
+     * @param newest the configuration after the update, null if there is none
      */
     PublishedState after(PublicationUpdate update, ServingConfiguration newest) {
         Map<String, TargetSighting> next = update.whole() ? new HashMap<>() : new HashMap<>(targets);
--- a/daemon/src/main/java/org/bankturn/daemon/publication/package-info.java
+++ b/daemon/src/main/java/org/bankturn/daemon/publication/package-info.java
@@ -1,2 +1,2 @@
-/** How processes without a disk learn what the control group publishes, and keep up with it. */
+/** Client side of the control group: following the published state and submitting changes. */
 package org.bankturn.daemon.publication;
--- a/daemon/src/test/java/org/bankturn/daemon/publication/PublicationFollowerTest.java
+++ b/daemon/src/test/java/org/bankturn/daemon/publication/PublicationFollowerTest.java
@@ -26,7 +26,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** A follower with a clock of its own, before a control process that answers when the test says so. */
+/** Runs a follower with a manual clock against a control process whose replies the test controls. */
 @Timeout(60)
 class PublicationFollowerTest {
     private static final long START_MILLIS = 1_000_000;
@@ -35,7 +35,7 @@
             Eventloop.builder().withThreadName("follower-test").build();
     private final ManualClock clock = ManualClock.startingAt(START_MILLIS);
     private final DecisionLog log = DecisionLog.startTo(OutputStream.nullOutputStream(), "follower", clock);
-    private final BlockingQueue<SettablePromise<NodeReply>> questions = new LinkedBlockingQueue<>();
+    private final BlockingQueue<SettablePromise<NodeReply>> requests = new LinkedBlockingQueue<>();
     private final BlockingQueue<Change> changes = new LinkedBlockingQueue<>();
 
     private final BlockingQueue<Boolean> confirmations = new LinkedBlockingQueue<>();
@@ -49,7 +49,7 @@
         new Thread(reactor, "follower-test").start();
         reactor.submit(() -> {
                     listen(control);
-                    PublicationFollower.of(wiring(control), this::note).start();
+                    PublicationFollower.of(wiring(control), this::record).start();
                     return Promise.complete();
                 })
                 .join();
@@ -61,12 +61,12 @@
         reactor.breakEventloop();
     }
 
-    /** A gateway that is frozen meanwhile must not take a version for newly named when it wakes. */
+    /** Guards against a gateway that was suspended dating a change later than it was committed. */
     @Test
-    void what_is_learned_late_may_be_as_old_as_the_last_question_that_was_answered_in_time() throws Exception {
+    void a_change_after_a_late_reply_may_be_as_old_as_the_last_request_answered_in_time() throws Exception {
         answer(update(1), false);
         assertThat(changes.take().index()).isEqualTo(1);
-        SettablePromise<NodeReply> outstanding = questions.take();
+        SettablePromise<NodeReply> outstanding = requests.take();
         clock.advance(4_000);
         answer(outstanding, null, true);
         answer(update(2), false);
@@ -74,24 +74,24 @@
     }
 
     @Test
-    void what_comes_while_a_question_waits_is_no_older_than_the_question() throws Exception {
+    void a_change_received_by_a_waiting_request_is_no_older_than_the_request() throws Exception {
         answer(update(1), false);
         changes.take();
         answer(null, true);
-        SettablePromise<NodeReply> outstanding = questions.take();
+        SettablePromise<NodeReply> outstanding = requests.take();
         clock.advance(400);
         answer(outstanding, update(2), true);
         assertThat(changes.take()).isEqualTo(new Change(2, START_MILLIS));
-        SettablePromise<NodeReply> next = questions.take();
+        SettablePromise<NodeReply> next = requests.take();
         clock.advance(300);
         answer(next, update(3), true);
         assertThat(changes.take()).isEqualTo(new Change(3, START_MILLIS + 400));
     }
 
     @Test
-    void what_a_control_process_out_of_touch_publishes_is_shown_but_not_confirmed_until_one_in_touch_answers()
+    void state_from_a_control_process_without_a_majority_is_unconfirmed_until_one_with_a_majority_answers()
             throws Exception {
-        answerOutOfTouch(questions.take(), update(1));
+        answerWithoutMajority(requests.take(), update(1));
         assertThat(changes.take().index()).isEqualTo(1);
         assertThat(confirmations.take()).isFalse();
         answer(null, false);
@@ -99,21 +99,21 @@
         assertThat(confirmations.take()).isTrue();
     }
 
-    private void note(PublishedState newer, long changedSinceMillis) {
+    private void record(PublishedState newer, long changedSinceMillis) {
         confirmations.add(newer.confirmed());
         changes.add(new Change(newer.index(), changedSinceMillis));
     }
 
     private void answer(PublicationUpdate update, boolean waited) throws InterruptedException {
-        answer(questions.take(), update, waited);
+        answer(requests.take(), update, waited);
     }
 
-    private void answer(SettablePromise<NodeReply> question, PublicationUpdate update, boolean waited) {
-        reactor.execute(() -> question.set(new NodeReply.Watched(update, true, waited, "north", List.of(), 0)));
+    private void answer(SettablePromise<NodeReply> request, PublicationUpdate update, boolean waited) {
+        reactor.execute(() -> request.set(new NodeReply.Watched(update, true, waited, "north", List.of(), 0)));
     }
 
-    private void answerOutOfTouch(SettablePromise<NodeReply> question, PublicationUpdate update) {
-        reactor.execute(() -> question.set(new NodeReply.Watched(update, false, false, "north", List.of(), 0)));
+    private void answerWithoutMajority(SettablePromise<NodeReply> request, PublicationUpdate update) {
+        reactor.execute(() -> request.set(new NodeReply.Watched(update, false, false, "north", List.of(), 0)));
     }
 
     private static PublicationUpdate update(long index) {
@@ -123,7 +123,7 @@
     private void listen(Address control) throws IOException {
         NodeServer.create(reactor, control, request -> {
                     SettablePromise<NodeReply> reply = new SettablePromise<>();
-                    questions.add(reply);
+                    requests.add(reply);
                     return reply;
                 })
                 .listen();
