--- /dev/null
+++ b/core/src/main/java/org/bankturn/crash/InterruptedRequests.java
@@ -0,0 +1,141 @@
+package org.bankturn.crash;
+
+import java.util.ArrayList;
+import java.util.Collection;
+import java.util.LinkedHashMap;
+import java.util.LinkedHashSet;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+import org.bankturn.registry.TargetSighting;
+import org.bankturn.time.Clock;
+
+/**
+ * The requests interrupted at each target, as one gateway observed them, until it is known whether the target crashed.
+ *
+ * <p>An interrupted response does not prove a crash, since a running target may reset connections and truncate
+ * responses. Interruptions count against a request only once the target's address refuses connections or another
+ * incarnation has it. InterruptedRequests is mutable and not thread-safe.
+ */
+public final class InterruptedRequests {
+    /** Exceeds the time for a restart after a crash and the timeout of a target without heartbeats. */
+    private static final long RETENTION_MILLIS = 30_000;
+
+    /** The maximum number of requests kept per target; exceeds the number that one gateway has in flight there. */
+    private static final int MAX_REQUESTS_PER_TARGET = 64;
+
+    private final Clock clock;
+    private final Map<String, Interruptions> targets = new LinkedHashMap<>();
+
+    private static final class Interruptions {
+        private final Set<RequestFingerprint> requests = new LinkedHashSet<>();
+        private final TargetSighting target;
+        private final long firstMillis;
+        private boolean crashed;
+        private boolean alive;
+
+        Interruptions(TargetSighting target, long firstMillis) {
+            this.target = target;
+            this.firstMillis = firstMillis;
+        }
+    }
+
+    /** Returns an instance without any interruption, not null. */
+    public static InterruptedRequests of(Clock clock) {
+        return new InterruptedRequests(clock);
+    }
+
+    private InterruptedRequests(Clock clock) {
+        this.clock = clock;
+    }
+
+    // ---- queries
+
+    /** Returns true if there was no recent interruption. */
+    public boolean isEmpty() {
+        evictExpired();
+        return targets.isEmpty();
+    }
+
+    /**
+     * Returns the targets with interruptions that another incarnation has replaced, not null.
+     *
+     * @param present the registered targets, not null
+     */
+    public List<String> findReplaced(Collection<TargetSighting> present) {
+        return targets.values().stream()
+                .filter(interruptions -> !interruptions.crashed)
+                .map(interruptions -> interruptions.target)
+                .filter(target -> present.stream().anyMatch(each -> replaces(each, target)))
+                .map(TargetSighting::id)
+                .toList();
+    }
+
+    private static boolean replaces(TargetSighting present, TargetSighting former) {
+        boolean sameAddress =
+                present.address().equals(former.address()) && !present.id().equals(former.id());
+        return sameAddress || present.isLaterStartOf(former);
+    }
+
+    /** Returns true if the target is known to have crashed. */
+    public boolean hasCrashed(String target) {
+        Interruptions interruptions = targets.get(target);
+        return interruptions != null && interruptions.crashed;
+    }
+
+    /** Returns the targets that interrupted a request and of which neither a crash nor survival is known, not null. */
+    public List<String> findUndecided(RequestFingerprint request) {
+        return targets.values().stream()
+                .filter(interruptions ->
+                        !interruptions.crashed && !interruptions.alive && interruptions.requests.contains(request))
+                .map(interruptions -> interruptions.target.id())
+                .toList();
+    }
+
+    // ---- updates
+
+    /** Records that a target interrupted a request. */
+    public void recordInterruption(TargetSighting target, RequestFingerprint request) {
+        evictExpired();
+        Interruptions interruptions =
+                targets.computeIfAbsent(target.id(), key -> new Interruptions(target, clock.millis()));
+        interruptions.alive = false;
+        if (interruptions.requests.size() < MAX_REQUESTS_PER_TARGET) {
+            interruptions.requests.add(request);
+        }
+    }
+
+    /**
+     * Records that a target crashed.
+     *
+     * @return the requests interrupted there that no earlier call returned, not null
+     */
+    public List<RequestFingerprint> recordCrash(String target) {
+        Interruptions interruptions = targets.get(target);
+        if (interruptions == null) {
+            return List.of();
+        }
+        interruptions.crashed = true;
+        List<RequestFingerprint> interrupted = new ArrayList<>(interruptions.requests);
+        interruptions.requests.clear();
+        return interrupted;
+    }
+
+    /** Records that a target accepts connections some time after an interruption. */
+    public void markAlive(String target) {
+        Interruptions interruptions = targets.get(target);
+        if (interruptions != null) {
+            interruptions.alive = true;
+        }
+    }
+
+    /** Records that requests completed; their earlier interruptions no longer count. */
+    public void recordCompletion(Collection<RequestFingerprint> requests) {
+        targets.values().forEach(interruptions -> interruptions.requests.removeAll(requests));
+    }
+
+    private void evictExpired() {
+        long oldest = clock.millis() - RETENTION_MILLIS;
+        targets.values().removeIf(interruptions -> interruptions.firstMillis < oldest);
+    }
+}
--- a/core/src/test/java/org/bankturn/registry/HeartbeatTableTest.java
+++ b/core/src/test/java/org/bankturn/registry/HeartbeatTableTest.java
@@ -11,23 +11,23 @@
     private final HeartbeatTable table = HeartbeatTable.of(clock, 100);
 
     @Test
-    void a_target_is_silent_only_after_the_whole_time() {
-        table.heard(List.of("a", "b"));
+    void a_target_is_silent_only_after_the_timeout() {
+        table.record(List.of("a", "b"));
         clock.advance(60);
-        table.heard(List.of("b"));
+        table.record(List.of("b"));
         clock.advance(60);
-        assertThat(table.silentAmong(List.of("a", "b"))).containsExactly("a");
+        assertThat(table.findSilent(List.of("a", "b"))).containsExactly("a");
     }
 
     @Test
-    void a_new_leader_gives_every_target_the_whole_time_again() {
-        table.heard(List.of("a"));
+    void a_new_leader_restarts_the_timeout_of_every_target() {
+        table.record(List.of("a"));
         clock.advance(90);
         table.restart();
-        assertThat(table.silentAmong(List.of("a"))).isEmpty();
+        assertThat(table.findSilent(List.of("a"))).isEmpty();
         clock.advance(90);
-        assertThat(table.silentAmong(List.of("a"))).isEmpty();
+        assertThat(table.findSilent(List.of("a"))).isEmpty();
         clock.advance(20);
-        assertThat(table.silentAmong(List.of("a"))).containsExactly("a");
+        assertThat(table.findSilent(List.of("a"))).containsExactly("a");
     }
 }
--- a/daemon/src/main/java/org/bankturn/daemon/gateway/CrashDetector.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/CrashDetector.java
@@ -14,8 +14,8 @@
 import java.util.Objects;
 import java.util.Set;
 import java.util.function.Consumer;
-import org.bankturn.crash.BrokenRuns;
 import org.bankturn.crash.EndedTarget;
+import org.bankturn.crash.InterruptedRequests;
 import org.bankturn.crash.KnownSuspects;
 import org.bankturn.crash.RequestFingerprint;
 import org.bankturn.crash.Suspect;
@@ -55,9 +55,9 @@
     private final TargetConnectionPool connections;
     private final Consumer<PublicationCommand> controlGroup;
     private final Runnable onCondemned;
-    private final BrokenRuns brokenRuns;
+    private final InterruptedRequests interruptedRequests;
     private final TrialRequester trialRequester;
-    private final KnownSuspects suspects = KnownSuspects.none();
+    private final KnownSuspects suspects = KnownSuspects.empty();
     private final Set<RequestFingerprint> condemned = new HashSet<>();
     private final Map<String, Promise<Void>> pendingProbes = new HashMap<>();
     private final Map<String, Set<RequestFingerprint>> unreportedCrashes = new LinkedHashMap<>();
@@ -106,7 +106,7 @@
         this.connections = connections;
         this.controlGroup = controlGroup;
         this.onCondemned = onCondemned;
-        this.brokenRuns = BrokenRuns.of(clock);
+        this.interruptedRequests = InterruptedRequests.of(clock);
         this.trialRequester = TrialRequester.of(reactor, clock, log, controlGroup, suspects);
     }
 
@@ -119,7 +119,7 @@
 
     /** Returns the number of targets known to have crashed while running the request. */
     int endedTargetCount(ForwardedRequest request) {
-        return suspects.endedUnder(request.fingerprint()).size();
+        return suspects.endedTargetsOf(request.fingerprint()).size();
     }
 
     /**
@@ -136,7 +136,7 @@
 
     /** Applies the published suspects and targets. */
     void update(List<Suspect> published, Collection<TargetSighting> targets) {
-        brokenRuns.succeededBy(targets).forEach(this::onTargetEnded);
+        interruptedRequests.findReplaced(targets).forEach(this::onTargetEnded);
         // most publications change targets only, and processing many suspects is expensive
         if (!Objects.equals(published, lastPublished)) {
             lastPublished = published;
@@ -158,7 +158,7 @@
             log.line(DecisionKind.SUSPECT)
                     .with(DecisionField.EVENT, "sent to no target any more")
                     .with(DecisionField.FINGERPRINT, request)
-                    .with(DecisionField.ENDS, suspects.endedUnder(request).size())
+                    .with(DecisionField.ENDS, suspects.endedTargetsOf(request).size())
                     .write();
         }
         if (!newlyCondemned.isEmpty()) {
@@ -177,8 +177,8 @@
             // a connection closed by a planned shutdown is not held against the request
             return Promise.complete();
         }
-        brokenRuns.brokeOff(target, request.fingerprint());
-        if (brokenRuns.hasEnded(target.id())) {
+        interruptedRequests.recordInterruption(target, request.fingerprint());
+        if (interruptedRequests.hasCrashed(target.id())) {
             onTargetEnded(target.id());
             return Promise.complete();
         }
@@ -199,9 +199,9 @@
 
     /** Delays a request that one more crash would condemn until the undecided probes have finished. */
     private Promise<Void> awaitCertainty(ForwardedRequest request) {
-        Set<String> possiblyCrashed = suspects.endedUnder(request.fingerprint());
-        possiblyCrashed.addAll(brokenRuns.undecidedUnder(request.fingerprint()));
-        boolean certain = isCondemned(request) || possiblyCrashed.size() < Suspect.ENDS_THAT_CONDEMN;
+        Set<String> possiblyCrashed = suspects.endedTargetsOf(request.fingerprint());
+        possiblyCrashed.addAll(interruptedRequests.findUndecided(request.fingerprint()));
+        boolean certain = isCondemned(request) || possiblyCrashed.size() < Suspect.CONDEMNATION_THRESHOLD;
         return certain ? Promise.complete() : Promises.delay(SECOND_PROBE_DELAY_MILLIS + PROBE_TIMEOUT_MILLIS);
     }
 
@@ -219,7 +219,7 @@
     private void probeAgain(TargetSighting target) {
         connect(target).whenResult(failure -> {
             if (failure == null) {
-                brokenRuns.livesOn(target.id());
+                interruptedRequests.markAlive(target.id());
             }
         });
     }
@@ -245,15 +245,15 @@
     }
 
     private void onTargetEnded(String target) {
-        List<RequestFingerprint> requests = brokenRuns.ended(target);
+        List<RequestFingerprint> requests = interruptedRequests.recordCrash(target);
         for (RequestFingerprint request : requests) {
-            suspects.ended(target, request);
+            suspects.recordCrash(target, request);
             metrics.suspected(ServingMetrics.SUSPECT_BLAMED);
             log.line(DecisionKind.SUSPECT)
                     .with(DecisionField.EVENT, "target ended")
                     .with(DecisionField.TARGET, target)
                     .with(DecisionField.FINGERPRINT, request)
-                    .with(DecisionField.ENDS, suspects.endedUnder(request).size())
+                    .with(DecisionField.ENDS, suspects.endedTargetsOf(request).size())
                     .write();
         }
         if (!requests.isEmpty()) {
@@ -267,15 +267,15 @@
 
     /** Records that a request ran to completion, which clears it of suspicion. */
     void onCompleted(ForwardedRequest request) {
-        if (suspects.isEmpty() && brokenRuns.isEmpty()) {
+        if (suspects.isEmpty() && interruptedRequests.isEmpty()) {
             return;
         }
         RequestFingerprint fingerprint = request.fingerprint();
-        brokenRuns.ranWhole(List.of(fingerprint));
+        interruptedRequests.recordCompletion(List.of(fingerprint));
         if (endedTargetCount(request) == 0) {
             return;
         }
-        suspects.ranWhole(fingerprint);
+        suspects.recordCompletion(fingerprint);
         refreshCondemned();
         metrics.suspected(ServingMetrics.SUSPECT_CLEARED);
         unreportedCompletions.add(fingerprint);
@@ -294,7 +294,7 @@
         List<EndedTarget> ends = unreportedCrashes.entrySet().stream()
                 .map(each -> new EndedTarget(each.getKey(), List.copyOf(each.getValue())))
                 .toList();
-        controlGroup.accept(new PublicationCommand.NoteRuns(ends, List.copyOf(unreportedCompletions)));
+        controlGroup.accept(new PublicationCommand.RecordOutcomes(ends, List.copyOf(unreportedCompletions)));
         unreportedCrashes.clear();
         unreportedCompletions.clear();
     }
--- a/daemon/src/main/java/org/bankturn/daemon/gateway/Gateway.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/Gateway.java
@@ -23,7 +23,7 @@
 import org.bankturn.daemon.observe.DecisionLog;
 import org.bankturn.daemon.observe.RequestOutcome;
 import org.bankturn.daemon.observe.ServingMetrics;
-import org.bankturn.daemon.publication.Published;
+import org.bankturn.daemon.publication.PublishedState;
 import org.bankturn.daemon.weights.WeightsRelay;
 import org.bankturn.daemon.wire.NodeClients;
 import org.bankturn.daemon.wire.NodeReply;
@@ -76,7 +76,7 @@
     private final CrashDetector crashDetector;
     private final Set<ForwardedRequest> inFlight = new LinkedHashSet<>();
     private final long startedMillis;
-    private Published published = Published.NOTHING;
+    private PublishedState published = PublishedState.EMPTY;
     private boolean stopping;
     private boolean outOfRotation;
     private long answeredCount;
@@ -157,7 +157,7 @@
      * @param newer the published state, not null
      * @param changedSinceMillis a time before any of the changes took effect
      */
-    public void update(Published newer, long changedSinceMillis) {
+    public void update(PublishedState newer, long changedSinceMillis) {
         boolean mayPredateStart = changedSinceMillis < startedMillis;
         long due = mayPredateStart
                 ? clock.millis() + VERSION_GRACE_AFTER_START_MILLIS
--- a/daemon/src/main/java/org/bankturn/daemon/gateway/TrialRequester.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/TrialRequester.java
@@ -12,7 +12,7 @@
 import org.bankturn.crash.KnownSuspects;
 import org.bankturn.crash.RequestFingerprint;
 import org.bankturn.crash.Suspect;
-import org.bankturn.crash.TrialPlan;
+import org.bankturn.crash.TrialScheduler;
 import org.bankturn.daemon.observe.DecisionField;
 import org.bankturn.daemon.observe.DecisionKind;
 import org.bankturn.daemon.observe.DecisionLog;
@@ -32,7 +32,7 @@
     private final DecisionLog log;
     private final Consumer<PublicationCommand> controlGroup;
     private final KnownSuspects suspects;
-    private final TrialPlan plan;
+    private final TrialScheduler plan;
     private final Map<RequestFingerprint, PendingTrial> pending = new HashMap<>();
 
     /** A requested trial and the promise to complete with the decision. */
@@ -66,7 +66,7 @@
         this.log = log;
         this.controlGroup = controlGroup;
         this.suspects = suspects;
-        this.plan = TrialPlan.of(clock);
+        this.plan = TrialScheduler.of(clock);
     }
 
     /**
@@ -77,7 +77,7 @@
      * @return a promise of true if the request may be sent, false if it must be refused, not null
      */
     Promise<Boolean> requestTrial(RequestFingerprint request, String requester) {
-        Optional<Suspect> agreed = suspects.agreed(request);
+        Optional<Suspect> agreed = suspects.findPublished(request);
         if (pending.containsKey(request) || !plan.isDue(agreed)) {
             return Promise.of(false);
         }
@@ -94,7 +94,7 @@
         plan.update(condemned, suspects);
         for (RequestFingerprint request : List.copyOf(pending.keySet())) {
             String requester = pending.get(request).requester();
-            boolean granted = suspects.agreed(request)
+            boolean granted = suspects.findPublished(request)
                     .map(suspect -> requester.equals(suspect.trialBy()))
                     .orElse(false);
             if (granted) {
--- a/daemon/src/main/java/org/bankturn/daemon/group/QuietGroup.java
+++ b/daemon/src/main/java/org/bankturn/daemon/group/QuorumContactMonitor.java
@@ -11,47 +11,47 @@
 import org.bankturn.time.Clock;
 
 /**
- * Has connections replaced while a member's group is quiet, and writes a line when that begins and when it ends.
+ * Has connections replaced while a member lacks contact to a majority, and logs the loss and the return of contact.
  *
- * <p>QuietGroup is confined to the member's thread.
+ * <p>QuorumContactMonitor is confined to the member's thread.
  */
-final class QuietGroup {
+final class QuorumContactMonitor {
     private static final String GROUP = "group";
 
     private final RaftSettings settings;
     private final Clock clock;
     private final DecisionLog log;
     private final LongConsumer distrust;
-    private boolean quiet;
+    private boolean lost;
 
     /**
-     * Returns a watch of a group that is in touch, not null.
+     * Returns a monitor that assumes contact, not null.
      *
      * @param settings the group's timing, not null
-     * @param clock the time, not null
+     * @param clock the clock, not null
      * @param log the decision log, not null
-     * @param distrust takes until when connections must have been heard last to be replaced, not null
+     * @param distrust called with a time; connections that received nothing after it are replaced, not null
      */
-    static QuietGroup of(RaftSettings settings, Clock clock, DecisionLog log, LongConsumer distrust) {
-        return new QuietGroup(settings, clock, log, distrust);
+    static QuorumContactMonitor of(RaftSettings settings, Clock clock, DecisionLog log, LongConsumer distrust) {
+        return new QuorumContactMonitor(settings, clock, log, distrust);
     }
 
-    private QuietGroup(RaftSettings settings, Clock clock, DecisionLog log, LongConsumer distrust) {
+    private QuorumContactMonitor(RaftSettings settings, Clock clock, DecisionLog log, LongConsumer distrust) {
         this.settings = settings;
         this.clock = clock;
         this.log = log;
         this.distrust = distrust;
     }
 
-    /** Looks at a member after a step of it. */
-    void look(RaftNode member) {
+    /** Checks the contact of a member; called after each of its steps. */
+    void observe(RaftNode member) {
         long now = clock.millis();
         OptionalLong until = StaleConnectionPolicy.staleConnectionCutoffMillis(member, settings, now);
-        // found out by lost messages alone, a silence cost 1,730 and 1,937 ms without a leader (two groups of three)
+        // waiting for each connection's own timeout would prolong the time without a leader
         until.ifPresent(distrust);
-        if (until.isPresent() != quiet) {
-            quiet = until.isPresent();
-            log.line(quiet ? DecisionKind.LOST : DecisionKind.REGAINED)
+        if (until.isPresent() != lost) {
+            lost = until.isPresent();
+            log.line(lost ? DecisionKind.LOST : DecisionKind.REGAINED)
                     .with(DecisionField.DEPENDENCY, GROUP)
                     .with(DecisionField.TERM, member.term())
                     .with(DecisionField.SILENT_MS, now - member.lastUpToDateMillis())
--- a/daemon/src/main/java/org/bankturn/daemon/weights/WeightsAgent.java
+++ b/daemon/src/main/java/org/bankturn/daemon/weights/WeightsAgent.java
@@ -8,7 +8,7 @@
 import java.util.stream.Stream;
 import org.bankturn.daemon.observe.DecisionField;
 import org.bankturn.daemon.observe.DecisionKind;
-import org.bankturn.daemon.publication.Published;
+import org.bankturn.daemon.publication.PublishedState;
 import org.bankturn.daemon.settings.Address;
 import org.bankturn.daemon.wire.NodeReply;
 import org.bankturn.daemon.wire.NodeRequest;
@@ -46,7 +46,7 @@
     private final ProcessCopyContext context;
     private final PieceSender sender;
     private final FetchScheduler scheduler = new FetchScheduler();
-    private Published published = Published.NOTHING;
+    private PublishedState published = PublishedState.EMPTY;
     private WeightsCopy copy;
 
     /** The copy of a newer version, fetched but not staged until the current copy was started; null if none. */
@@ -85,7 +85,7 @@
     }
 
     /** Applies a new publication. */
-    public void update(Published newer) {
+    public void update(PublishedState newer) {
         published = newer;
         layout().flatMap(each -> newer.weightsOf(each.model())).ifPresent(this::recordVersion);
     }
--- a/daemon/src/test/java/org/bankturn/daemon/gateway/CallerDisconnectTest.java
+++ b/daemon/src/test/java/org/bankturn/daemon/gateway/CallerDisconnectTest.java
@@ -1,7 +1,5 @@
 package org.bankturn.daemon.gateway;
 
-import static org.assertj.core.api.Assertions.assertThat;
-
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.ServerSocket;
@@ -11,12 +9,13 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
-import org.bankturn.daemon.publication.Published;
+import org.bankturn.daemon.publication.PublishedState;
 import org.bankturn.registry.TargetSighting;
 import org.bankturn.service.EngineModel;
 import org.bankturn.service.RequestKind;
 import org.bankturn.service.Service;
 import org.junit.jupiter.api.Test;
+import static org.assertj.core.api.Assertions.assertThat;
 
 /**
  * Requests whose caller disconnects at any stage must not reach a further target, and the target that runs such a
@@ -144,7 +143,7 @@
         Service service = new Service("chat", "/health", 100, model, null, null, null);
         TargetSighting sighting = new TargetSighting("e", "chat", engine.address(), "north", 4, false, 1, 1);
         update(
-                new Published(
+                new PublishedState(
                         1,
                         configuration(RequestKind.IDEMPOTENT, 2, 2_000, service),
                         List.of(),
--- a/daemon/src/test/java/org/bankturn/daemon/gateway/GatewayFixture.java
+++ b/daemon/src/test/java/org/bankturn/daemon/gateway/GatewayFixture.java
@@ -1,7 +1,5 @@
 package org.bankturn.daemon.gateway;
 
-import static org.assertj.core.api.Assertions.assertThat;
-
 import io.activej.eventloop.Eventloop;
 import io.activej.promise.Promise;
 import java.io.BufferedInputStream;
@@ -21,7 +19,7 @@
 import org.bankturn.daemon.observe.DecisionLog;
 import org.bankturn.daemon.observe.LogFile;
 import org.bankturn.daemon.observe.ServingMetrics;
-import org.bankturn.daemon.publication.Published;
+import org.bankturn.daemon.publication.PublishedState;
 import org.bankturn.daemon.settings.Address;
 import org.bankturn.daemon.settings.FreeAddresses;
 import org.bankturn.daemon.weights.WeightsRelay;
@@ -41,6 +39,7 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Timeout;
+import static org.assertj.core.api.Assertions.assertThat;
 
 /** Base of tests that run a gateway on loopback in front of scripted targets. */
 @Timeout(30)
@@ -154,7 +153,7 @@
             String id = "t-" + address;
             sightings.put(id, new TargetSighting(id, "chat", address, "north", 4, false, -1, 1));
         }
-        update(new Published(1, configuration, List.of(), sightings, List.of(), confirmed), clock.millis());
+        update(new PublishedState(1, configuration, List.of(), sightings, List.of(), confirmed), clock.millis());
     }
 
     static ServingConfiguration configuration(RequestKind kind, int attempts, long timeoutMillis, Service service) {
@@ -168,7 +167,7 @@
                 List.of(new Account("acme", List.of("k"), 0)));
     }
 
-    void update(Published newer, long changedSinceMillis) {
+    void update(PublishedState newer, long changedSinceMillis) {
         reactor.submit(() -> {
                     gateway.update(newer, changedSinceMillis);
                     return Promise.complete();
--- a/daemon/src/test/java/org/bankturn/daemon/group/PlainControlDialect.java
+++ b/daemon/src/test/java/org/bankturn/daemon/group/PlainControlDialect.java
@@ -7,7 +7,7 @@
 import org.bankturn.daemon.http.HttpHead;
 import org.bankturn.registry.TargetSighting;
 
-/** A dialect with short paths, for tests; a heartbeat may name an address at its end. */
+/** A control dialect with short paths for tests; a heartbeat path may end with the target's address. */
 public final class PlainControlDialect implements ControlDialect {
     @Override
     public ControlCall read(HttpHead head, byte[] body) {
@@ -38,12 +38,12 @@
     }
 
     @Override
-    public HttpHead look(String healthPath, String name) {
+    public HttpHead healthProbe(String healthPath, String name) {
         return HttpHead.request("GET", healthPath, List.of(new HttpField("Expected", name)));
     }
 
     @Override
-    public Optional<Boolean> isFrom(String name, HttpHead answer) {
+    public Optional<Boolean> identifies(String name, HttpHead answer) {
         return answer.field("Name").map(name::equals);
     }
 
--- a/standins/src/main/java/org/bankturn/replay/ReplayedGateway.java
+++ b/standins/src/main/java/org/bankturn/replay/ReplayedGateway.java
@@ -42,7 +42,7 @@
     private final RequestPolicy policy;
     private final WatchPlan plan;
     private final LoadPollSchedule questions;
-    private final KnownSuspects suspects = KnownSuspects.none();
+    private final KnownSuspects suspects = KnownSuspects.empty();
     private List<TargetSighting> sightings = List.of();
     private int busiest;
 
@@ -340,8 +340,8 @@
         }
 
         private void noteWhole(RequestFingerprint whole) {
-            if (!suspects.endedUnder(whole).isEmpty()) {
-                suspects.ranWhole(whole);
+            if (!suspects.endedTargetsOf(whole).isEmpty()) {
+                suspects.recordCompletion(whole);
                 world.ranWhole(whole);
             }
         }
@@ -356,7 +356,7 @@
                     return;
                 }
                 if (ended) {
-                    suspects.ended(incarnation, request.call.fingerprint());
+                    suspects.recordCrash(incarnation, request.call.fingerprint());
                     world.ended(incarnation, request.call.fingerprint());
                 }
                 if (suspects.isCondemned(request.call.fingerprint())) {
