--- a/core/src/test/java/org/bankturn/routing/AdmissionPolicyTest.java
+++ b/core/src/test/java/org/bankturn/routing/AdmissionPolicyTest.java
@@ -7,18 +7,18 @@
 
 class AdmissionPolicyTest {
     @Test
-    void the_most_urgent_kind_is_admitted_almost_up_to_its_objective() {
+    void highest_priority_is_admitted_almost_up_to_its_objective() {
         assertThat(AdmissionPolicy.maxStartDelayMillis(400, 1, 1)).isBetween(300.0, 400.0);
     }
 
     @Test
-    void kinds_of_the_same_urgency_are_treated_alike() {
+    void equal_relative_priorities_have_equal_limits() {
         assertThat(AdmissionPolicy.maxStartDelayMillis(400, 2, 2))
                 .isEqualTo(AdmissionPolicy.maxStartDelayMillis(400, 0, 0));
     }
 
     @Test
-    void the_less_urgent_a_kind_is_the_sooner_it_is_refused() {
+    void lower_priorities_have_lower_limits() {
         double before = Double.MAX_VALUE;
         for (int urgency = 0; urgency <= 3; urgency++) {
             double latest = AdmissionPolicy.maxStartDelayMillis(400, urgency, 0);
@@ -28,12 +28,12 @@
     }
 
     @Test
-    void even_the_least_urgent_kind_is_admitted_while_engines_are_idle() {
+    void lowest_priority_is_admitted_while_engines_are_idle() {
         assertThat(AdmissionPolicy.maxStartDelayMillis(400, 9, 0)).isGreaterThan(200);
     }
 
     @Test
-    void a_negative_rank_is_refused_with_the_value() {
+    void negative_priority_is_rejected_with_its_value() {
         assertThatThrownBy(() -> AdmissionPolicy.maxStartDelayMillis(400, -1, 0))
                 .hasMessageContaining("-1");
     }
--- a/core/src/test/java/org/bankturn/routing/ConnectionReusePolicyTest.java
+++ b/core/src/test/java/org/bankturn/routing/ConnectionReusePolicyTest.java
@@ -13,7 +13,7 @@
     private final ConnectionReusePolicy reusePolicy = ConnectionReusePolicy.of(clock, MAX_IDLE_MILLIS);
 
     @Test
-    void a_connection_that_was_heard_of_late_carries_the_next_request() {
+    void recently_active_connection_is_reusable() {
         long heard = clock.millis();
         clock.advance(MAX_IDLE_MILLIS);
         assertThat(reusePolicy.isReusable(heard)).isTrue();
@@ -22,7 +22,7 @@
     }
 
     @Test
-    void what_was_not_heard_since_a_silent_connection_was_asked_is_not_trusted() {
+    void connections_without_data_since_a_timed_out_request_are_not_reused() {
         long before = clock.millis();
         clock.advance(10);
         long asked = clock.millis();
@@ -34,7 +34,7 @@
     }
 
     @Test
-    void when_several_peers_say_nothing_for_a_while_no_connection_that_was_open_before_is_trusted() {
+    void silence_of_several_peers_makes_all_open_connections_suspect() {
         long heard = clock.millis();
         reusePolicy.dataReceived(heard);
         sendRequests("one", "two", "two");
@@ -49,7 +49,7 @@
     }
 
     @Test
-    void a_word_from_any_peer_keeps_the_trust_in_all() {
+    void data_from_any_peer_keeps_all_connections_reusable() {
         long heard = clock.millis();
         sendRequests("one", "two", "two");
         clock.advance(250);
@@ -58,12 +58,9 @@
         assertThat(reusePolicy.isReusable(heard)).isTrue();
     }
 
-    /**
-     * Kept connections to some targets ran out, and new ones to these were answered, which hid that all older ones were
-     * silent: of 40 streams sent in the first 500 ms 10 were in time, where 31 had been in another run.
-     */
+    /** Guards against new connections masking that all older ones are silent. */
     @Test
-    void words_on_connections_opened_since_do_not_hide_that_all_older_ones_are_silent() {
+    void data_on_newer_connections_does_not_hide_silent_older_ones() {
         long kept = clock.millis();
         sendRequests("one", "two", "two");
         clock.advance(100);
@@ -77,7 +74,7 @@
     }
 
     @Test
-    void few_requests_or_a_single_peer_that_says_nothing_prove_nothing() {
+    void few_requests_or_a_single_silent_peer_are_not_sufficient() {
         long heard = clock.millis();
         sendRequests("one", "one", "one", "one");
         clock.advance(1_000);
@@ -87,7 +84,7 @@
     }
 
     @Test
-    void requests_that_have_ended_no_longer_wait() {
+    void ended_requests_do_not_count() {
         long heard = clock.millis();
         PendingRequest ended = reusePolicy.requestSent("one");
         sendRequests("two", "two");
--- a/core/src/test/java/org/bankturn/routing/FirstEventEstimateTest.java
+++ b/core/src/test/java/org/bankturn/routing/FirstEventEstimateTest.java
@@ -10,12 +10,12 @@
     private final FirstEventEstimate estimate = FirstEventEstimate.of(ENGINE);
 
     @Test
-    void an_idle_engine_only_reads_the_prompt() {
+    void idle_engine_only_processes_the_prompt() {
         assertThat(estimate.millis(load(0, 0, 1), 0, 0, 2_070)).isBetween(99.0, 101.0);
     }
 
     @Test
-    void a_request_beyond_the_places_waits_for_one() {
+    void request_beyond_the_slots_waits_for_one() {
         double last = estimate.millis(load(15, 0, 1), 0, 0, 100);
         double first = estimate.millis(load(16, 0, 1), 0, 0, 100);
         assertThat(first - last).isGreaterThan(50);
@@ -23,17 +23,17 @@
     }
 
     @Test
-    void what_was_sent_since_the_report_counts_as_well() {
+    void requests_sent_since_the_report_count() {
         assertThat(estimate.millis(load(10, 0, 1), 8, 0, 100)).isEqualTo(estimate.millis(load(18, 0, 1), 0, 0, 100));
     }
 
     @Test
-    void a_slow_engine_takes_longer_in_proportion() {
+    void estimate_is_proportional_to_pace() {
         assertThat(estimate.millis(load(4, 0, 3), 0, 0, 100)).isEqualTo(3 * estimate.millis(load(4, 0, 1), 0, 0, 100));
     }
 
     @Test
-    void a_correction_learns_from_late_events_and_fades_with_refusals() {
+    void correction_learns_from_late_events_and_decays_with_rejections() {
         PredictionCorrection correction = learnedFrom(100, 300);
         assertThat(correction.applyTo(100)).isBetween(290.0, 300.0);
         for (int count = 0; count < 200; count++) {
@@ -42,9 +42,9 @@
         assertThat(correction.applyTo(100)).isEqualTo(100);
     }
 
-    /** Else the largest prompts are refused wherever engines are busy with small ones. */
+    /** Guards against rejecting large prompts because of delays learned from small ones. */
     @Test
-    void what_was_learned_from_small_prompts_adds_as_much_to_a_large_one() {
+    void correction_is_additive_for_all_prompt_sizes() {
         PredictionCorrection correction = learnedFrom(30, 130);
         assertThat(correction.applyTo(30)).isBetween(125.0, 130.0);
         assertThat(correction.applyTo(300)).isBetween(395.0, 400.0);
--- a/core/src/test/java/org/bankturn/routing/LoadPollScheduleTest.java
+++ b/core/src/test/java/org/bankturn/routing/LoadPollScheduleTest.java
@@ -10,20 +10,20 @@
     private static final PlacementSettings SETTINGS = PlacementSettings.DEFAULT;
 
     @Test
-    void an_idle_gateway_asks_a_few_times_a_second_however_many_engines_there_are() {
+    void idle_gateway_polls_rarely_regardless_of_engine_count() {
         LoadPollSchedule schedule = watchingTwelve();
         assertThat(countPolls(schedule, false)).isLessThan((int) (2 * SECONDS));
     }
 
     @Test
-    void a_gateway_that_sends_requests_asks_more_often() {
+    void busy_gateway_polls_more_often() {
         LoadPollSchedule schedule = watchingTwelve();
         int idle = countPolls(schedule, false);
         assertThat(countPolls(watchingTwelve(), true)).isGreaterThan(3 * idle);
     }
 
     @Test
-    void engines_of_the_own_hall_are_asked_more_often() {
+    void local_engines_are_polled_more_often() {
         LoadPollSchedule schedule = LoadPollSchedule.of(SETTINGS);
         schedule.setWatched(Set.of("near"), Set.of("far"), 0);
         int near = 0;
@@ -39,7 +39,7 @@
     }
 
     @Test
-    void the_first_request_after_a_rest_brings_the_next_questions_forward() {
+    void first_request_after_idling_advances_the_next_polls() {
         LoadPollSchedule schedule = LoadPollSchedule.of(SETTINGS);
         schedule.setWatched(Set.of("near"), Set.of(), 0);
         schedule.next(0);
@@ -51,7 +51,7 @@
     }
 
     @Test
-    void an_engine_that_is_no_longer_watched_is_not_asked() {
+    void unwatched_engine_is_not_polled() {
         LoadPollSchedule schedule = watchingTwelve();
         schedule.setWatched(Set.of(), Set.of(), 0);
         assertThat(schedule.next(100_000)).isEmpty();
--- a/core/src/test/java/org/bankturn/routing/RateLimitReplay.java
+++ b/core/src/test/java/org/bankturn/routing/RateLimitReplay.java
@@ -12,7 +12,7 @@
 import org.apache.commons.rng.simple.RandomSource;
 import org.bankturn.time.Clock;
 
-/** Many gateways before one target that names a limit for a while, in virtual time; two ways to keep the limit together. */
+/** Simulates many gateways and one temporarily rate-limited target in virtual time, with two sharing schemes. */
 final class RateLimitReplay implements Clock {
     static final long LIMIT_ENDS_MILLIS = 40_000;
     private static final long END_MILLIS = 60_000;
@@ -25,30 +25,30 @@
     private static final long FAILURE_DETECTION_MILLIS = 3_000;
     private static final String TARGET = "t";
 
-    /** How gateways keep a limit together. */
+    /** The scheme by which gateways share a limit. */
     enum Scheme {
-        /** Each gateway sends its part of the rate, from a moment on that is drawn at random. */
+        /** Each gateway sends at a fixed share of the rate, with a random phase. */
         SHARES,
-        /** One gateway hands out permits. */
+        /** One gateway issues permits. */
         PERMITS
     }
 
-    /** What goes wrong meanwhile. */
+    /** The injected fault. */
     enum Fault {
         NONE,
-        /** The gateway that hands out permits is killed again and again, and others a while after it. */
+        /** The coordinator is killed repeatedly. */
         KILLS,
-        /** Half of the gateways cannot reach the other half for ten seconds. */
+        /** Half of the gateways are partitioned from the other half for ten seconds. */
         PARTITION
     }
 
     /**
-     * What came of it.
+     * The result of a simulation.
      *
-     * @param maxInWindow the most requests in a window from gateways that had been told
-     * @param utilization what the target got of what it offered, while its limit was in force
-     * @param lastLearnedMillis how long after the end of the limit the last gateway knew, -1 if one never did
-     * @param messages the messages between gateways a second, while the limit was in force
+     * @param maxInWindow the maximum number of requests in a window from gateways that knew the limit
+     * @param utilization the share of the offered rate that was used while the limit was in force
+     * @param lastLearnedMillis when the last gateway learned of the end of the limit, -1 if one never did
+     * @param messages the messages between gateways per second while the limit was in force
      */
     record Result(int maxInWindow, double utilization, long lastLearnedMillis, double messages) {}
 
@@ -64,7 +64,7 @@
     private int arrivals;
     private int messages;
 
-    /** Something that happens at a moment. */
+    /** A scheduled action. */
     private record Event(long atMillis, long order, Runnable action) implements Comparable<Event> {
         @Override
         public int compareTo(Event other) {
@@ -73,7 +73,7 @@
         }
     }
 
-    /** One gateway, which forgets everything when it starts again. */
+    /** A gateway without persistent state. */
     private final class Gateway {
         private final String name;
         private TargetFlowControl flowControl = new TargetFlowControl();
@@ -269,7 +269,7 @@
         return new Result(maxInWindow(), arrivals / seconds / perSecond, last, messages * 1_000.0 / LIMIT_ENDS_MILLIS);
     }
 
-    /** Kills it; it is back soon, and others that notice it at all choose another for a while. */
+    /** Kills the coordinator, which restarts soon; other gateways may choose another one meanwhile. */
     private void killResponsible() {
         Gateway killed = gateways.get(0).responsible().orElseThrow();
         killed.up = false;
@@ -295,11 +295,11 @@
         return max;
     }
 
-    /** Prints a table of both ways; the argument says how many seeds each case is played with. */
+    /** Prints a table of both schemes; the argument is the number of seeds per case. */
     public static void main(String[] arguments) {
         int seeds = Integer.parseInt(arguments[0]);
         System.out.println(
-                "trouble | gateways | limit | way | most in 4 s | beyond it | used | last knew, unaware | messages/s");
+                "fault | gateways | limit | scheme | max in 4 s | exceeded | utilization | last learned, unaware | messages/s");
         for (Fault fault : Fault.values()) {
             for (int count : new int[] {7, 49, 370}) {
                 for (double rate : new double[] {0.5, 1, 2, 8}) {
@@ -334,7 +334,7 @@
                 results.stream().mapToDouble(Result::messages).average().orElseThrow());
     }
 
-    /** Returns the most requests in a window that are tolerated. */
+    /** Returns the tolerated number of requests in a window. */
     static int allowedInWindow(double perSecond) {
         return (int) (1.5 * perSecond * WINDOW_MILLIS / 1_000) + 5;
     }
--- a/core/src/test/java/org/bankturn/routing/RateLimitReplayTest.java
+++ b/core/src/test/java/org/bankturn/routing/RateLimitReplayTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** A limit that many gateways keep together, replayed with permits; one is the limit, or a part of it for each gateway. */
+/** Simulates a rate limit shared by many gateways, with permits and with fixed shares. */
 class RateLimitReplayTest {
     @ParameterizedTest
     @CsvSource({
@@ -17,7 +17,7 @@
         "KILLS,7,0.5", "KILLS,7,8", "KILLS,49,1", "KILLS,49,2", "KILLS,49,8",
         "PARTITION,7,1", "PARTITION,49,2"
     })
-    void no_window_holds_more_requests_than_targets_tolerate(Fault fault, int gateways, double perSecond) {
+    void no_window_exceeds_the_tolerated_requests(Fault fault, int gateways, double perSecond) {
         for (int seed = 1; seed <= 3; seed++) {
             Result result = RateLimitReplay.simulate(Scheme.PERMITS, fault, gateways, perSecond, seed);
             assertThat(result.maxInWindow()).isLessThanOrEqualTo(RateLimitReplay.allowedInWindow(perSecond));
@@ -26,21 +26,21 @@
 
     @ParameterizedTest
     @CsvSource({"7,0.5", "7,1", "49,1", "49,2"})
-    void the_target_gets_most_of_what_it_offers(int gateways, double perSecond) {
+    void offered_rate_is_mostly_used(int gateways, double perSecond) {
         Result result = RateLimitReplay.simulate(Scheme.PERMITS, Fault.NONE, gateways, perSecond, 1);
         assertThat(result.utilization()).isBetween(0.75, 1.05);
     }
 
     @ParameterizedTest
     @CsvSource({"7,1", "49,1", "49,0.5"})
-    void every_gateway_learns_of_the_end_within_seconds(int gateways, double perSecond) {
+    void all_gateways_learn_of_the_end_of_a_limit_within_seconds(int gateways, double perSecond) {
         Result result = RateLimitReplay.simulate(Scheme.PERMITS, Fault.NONE, gateways, perSecond, 1);
         assertThat(result.lastLearnedMillis()).isBetween(0L, 10_000L);
     }
 
-    /** With a part for each, a gateway of many sends so seldom that it hears of nothing. */
+    /** With fixed shares, a gateway sends too rarely to learn of the end of a limit. */
     @Test
-    void parts_leave_gateways_unaware_of_the_end() {
+    void fixed_shares_leave_gateways_unaware_of_the_end() {
         assertThat(RateLimitReplay.simulate(Scheme.SHARES, Fault.NONE, 49, 1, 1).lastLearnedMillis())
                 .isEqualTo(-1);
     }
--- a/core/src/test/java/org/bankturn/routing/RequestPolicyTest.java
+++ b/core/src/test/java/org/bankturn/routing/RequestPolicyTest.java
@@ -51,7 +51,7 @@
     }
 
     @Test
-    void engines_are_asked_once_and_then_the_request_is_placed() {
+    void engines_are_polled_once_before_placement() {
         RequestProgress request = request();
         assertThat(policy.next(request)).isEqualTo(new NextStep.PollLoad(List.of("one")));
         targets.loadReported("one", EngineLoad.NONE, 0, 2);
@@ -59,7 +59,7 @@
     }
 
     @Test
-    void a_request_whose_questions_are_not_answered_is_placed_all_the_same() {
+    void request_is_placed_even_if_polls_are_unanswered() {
         RequestProgress request = request();
         NextStep step = policy.next(request);
         while (step instanceof NextStep.PollLoad) {
@@ -69,7 +69,7 @@
     }
 
     @Test
-    void a_request_that_every_engine_would_begin_too_late_is_refused_at_once_with_when_to_come_back() {
+    void request_that_would_start_too_late_is_rejected_with_a_retry_delay() {
         full("one");
         full("two");
         NextStep step = policy.next(request());
@@ -78,7 +78,7 @@
     }
 
     @Test
-    void before_another_hall_is_used_its_engines_are_asked() {
+    void remote_engines_are_polled_before_use() {
         full("one");
         RequestProgress request = request();
         assertThat(policy.next(request)).isEqualTo(new NextStep.PollLoad(List.of("two")));
@@ -87,7 +87,7 @@
     }
 
     @Test
-    void a_request_without_another_target_waits_for_the_permit_that_it_asks_for() {
+    void request_without_alternatives_waits_for_its_permit() {
         TargetState one = limitedOnlyTarget();
         NextStep.AwaitPermit wait = (NextStep.AwaitPermit) decide(request());
         assertThat(wait.timeoutMillis()).isEqualTo(ROUTE.objectiveMillis() / 8);
@@ -97,7 +97,7 @@
     }
 
     @Test
-    void a_request_without_another_target_is_refused_once_there_is_no_permit_soon() {
+    void request_without_alternatives_is_rejected_if_no_permit_is_available_soon() {
         TargetState one = limitedOnlyTarget();
         RequestProgress request = request();
         assertThat(decide(request)).isInstanceOf(NextStep.AwaitPermit.class);
@@ -108,7 +108,7 @@
     }
 
     @Test
-    void a_request_waits_for_permits_no_longer_than_its_bound_in_all() {
+    void total_permit_wait_is_bounded() {
         TargetState one = limitedOnlyTarget();
         RequestProgress request = request();
         assertThat(decide(request)).isInstanceOf(NextStep.AwaitPermit.class);
@@ -132,9 +132,9 @@
                 new PermitCoordinator.Answer(target.rateLimit(), granted, inMillis), clock.millis(), clock.millis());
     }
 
-    /** Callers that had been refused took the places of first tries, which then came back late as well. */
+    /** Guards against caller retries displacing first attempts during sustained overload. */
     @Test
-    void while_first_tries_are_refused_for_long_a_caller_that_comes_back_gets_no_place_that_one_of_them_might_want() {
+    void first_attempts_have_priority_over_caller_retries_during_a_lasting_shortage() {
         halfFull("one");
         decide(request());
         assertThat(decide(callerRetry())).isInstanceOf(NextStep.Send.class);
@@ -176,23 +176,23 @@
     }
 
     @Test
-    void a_gateway_that_does_not_know_how_many_there_are_has_no_part_of_what_they_share() {
-        RequestPolicy unknowing = RequestPolicy.of(
+    void unknown_gateway_count_gives_no_retry_allowance() {
+        RequestPolicy withoutCount = RequestPolicy.of(
                 clock, targets, new RetryLimits(0.2, 100, 10_000), RandomSource.XO_RO_SHI_RO_128_PP.create(8));
         ServingConfiguration configuration =
                 ServingConfiguration.of(1, List.of(ROUTE), List.of(SERVICE), ClientLimits.DEFAULT, List.of());
-        unknowing.update(configuration, OptionalInt.empty());
+        withoutCount.update(configuration, OptionalInt.empty());
         clock.advance(10_000);
-        assertThat(retriesAfterFailure(unknowing)).isFalse();
-        unknowing.update(configuration, OptionalInt.of(GATEWAYS));
-        assertThat(retriesAfterFailure(unknowing)).isFalse();
+        assertThat(isRetriedAfterFailure(withoutCount)).isFalse();
+        withoutCount.update(configuration, OptionalInt.of(GATEWAYS));
+        assertThat(isRetriedAfterFailure(withoutCount)).isFalse();
         clock.advance(10_000);
-        assertThat(retriesAfterFailure(unknowing)).isTrue();
+        assertThat(isRetriedAfterFailure(withoutCount)).isTrue();
     }
 
-    /** Targets are published before the first configuration is; a gateway that failed at that served nothing from then on. */
+    /** Guards against a failure when targets are published before the first configuration. */
     @Test
-    void a_gateway_may_hear_of_others_before_there_is_a_configuration() {
+    void gateway_count_may_be_known_before_the_configuration() {
         RequestPolicy early = RequestPolicy.of(
                 clock, targets, new RetryLimits(0.2, 100, 10_000), RandomSource.XO_RO_SHI_RO_128_PP.create(8));
         early.update(null, OptionalInt.of(GATEWAYS));
@@ -200,10 +200,10 @@
                 ServingConfiguration.of(1, List.of(ROUTE), List.of(SERVICE), ClientLimits.DEFAULT, List.of()),
                 OptionalInt.of(GATEWAYS));
         clock.advance(10_000);
-        assertThat(retriesAfterFailure(early)).isTrue();
+        assertThat(isRetriedAfterFailure(early)).isTrue();
     }
 
-    private boolean retriesAfterFailure(RequestPolicy asked) {
+    private boolean isRetriedAfterFailure(RequestPolicy asked) {
         RequestProgress request = request();
         while (asked.next(request) instanceof NextStep.PollLoad) {
             clock.advance(1);
@@ -214,7 +214,7 @@
     }
 
     @Test
-    void a_request_may_be_refused_as_not_run_only_if_no_target_may_have_run_it() {
+    void request_is_rejected_as_not_run_only_if_no_target_may_have_executed_it() {
         RequestProgress request = request();
         assertThat(request.mayHaveRun()).isFalse();
         request.sent();
@@ -229,7 +229,7 @@
     }
 
     @Test
-    void a_target_that_answers_others_is_given_longer() {
+    void active_target_has_a_longer_silence_timeout() {
         long alone = SilenceTimeout.beforeFirstEventMillis(600, 200, false);
         assertThat(SilenceTimeout.beforeFirstEventMillis(600, 200, true)).isGreaterThan(alone);
         assertThat(SilenceTimeout.beforeFirstEventMillis(600, 2_000, false)).isEqualTo(4_000);
--- a/core/src/test/java/org/bankturn/routing/RetriesAcrossRestartsTest.java
+++ b/core/src/test/java/org/bankturn/routing/RetriesAcrossRestartsTest.java
@@ -21,11 +21,7 @@
 import org.bankturn.time.ManualClock;
 import org.junit.jupiter.api.Test;
 
-/**
- * Engines rejected about half of what they got when most gateways were killed and started again. Each start had forgotten
- * what it had spent on retries within the window and spent it once more, and the gateways that were left divided the
- * allowance among fewer, though those that were gone had spent their parts: 380 retries in 10 s where 351 were allowed.
- */
+/** Guards against exceeding the shared retry limit when gateways restart or leave the group. */
 class RetriesAcrossRestartsTest {
     private static final EngineModel ENGINE = new EngineModel(8, 317_000, 13.9, 0.03, 0.05, 13.8, 2_048, 5, 70);
     private static final Service SERVICE = new Service("chat", "/", 100, ENGINE, null, null, null);
@@ -57,7 +53,7 @@
     private final List<Long> requests = new ArrayList<>();
     private final List<Long> retries = new ArrayList<>();
 
-    /** One start of a gateway, which hears of a change of the group only when a test says so. */
+    /** A gateway process, whose view of the gateway count is set by the test. */
     private final class Start {
         private final RequestPolicy policy;
 
@@ -97,7 +93,7 @@
     }
 
     @Test
-    void gateways_that_start_again_do_not_spend_again_what_they_spent_before() {
+    void restarted_gateways_do_not_spend_their_budget_twice() {
         List<Start> gateways = starts(GATEWAYS);
         serve(gateways, 10_000, 0);
         serve(gateways, 4_000, 0.45);
@@ -107,7 +103,7 @@
     }
 
     @Test
-    void gateways_that_start_again_and_again_do_not_spend_more() {
+    void repeated_restarts_do_not_increase_the_budget() {
         UniformRandomProvider random = RandomSource.XO_RO_SHI_RO_128_PP.create(3);
         List<Start> gateways = starts(GATEWAYS);
         serve(gateways, 10_000, 0.1);
@@ -119,7 +115,7 @@
     }
 
     @Test
-    void gateways_that_are_left_do_not_spend_what_those_that_went_have_spent() {
+    void remaining_gateways_do_not_spend_the_budget_of_removed_ones() {
         List<Start> gateways = starts(GATEWAYS);
         serve(gateways, 10_000, 0);
         serve(gateways, 3_000, 0.9);
@@ -130,7 +126,7 @@
     }
 
     @Test
-    void halls_that_are_cut_off_from_each_other_spend_no_more_together() {
+    void partitioned_halls_stay_within_the_shared_budget() {
         List<Start> gateways = starts(GATEWAYS);
         serve(gateways, 10_000, 0);
         gateways.subList(0, 3).forEach(each -> each.setGatewayCount(3));
@@ -140,7 +136,7 @@
     }
 
     @Test
-    void a_gateway_that_sees_only_itself_at_first_does_not_spend_the_part_of_all() {
+    void gateway_that_initially_sees_only_itself_does_not_spend_the_whole_budget() {
         List<Start> gateways = IntStream.range(0, GATEWAYS)
                 .mapToObj(each -> new Start(1))
                 .collect(Collectors.toCollection(ArrayList::new));
@@ -151,7 +147,7 @@
     }
 
     @Test
-    void a_failure_of_half_of_the_engines_at_one_moment_is_met_with_retries() {
+    void failure_of_half_of_the_engines_is_retried() {
         List<Start> gateways = starts(GATEWAYS);
         serve(gateways, 10_000, 0);
         serve(gateways, FAILURE_MILLIS, 0.5);
@@ -173,7 +169,7 @@
         }
     }
 
-    /** The requests of a window are those within it, half a window before it or the whole, whichever are most. */
+    /** Allows the highest request count of the window, half a window earlier and one window earlier. */
     private void assertAllowedInEveryWindow() {
         assertThat(retries).isNotEmpty();
         for (long end : Set.copyOf(retries)) {
@@ -186,9 +182,9 @@
         }
     }
 
-    private static int countInWindow(List<Long> moments, long end) {
-        return (int) moments.stream()
-                .filter(moment -> moment > end - WINDOW_MILLIS && moment <= end)
+    private static int countInWindow(List<Long> times, long end) {
+        return (int) times.stream()
+                .filter(time -> time > end - WINDOW_MILLIS && time <= end)
                 .count();
     }
 }
--- a/core/src/test/java/org/bankturn/routing/RetryAfterTest.java
+++ b/core/src/test/java/org/bankturn/routing/RetryAfterTest.java
@@ -14,18 +14,18 @@
     private final UniformRandomProvider random = RandomSource.XO_RO_SHI_RO_128_PP.create(3);
 
     @Test
-    void a_caller_comes_back_when_answers_that_are_under_way_have_ended() {
+    void retry_delay_covers_running_requests() {
         for (int count = 0; count < 100; count++) {
             assertThat(RetryAfter.forBusyEngines(ENGINE, random)).isBetween(1_000L, 2_500L);
         }
     }
 
     @Test
-    void callers_that_are_refused_together_come_back_apart() {
-        Set<Long> moments = new HashSet<>();
+    void retry_delays_are_jittered() {
+        Set<Long> delays = new HashSet<>();
         for (int count = 0; count < 100; count++) {
-            moments.add(RetryAfter.forBusyEngines(ENGINE, random));
+            delays.add(RetryAfter.forBusyEngines(ENGINE, random));
         }
-        assertThat(moments).hasSizeGreaterThan(40);
+        assertThat(delays).hasSizeGreaterThan(40);
     }
 }
--- a/core/src/test/java/org/bankturn/routing/RetryBudgetTest.java
+++ b/core/src/test/java/org/bankturn/routing/RetryBudgetTest.java
@@ -17,19 +17,19 @@
     private final ManualClock clock = ManualClock.startingAt(1_000_000);
 
     @Test
-    void a_start_has_earned_nothing_yet() {
+    void new_budget_is_empty() {
         assertThat(spend(RetryBudget.of(0.2, 50, WINDOW_MILLIS, clock), 100)).isZero();
     }
 
     @Test
-    void a_part_of_what_a_window_earned_and_half_of_the_allowance_may_be_spent_at_one_moment() {
+    void carry_over_is_bounded() {
         RetryBudget budget = RetryBudget.of(0.2, 20, WINDOW_MILLIS, clock);
         requests(budget, 200, 40);
         assertThat(spend(budget, 100)).isBetween(19, 20);
     }
 
     @Test
-    void what_was_spent_comes_back_only_with_new_requests_and_with_time() {
+    void budget_refills_only_with_requests_and_time() {
         RetryBudget budget = RetryBudget.of(0.2, 20, WINDOW_MILLIS, clock);
         requests(budget, 200, 40);
         spend(budget, 100);
@@ -41,7 +41,7 @@
     }
 
     @Test
-    void a_sustained_failure_has_the_whole_share_of_the_requests_retried() {
+    void sustained_failure_may_use_the_whole_share() {
         RetryBudget budget = RetryBudget.of(0.2, 0, WINDOW_MILLIS, clock);
         int spent = 0;
         for (int request = 0; request < 2_000; request++) {
@@ -52,7 +52,7 @@
     }
 
     @Test
-    void in_no_window_there_are_more_retries_than_its_requests_and_those_just_before_allow() {
+    void retries_stay_within_the_share_in_every_window() {
         UniformRandomProvider random = RandomSource.XO_RO_SHI_RO_128_PP.create(7);
         double earned = ALLOWED_SHARE / (1 + RetryBudget.CARRY_OVER_SHARE);
         RetryBudget budget = RetryBudget.of(earned, 2, WINDOW_MILLIS, clock);
@@ -74,15 +74,15 @@
     }
 
     @Test
-    void shares_and_windows_of_nothing_are_refused() {
+    void zero_share_and_zero_window_are_rejected() {
         assertThatThrownBy(() -> RetryBudget.of(0, 1, WINDOW_MILLIS, clock))
                 .isInstanceOf(IllegalArgumentException.class);
         assertThatThrownBy(() -> RetryBudget.of(0.1, 1, 0, clock)).isInstanceOf(IllegalArgumentException.class);
     }
 
-    private static long countInWindow(List<Long> moments, long end) {
-        return moments.stream()
-                .filter(moment -> moment > end - WINDOW_MILLIS && moment <= end)
+    private static long countInWindow(List<Long> times, long end) {
+        return times.stream()
+                .filter(time -> time > end - WINDOW_MILLIS && time <= end)
                 .count();
     }
 
--- a/core/src/test/java/org/bankturn/routing/RoutingTest.java
+++ b/core/src/test/java/org/bankturn/routing/RoutingTest.java
@@ -69,7 +69,7 @@
     }
 
     @Test
-    void the_own_hall_goes_first_and_others_only_where_the_files_allow() {
+    void local_hall_comes_first_and_others_only_where_allowed() {
         everyBoxServes();
         assertThat(candidates("chat", "wide")).containsExactly("here-chat");
         view.failed("here-chat");
@@ -83,7 +83,7 @@
     }
 
     @Test
-    void weights_are_never_planned_into_a_hall_that_the_model_does_not_allow() {
+    void weights_are_not_assigned_to_halls_that_the_model_does_not_allow() {
         Box abroad = configuration.box("abroad-chat").orElseThrow();
         assertThat(configuration.modelOn(abroad)).isEmpty();
         assertThat(configuration.boxesOf(configuration.model("m").orElseThrow()))
@@ -92,7 +92,7 @@
     }
 
     @Test
-    void whoever_says_first_that_a_target_leaves_is_believed() {
+    void any_source_may_report_that_a_target_leaves() {
         everyBoxServes();
         view.listedLeaving(Set.of("here-chat"));
         assertThat(candidates("chat", "narrow")).isEmpty();
@@ -106,13 +106,13 @@
     }
 
     @Test
-    void a_target_that_does_not_serve_the_version_in_service_gets_no_request() {
+    void target_without_the_version_in_service_is_not_eligible() {
         view.statusReceived(new TargetStatus("here-chat", List.of("b".repeat(64)), false, 0));
         assertThat(candidates("chat", "narrow")).isEmpty();
     }
 
     @Test
-    void proof_of_not_having_run_cannot_be_made_from_an_unknown_outcome() {
+    void unknown_outcome_is_no_proof_of_non_execution() {
         assertThatThrownBy(() -> NotRunProof.rejectedByTargetProcess(ResultCode.OUTCOME_UNKNOWN))
                 .isInstanceOf(IllegalArgumentException.class);
         assertThatThrownBy(() -> NotRunProof.rejectedByTargetProcess(ResultCode.ATTEMPT_DOUBLED))
@@ -135,7 +135,7 @@
     }
 
     @Test
-    void a_flooding_account_leaves_a_small_one_its_share() {
+    void flooding_account_does_not_starve_a_small_one() {
         FairAdmission admission = new FairAdmission();
         int admitted = 0;
         for (int request = 0; request < 300; request++) {
@@ -155,7 +155,7 @@
     }
 
     @Test
-    void a_refusal_under_load_says_when_to_come_back() {
+    void rejection_under_load_has_a_retry_delay() {
         FairAdmission admission = new FairAdmission();
         for (int request = 0; request < 300; request++) {
             admit(admission, "large", 9);
--- a/core/src/test/java/org/bankturn/routing/SilenceReplay.java
+++ b/core/src/test/java/org/bankturn/routing/SilenceReplay.java
@@ -7,10 +7,10 @@
 import org.bankturn.time.ManualClock;
 
 /**
- * Replays, in virtual time, a gateway whose open connections to all targets go silent at one moment while new ones work.
+ * Simulates, in virtual time, a gateway whose open connections all become silent at one time while new ones work.
  *
- * <p>A request takes the connection of its target that was kept last, or a new one; it is answered by a word every 40 ms. A
- * request that hears nothing for as long as {@link SilenceTimeout} allows goes to the next target, once.
+ * <p>A request uses the most recently pooled connection of its target, or a new one, and receives a chunk every 40 ms.
+ * After a silence of {@link SilenceTimeout} it is retried once at the next target.
  */
 final class SilenceReplay {
     private static final long STEP_MILLIS = 4;
@@ -18,7 +18,7 @@
     private static final long CHUNK_INTERVAL_MILLIS = 40;
     private static final int CHUNKS_PER_ANSWER = 8;
     private static final int TARGETS = 8;
-    /** Connections to each target that a busier moment before has left. */
+    /** The pooled connections to each target at the start. */
     private static final int IDLE_CONNECTIONS = 16;
 
     private static final int SENDS = 2;
@@ -64,7 +64,7 @@
         }
     }
 
-    /** Plays the load; with {@code learns} false every kept connection is trusted. */
+    /** Runs the simulation; without detection, every pooled connection is reused. */
     static SilenceReplay simulate(boolean detectsSilence) {
         SilenceReplay replay = new SilenceReplay(detectsSilence);
         while (replay.elapsedMillis() < END_MILLIS) {
@@ -90,7 +90,7 @@
         return inTime;
     }
 
-    /** Returns how often a request went out on a connection that was silent already. */
+    /** Returns how often a request was sent on a connection that was already silent. */
     int sentOnSilentConnections() {
         return sentOnSilentConnections;
     }
--- a/core/src/test/java/org/bankturn/routing/SilenceReplayTest.java
+++ b/core/src/test/java/org/bankturn/routing/SilenceReplayTest.java
@@ -4,18 +4,18 @@
 
 import org.junit.jupiter.api.Test;
 
-/** 83 requests a second to eight targets; in the second after the silence began 83 arrive. */
+/** Simulates 83 requests per second to eight targets whose connections become silent. */
 class SilenceReplayTest {
     private static final int SENT_BEFORE_DETECTION = 25;
     private static final int ARRIVED = 83;
 
-    /** Kept connections that are trusted for good take all requests until none is left. */
+    /** Guards against losing requests on silent pooled connections until all of them have timed out. */
     @Test
-    void requests_are_in_time_again_as_soon_as_no_target_has_spoken_for_a_while() {
+    void requests_recover_once_silence_is_detected() {
         SilenceReplay detecting = SilenceReplay.simulate(true);
         SilenceReplay reusingAll = SilenceReplay.simulate(false);
         System.out.printf(
-                "ran into silence, in time: %d, %d; trusting every kept connection: %d, %d%n",
+                "sent on silent connections, in time: %d, %d; reusing all connections: %d, %d%n",
                 detecting.sentOnSilentConnections(),
                 detecting.inTime(),
                 reusingAll.sentOnSilentConnections(),
--- a/core/src/test/java/org/bankturn/routing/TargetFlowControlTest.java
+++ b/core/src/test/java/org/bankturn/routing/TargetFlowControlTest.java
@@ -11,57 +11,57 @@
 
     private final TargetFlowControl flowControl = new TargetFlowControl();
 
-    private void permit(boolean granted, long inMillis, long askedMillis, long nowMillis) {
+    private void answerPermit(boolean granted, long inMillis, long askedMillis, long nowMillis) {
         flowControl.permitRequested();
         flowControl.permitAnswered(
                 new PermitCoordinator.Answer(flowControl.limit(), granted, inMillis), askedMillis, nowMillis);
     }
 
     @Test
-    void a_target_that_asked_for_nothing_gets_requests() {
+    void target_without_constraints_gets_requests() {
         assertThat(flowControl.acquire(NOW)).isEmpty();
         assertThat(flowControl.needsPermit(NOW)).isFalse();
     }
 
     @Test
-    void a_limited_target_gets_one_request_for_each_permit_and_none_without() {
+    void limited_target_gets_one_request_per_permit() {
         assertThat(flowControl.applyNotice(ONE_A_SECOND, true, NOW - 10, NOW))
                 .containsExactly(NoticeChange.LIMIT_NAMED);
         assertThat(flowControl.acquire(NOW)).contains(HoldReason.RATE_LIMITED);
         assertThat(flowControl.needsPermit(NOW)).isTrue();
-        permit(true, 100, NOW, NOW + 2);
+        answerPermit(true, 100, NOW, NOW + 2);
         assertThat(flowControl.acquire(NOW + 50)).contains(HoldReason.RATE_LIMITED);
         assertThat(flowControl.acquire(NOW + 102)).isEmpty();
         assertThat(flowControl.acquire(NOW + 103)).contains(HoldReason.RATE_LIMITED);
     }
 
     @Test
-    void a_permit_is_lost_once_its_time_is_over() {
+    void permit_expires() {
         flowControl.applyNotice(ONE_A_SECOND, true, NOW - 10, NOW);
-        permit(true, 100, NOW, NOW + 2);
+        answerPermit(true, 100, NOW, NOW + 2);
         long over = NOW + 100 + PermitCoordinator.PERMIT_VALIDITY_MILLIS;
         assertThat(flowControl.acquire(over)).contains(HoldReason.RATE_LIMITED);
         assertThat(flowControl.needsPermit(over)).isTrue();
     }
 
     @Test
-    void a_permit_that_comes_late_is_valid_no_longer_for_it() {
+    void late_permit_is_not_extended() {
         flowControl.applyNotice(ONE_A_SECOND, true, NOW - 10, NOW);
-        permit(true, 0, NOW, NOW + PermitCoordinator.PERMIT_VALIDITY_MILLIS);
+        answerPermit(true, 0, NOW, NOW + PermitCoordinator.PERMIT_VALIDITY_MILLIS);
         assertThat(flowControl.acquire(NOW + PermitCoordinator.PERMIT_VALIDITY_MILLIS))
                 .contains(HoldReason.RATE_LIMITED);
     }
 
     @Test
-    void a_gateway_asks_again_when_it_was_told_to_and_not_before() {
+    void permit_is_requested_again_only_after_the_given_delay() {
         flowControl.applyNotice(ONE_A_SECOND, true, NOW - 10, NOW);
-        permit(false, 700, NOW, NOW + 2);
+        answerPermit(false, 700, NOW, NOW + 2);
         assertThat(flowControl.needsPermit(NOW + 701)).isFalse();
         assertThat(flowControl.needsPermit(NOW + 702)).isTrue();
     }
 
     @Test
-    void an_answer_to_a_request_that_was_sent_before_the_limit_was_named_does_not_end_it() {
+    void response_to_a_request_sent_before_the_limit_does_not_end_it() {
         flowControl.applyNotice(ONE_A_SECOND, true, NOW - 10, NOW);
         assertThat(flowControl.applyNotice(TargetNotice.NONE, true, NOW - 5, NOW + 20))
                 .isEmpty();
@@ -72,7 +72,7 @@
     }
 
     @Test
-    void a_rejection_that_names_no_limit_does_not_end_it() {
+    void rejection_without_a_limit_does_not_end_it() {
         flowControl.applyNotice(ONE_A_SECOND, true, NOW - 10, NOW);
         assertThat(flowControl.applyNotice(TargetNotice.NONE, false, NOW + 1, NOW + 20))
                 .isEmpty();
@@ -80,7 +80,7 @@
     }
 
     @Test
-    void a_limit_that_changes_or_is_named_again_goes_on() {
+    void repeated_or_changed_limit_stays_in_force() {
         flowControl.applyNotice(ONE_A_SECOND, true, NOW - 10, NOW);
         assertThat(flowControl.applyNotice(ONE_A_SECOND, true, NOW + 5, NOW + 10))
                 .isEmpty();
@@ -89,7 +89,7 @@
     }
 
     @Test
-    void the_end_of_a_limit_that_another_gateway_saw_counts_here() {
+    void end_of_a_limit_seen_by_another_gateway_applies() {
         flowControl.applyNotice(ONE_A_SECOND, true, NOW - 10, NOW);
         flowControl.permitRequested();
         flowControl.permitAnswered(
@@ -98,7 +98,7 @@
     }
 
     @Test
-    void a_target_that_asked_to_wait_gets_nothing_until_the_longest_wait_is_over() {
+    void longest_back_off_applies() {
         assertThat(flowControl.applyNotice(
                         new TargetNotice(OptionalDouble.empty(), 3_000, false), false, NOW - 10, NOW))
                 .containsExactly(NoticeChange.BACKS_OFF);
@@ -109,7 +109,7 @@
     }
 
     @Test
-    void a_wait_of_ages_ends_within_an_hour() {
+    void back_off_is_capped_at_an_hour() {
         flowControl.applyNotice(new TargetNotice(OptionalDouble.empty(), Long.MAX_VALUE, false), false, NOW - 10, NOW);
         assertThat(flowControl.acquire(NOW + TargetFlowControl.MAX_BACK_OFF_MILLIS - 1))
                 .contains(HoldReason.BACKING_OFF);
@@ -118,7 +118,7 @@
     }
 
     @Test
-    void a_leaving_target_gets_nothing_whatever_else_it_says() {
+    void leaving_target_gets_no_requests() {
         assertThat(flowControl.applyNotice(new TargetNotice(OptionalDouble.of(1), 10, true), true, NOW - 10, NOW))
                 .containsExactlyInAnyOrder(NoticeChange.LIMIT_NAMED, NoticeChange.BACKS_OFF, NoticeChange.LEAVES);
         assertThat(flowControl.applyNotice(TargetNotice.NONE, true, NOW + 5, NOW + 10))
@@ -129,7 +129,7 @@
     }
 
     @Test
-    void a_target_that_waits_and_is_limited_is_asked_no_permit_for() {
+    void no_permit_is_requested_during_back_off() {
         flowControl.applyNotice(new TargetNotice(OptionalDouble.of(1), 500, false), false, NOW - 10, NOW);
         assertThat(flowControl.needsPermit(NOW + 499)).isFalse();
         assertThat(flowControl.needsPermit(NOW + 500)).isTrue();
--- a/core/src/test/java/org/bankturn/routing/TargetTableTest.java
+++ b/core/src/test/java/org/bankturn/routing/TargetTableTest.java
@@ -28,7 +28,7 @@
     private final List<TargetSighting> sightings = new ArrayList<>();
 
     @Test
-    void a_request_stays_in_its_hall_while_engines_there_are_comfortable() {
+    void request_stays_local_while_local_engines_have_capacity() {
         add("near", "here");
         add("far", "there");
         report("near", new EngineLoad(6, 0, 0, 0, 1, false));
@@ -37,7 +37,7 @@
     }
 
     @Test
-    void a_request_leaves_its_hall_when_engines_there_are_full() {
+    void request_goes_remote_when_local_engines_are_full() {
         add("near", "here");
         add("far", "there");
         report("near", FULL);
@@ -46,7 +46,7 @@
     }
 
     @Test
-    void only_engines_of_which_there_is_no_fresh_news_are_asked() {
+    void only_engines_without_fresh_load_are_polled() {
         add("old", "here");
         add("new", "here");
         report("old", EngineLoad.NONE);
@@ -58,7 +58,7 @@
     }
 
     @Test
-    void engines_of_other_halls_are_asked_only_for_a_request_that_would_leave() {
+    void remote_engines_are_polled_only_on_request() {
         add("near", "here");
         add("far", "there");
         assertThat(table.targetsToPoll(requirements(), false)).containsExactly("near");
@@ -66,7 +66,7 @@
     }
 
     @Test
-    void fresh_news_goes_before_old_news_that_looks_better() {
+    void fresh_load_is_preferred_to_better_stale_load() {
         add("old", "here");
         add("new", "here");
         report("old", EngineLoad.NONE);
@@ -76,7 +76,7 @@
     }
 
     @Test
-    void a_target_that_failed_is_taken_only_if_there_is_no_other() {
+    void failed_target_is_chosen_only_as_a_last_resort() {
         add("failed", "here");
         Candidate only = table.choose(requirements()).orElseThrow();
         only.target().requestFailed(clock.millis());
@@ -86,7 +86,7 @@
     }
 
     @Test
-    void a_question_that_stays_open_makes_its_target_look_slow_until_it_answers() {
+    void unanswered_poll_increases_the_prediction_until_answered() {
         add("silent", "here");
         long asked = clock.millis();
         clock.advance(25);
@@ -96,14 +96,9 @@
         assertThat(predictedMillis()).isLessThan(200);
     }
 
-    /**
-     * A question for an engine's load that got no answer within 25 ms made the way there count as 400 ms, more than any
-     * request is admitted with. When the connections to the processes beside the engines went silent together, every engine
-     * looked far away, and requests were refused although the engines were well: in one run 22 of 41 sent in the first half
-     * second; in another all 26 lines of refusals had "400 ms of it on the way".
-     */
+    /** Guards against rejecting requests when polls to all engines become silent at the same time. */
     @Test
-    void questions_that_several_engines_leave_open_while_none_answers_make_none_of_them_look_slow() {
+    void polls_unanswered_by_all_engines_do_not_increase_predictions() {
         add("one", "here");
         add("other", "here");
         report("one", EngineLoad.NONE);
@@ -117,7 +112,7 @@
     }
 
     @Test
-    void questions_that_stay_open_while_another_engine_answers_make_their_engines_look_slow() {
+    void unanswered_polls_count_if_another_engine_answers() {
         add("one", "here");
         add("other", "here");
         add("well", "here");
@@ -132,7 +127,7 @@
     }
 
     @Test
-    void requests_that_ended_since_the_news_are_no_longer_counted() {
+    void requests_ended_since_the_load_report_do_not_count() {
         add("near", "here");
         TargetState state = table.choose(requirements()).orElseThrow().target();
         long sent = clock.millis();
@@ -146,9 +141,9 @@
         assertThat(predictedMillis()).isLessThan(busy);
     }
 
-    /** Its path may have become slow since; a request that is held up on it would begin on weights that are no longer due. */
+    /** Guards against starting on outdated weights after the path became slow. */
     @Test
-    void a_target_with_older_weights_and_old_news_takes_nothing_shortly_before_newer_ones_are_due() {
+    void target_with_old_weights_and_stale_load_is_excluded_before_a_deadline() {
         add("near", "here");
         report("near", EngineLoad.NONE);
         VersionDeadlines deadlines = VersionDeadlines.none();
@@ -162,7 +157,7 @@
     }
 
     @Test
-    void an_engine_that_will_soon_break_off_takes_a_request_only_where_others_would_be_later_still() {
+    void engine_about_to_interrupt_is_chosen_only_if_others_are_slower() {
         add("turning", "here");
         add("staying", "here");
         report("turning", EngineLoad.NONE);
@@ -175,7 +170,7 @@
     }
 
     @Test
-    void an_engine_that_has_broken_off_is_as_good_as_others_again() {
+    void past_interruption_has_no_cost() {
         add("turning", "here");
         add("staying", "here");
         table.interruptionAnnounced("turning", 400);
@@ -186,7 +181,7 @@
     }
 
     @Test
-    void a_break_off_that_is_farther_off_than_answers_last_hardly_counts() {
+    void distant_interruption_has_little_cost() {
         add("turning", "here");
         add("staying", "here");
         report("turning", EngineLoad.NONE);
@@ -215,7 +210,7 @@
     }
 
     @Test
-    void a_target_that_is_held_back_is_not_taken_even_if_there_is_no_other() {
+    void held_back_target_is_never_chosen() {
         add("only", "here");
         TargetState only = state("only");
         only.applyNotice(new TargetNotice(OptionalDouble.empty(), 2_000, false), false, clock.millis(), clock.millis());
@@ -230,7 +225,7 @@
     }
 
     @Test
-    void a_target_that_leaves_does_not_come_back() {
+    void leaving_target_is_not_released() {
         add("only", "here");
         state("only")
                 .applyNotice(new TargetNotice(OptionalDouble.empty(), 0, true), true, clock.millis(), clock.millis());
@@ -240,7 +235,7 @@
     }
 
     @Test
-    void a_limited_target_is_asked_permits_for_once_and_goes_first_while_there_is_one() {
+    void limited_target_gets_one_permit_request_and_is_preferred_with_a_permit() {
         add("limited", "here");
         TargetState limited = state("limited");
         limited.applyNotice(LIMITED, true, clock.millis(), clock.millis());
@@ -260,7 +255,7 @@
     }
 
     @Test
-    void permits_of_another_hall_are_wanted_only_by_requests_that_would_leave() {
+    void remote_permits_are_requested_only_for_requests_that_would_go_remote() {
         add("far", "there");
         TargetState far = state("far");
         far.applyNotice(LIMITED, true, clock.millis(), clock.millis());
@@ -273,9 +268,9 @@
         assertThat(table.drainPermitRequests()).containsExactly(far);
     }
 
-    /** Cut off from the control group for a while, a target is dropped and listed again; it is the same start of it. */
+    /** A target that loses contact with the control group is removed and listed again as the same incarnation. */
     @Test
-    void a_target_that_is_listed_again_has_asked_for_what_it_asked_for() {
+    void relisted_target_keeps_its_constraints() {
         add("cut", "here");
         state("cut").applyNotice(new TargetNotice(OptionalDouble.of(1), 0, true), true, clock.millis(), clock.millis());
         sightings.clear();
@@ -286,7 +281,7 @@
     }
 
     @Test
-    void a_target_that_starts_again_has_asked_for_nothing() {
+    void restarted_target_has_no_constraints() {
         add("first", "here");
         state("first")
                 .applyNotice(
--- a/core/src/test/java/org/bankturn/routing/VersionDeadlinesTest.java
+++ b/core/src/test/java/org/bankturn/routing/VersionDeadlinesTest.java
@@ -8,13 +8,13 @@
     private final VersionDeadlines deadlines = VersionDeadlines.none();
 
     @Test
-    void without_a_named_version_any_will_do() {
+    void without_announced_versions_any_is_allowed() {
         assertThat(deadlines.minVersion(1_000)).isZero();
         assertThat(deadlines.canStartInTime(0, 1_000, 500)).isTrue();
     }
 
     @Test
-    void the_newest_version_that_is_due_is_the_least() {
+    void newest_version_past_its_deadline_is_the_minimum() {
         deadlines.versionAnnounced(2, 7_000);
         deadlines.versionAnnounced(3, 9_000);
         assertThat(deadlines.minVersion(6_999)).isZero();
@@ -23,15 +23,15 @@
     }
 
     @Test
-    void naming_a_version_again_does_not_put_it_off() {
+    void repeated_announcement_does_not_extend_the_deadline() {
         deadlines.versionAnnounced(2, 7_000);
         deadlines.versionAnnounced(2, 8_000);
         assertThat(deadlines.minVersion(7_500)).isEqualTo(2);
     }
 
-    /** A request on a link that was squeezed came 1.7 s after it was sent, when the version it began on was long due. */
+    /** Guards against requests that are delayed on a slow link and start on outdated weights. */
     @Test
-    void a_target_that_is_slow_to_begin_takes_nothing_shortly_before_a_newer_version_is_due() {
+    void slow_target_gets_no_request_shortly_before_a_deadline() {
         deadlines.versionAnnounced(2, 7_000);
         assertThat(deadlines.canStartInTime(1, 6_000, 700)).isFalse();
         assertThat(deadlines.canStartInTime(1, 6_000, 120)).isTrue();
@@ -40,7 +40,7 @@
     }
 
     @Test
-    void the_earliest_of_several_newer_versions_counts() {
+    void earliest_deadline_of_newer_versions_applies() {
         deadlines.versionAnnounced(2, 7_000);
         deadlines.versionAnnounced(3, 9_000);
         assertThat(deadlines.canStartInTime(1, 8_000, 100)).isFalse();
--- a/core/src/test/java/org/bankturn/routing/WatchPlanTest.java
+++ b/core/src/test/java/org/bankturn/routing/WatchPlanTest.java
@@ -14,13 +14,13 @@
     private static final PlacementSettings SETTINGS = PlacementSettings.DEFAULT;
 
     @Test
-    void a_few_engines_are_all_watched() {
+    void few_engines_are_all_watched() {
         assertThat(plan(0).watched(engines("here", 5), gateways(3), 0)).hasSize(5);
     }
 
-    /** Sizes of letter 1: 21 engines a gateway. */
+    /** 1128 engines and 53 gateways: about 21 engines per gateway. */
     @Test
-    void every_engine_of_a_large_hall_is_watched_by_several_gateways_and_none_by_most() {
+    void each_engine_of_a_large_hall_is_watched_by_a_few_gateways() {
         List<WatchPlan.Engine> engines = engines("here", 1_128);
         Map<String, Integer> watchers = new HashMap<>();
         for (int gateway = 0; gateway < 53; gateway++) {
@@ -31,7 +31,7 @@
     }
 
     @Test
-    void a_gateway_that_dies_moves_the_others_by_a_few_engines() {
+    void removed_gateway_changes_few_assignments() {
         List<WatchPlan.Engine> engines = engines("here", 29);
         Set<String> fewer = gateways(10);
         fewer.remove("gateway-3");
@@ -42,14 +42,14 @@
     }
 
     @Test
-    void a_gateway_with_many_requests_under_way_watches_more() {
+    void gateway_with_many_requests_in_flight_watches_more_engines() {
         List<WatchPlan.Engine> engines = engines("here", 29);
         assertThat(plan(0).watched(engines, gateways(10), 0)).hasSize(9);
         assertThat(plan(0).watched(engines, gateways(10), 70)).hasSize(18);
     }
 
     @Test
-    void some_engines_of_other_halls_are_watched_and_not_the_same_by_all() {
+    void remote_engines_are_watched_by_different_gateways() {
         List<WatchPlan.Engine> engines = engines("there", 40);
         Set<String> all = new HashSet<>();
         for (int gateway = 0; gateway < 10; gateway++) {
@@ -60,9 +60,9 @@
         assertThat(all).hasSizeGreaterThan(20);
     }
 
-    /** Three halls of five engines are one pool: a gateway that misses the free ones refuses what could be served. */
+    /** Guards against a gateway missing free engines in a small deployment. */
     @Test
-    void a_small_deployment_is_watched_as_a_whole() {
+    void small_deployment_is_watched_entirely() {
         List<WatchPlan.Engine> engines = new ArrayList<>(engines("here", 5));
         for (int number = 5; number < 15; number++) {
             engines.add(new WatchPlan.Engine("engine-" + number, "there", 8));
@@ -71,7 +71,7 @@
     }
 
     @Test
-    void a_gateway_that_is_not_published_yet_watches_as_one_more() {
+    void unpublished_gateway_watches_engines() {
         assertThat(plan(99).watched(engines("here", 29), gateways(10), 0)).isNotEmpty();
     }
 
