--- a/core/src/main/java/org/bankturn/membership/TargetView.java
+++ b/core/src/main/java/org/bankturn/membership/TargetView.java
@@ -25,7 +25,7 @@
     private volatile Set<String> listedLeaving = Set.of();
 
     private record Entry(
-            TargetStatus status, long statusMillis, boolean leavingRefused, int failures, long backoffUntilMillis) {}
+            TargetStatus status, long statusMillis, boolean refusedAsLeaving, int failures, long backoffUntilMillis) {}
 
     /**
      * Creates a view without targets.
@@ -75,7 +75,7 @@
             int failures = entry.failures() + 1;
             long backoffMillis = INITIAL_BACKOFF_MILLIS << Math.min(failures - 1, MAX_DOUBLINGS);
             long until = now + Math.min(backoffMillis, MAX_BACKOFF_MILLIS);
-            return new Entry(entry.status(), entry.statusMillis(), entry.leavingRefused(), failures, until);
+            return new Entry(entry.status(), entry.statusMillis(), entry.refusedAsLeaving(), failures, until);
         });
     }
 
@@ -100,7 +100,7 @@
         }
         Entry entry = targets.getOrDefault(box, UNKNOWN);
         boolean reportsLeaving = entry.status() != null && entry.status().leaving();
-        return !reportsLeaving && !entry.leavingRefused() && clock.millis() >= entry.backoffUntilMillis();
+        return !reportsLeaving && !entry.refusedAsLeaving() && clock.millis() >= entry.backoffUntilMillis();
     }
 
     /**
