--- a/daemon/src/main/java/org/bankturn/daemon/weights/CopyContext.java
+++ b/daemon/src/main/java/org/bankturn/daemon/weights/CopyContext.java
@@ -28,7 +28,7 @@
     boolean engineServes();
 
     /** Returns true if this process fetches a piece without a request for it. */
-    boolean wants(int version, int piece);
+    boolean shouldFetch(int version, int piece);
 
     /** Returns the current routing for a version. */
     PieceRouting routing(int version);
--- a/daemon/src/main/java/org/bankturn/daemon/weights/ProcessCopyContext.java
+++ b/daemon/src/main/java/org/bankturn/daemon/weights/ProcessCopyContext.java
@@ -99,7 +99,7 @@
     }
 
     @Override
-    public boolean wants(int version, int piece) {
+    public boolean shouldFetch(int version, int piece) {
         return participant.wants(routing(version), piece);
     }
 
--- a/daemon/src/main/java/org/bankturn/daemon/weights/WeightsCopy.java
+++ b/daemon/src/main/java/org/bankturn/daemon/weights/WeightsCopy.java
@@ -94,7 +94,7 @@
     void start() {
         fetcher.fetch(MANIFEST);
         for (int piece = 0; piece < layout.pieces(); piece++) {
-            if (fetcher.isOriginFetcher(piece) && context.wants(version, piece)) {
+            if (fetcher.isOriginFetcher(piece) && context.shouldFetch(version, piece)) {
                 request(piece);
             }
         }
@@ -208,7 +208,7 @@
         notifyWaiters(MANIFEST);
         verifyEarlyPieces();
         for (int piece = 0; piece < pieces.length; piece++) {
-            if (context.wants(version, piece)) {
+            if (context.shouldFetch(version, piece)) {
                 request(piece);
             }
         }
--- a/daemon/src/test/java/org/bankturn/daemon/weights/FetchSchedulerTest.java
+++ b/daemon/src/test/java/org/bankturn/daemon/weights/FetchSchedulerTest.java
@@ -163,7 +163,7 @@
         }
 
         @Override
-        public boolean wants(int wanted, int piece) {
+        public boolean shouldFetch(int wanted, int piece) {
             return true;
         }
 
--- a/daemon/src/test/java/org/bankturn/daemon/weights/ScriptedBox.java
+++ b/daemon/src/test/java/org/bankturn/daemon/weights/ScriptedBox.java
@@ -106,7 +106,7 @@
     }
 
     @Override
-    public boolean wants(int version, int piece) {
+    public boolean shouldFetch(int version, int piece) {
         return !relay || routing(version).isHallFetcher(piece);
     }
 
