--- a/daemon/src/main/java/org/bankturn/daemon/weights/ProcessCopyContext.java
+++ b/daemon/src/main/java/org/bankturn/daemon/weights/ProcessCopyContext.java
@@ -50,7 +50,7 @@
         PieceRouting plan(int version);
 
         /** Returns true if the routing has this process fetch a piece without a request for it. */
-        boolean wants(PieceRouting plan, int piece);
+        boolean shouldFetch(PieceRouting plan, int piece);
 
         /** Returns true if an engine on this box holds weights, so that its requests share the link. */
         boolean engineServes();
@@ -100,7 +100,7 @@
 
     @Override
     public boolean shouldFetch(int version, int piece) {
-        return participant.wants(routing(version), piece);
+        return participant.shouldFetch(routing(version), piece);
     }
 
     @Override
--- a/daemon/src/main/java/org/bankturn/daemon/weights/WeightsAgent.java
+++ b/daemon/src/main/java/org/bankturn/daemon/weights/WeightsAgent.java
@@ -344,7 +344,7 @@
         }
 
         @Override
-        public boolean wants(PieceRouting plan, int piece) {
+        public boolean shouldFetch(PieceRouting plan, int piece) {
             return true;
         }
 
--- a/daemon/src/main/java/org/bankturn/daemon/weights/WeightsRelay.java
+++ b/daemon/src/main/java/org/bankturn/daemon/weights/WeightsRelay.java
@@ -190,7 +190,7 @@
         }
 
         @Override
-        public boolean wants(PieceRouting plan, int piece) {
+        public boolean shouldFetch(PieceRouting plan, int piece) {
             return plan.isHallFetcher(piece);
         }
 
