--- a/daemon/src/main/java/org/bankturn/daemon/weights/ProcessCopyContext.java
+++ b/daemon/src/main/java/org/bankturn/daemon/weights/ProcessCopyContext.java
@@ -47,7 +47,7 @@
         int originSharers();
 
         /** Returns the current routing for a version. */
-        PieceRouting plan(int version);
+        PieceRouting routing(int version);
 
         /** Returns true if the routing has this process fetch a piece without a request for it. */
         boolean shouldFetch(PieceRouting plan, int piece);
@@ -106,7 +106,7 @@
     @Override
     public PieceRouting routing(int version) {
         if (routing == null || routingIndex != participant.index() || routingVersion != version) {
-            routing = participant.plan(version);
+            routing = participant.routing(version);
             routingIndex = participant.index();
             routingVersion = version;
         }
--- a/daemon/src/main/java/org/bankturn/daemon/weights/WeightsAgent.java
+++ b/daemon/src/main/java/org/bankturn/daemon/weights/WeightsAgent.java
@@ -337,7 +337,7 @@
         }
 
         @Override
-        public PieceRouting plan(int version) {
+        public PieceRouting routing(int version) {
             WeightsPeers peers = peers();
             return PieceRouting.of(self(), boxes(), version, peers.originConnections())
                     .withRelays(peers.relays());
--- a/daemon/src/main/java/org/bankturn/daemon/weights/WeightsRelay.java
+++ b/daemon/src/main/java/org/bankturn/daemon/weights/WeightsRelay.java
@@ -180,7 +180,7 @@
         }
 
         @Override
-        public PieceRouting plan(int version) {
+        public PieceRouting routing(int version) {
             WeightsPeers peers = peers();
             WeightsPeer self = new WeightsPeer(settings.nodeAddress().toString(), settings.dataHall(), NO_ENGINE);
             Set<WeightsPeer> relays = new LinkedHashSet<>(peers.relays());
