--- a/core/src/main/java/org/bankturn/weights/ChangeMethod.java
+++ b/core/src/main/java/org/bankturn/weights/ChangeMethod.java
@@ -10,8 +10,8 @@
 
     private final double latestStartShare;
 
-    ChangeMethod(double lastShare) {
-        this.latestStartShare = lastShare;
+    ChangeMethod(double latestStartShare) {
+        this.latestStartShare = latestStartShare;
     }
 
     /**
