--- a/daemon/src/main/java/org/bankturn/daemon/weights/ProcessCopyContext.java
+++ b/daemon/src/main/java/org/bankturn/daemon/weights/ProcessCopyContext.java
@@ -47,10 +47,10 @@
         int originSharers();
 
         /** Returns the current routing for a version. */
-        PieceRouting plan(int version);
+        PieceRouting routing(int version);
 
         /** Returns true if the routing has this process fetch a piece without a request for it. */
-        boolean wants(PieceRouting plan, int piece);
+        boolean shouldFetch(PieceRouting plan, int piece);
 
         /** Returns true if an engine on this box holds weights, so that its requests share the link. */
         boolean engineServes();
@@ -99,14 +99,14 @@
     }
 
     @Override
-    public boolean wants(int version, int piece) {
-        return participant.wants(routing(version), piece);
+    public boolean shouldFetch(int version, int piece) {
+        return participant.shouldFetch(routing(version), piece);
     }
 
     @Override
     public PieceRouting routing(int version) {
         if (routing == null || routingIndex != participant.index() || routingVersion != version) {
-            routing = participant.plan(version);
+            routing = participant.routing(version);
             routingIndex = participant.index();
             routingVersion = version;
         }
--- a/daemon/src/main/java/org/bankturn/daemon/weights/WeightsAgent.java
+++ b/daemon/src/main/java/org/bankturn/daemon/weights/WeightsAgent.java
@@ -337,14 +337,14 @@
         }
 
         @Override
-        public PieceRouting plan(int version) {
+        public PieceRouting routing(int version) {
             WeightsPeers peers = peers();
             return PieceRouting.of(self(), boxes(), version, peers.originConnections())
                     .withRelays(peers.relays());
         }
 
         @Override
-        public boolean wants(PieceRouting plan, int piece) {
+        public boolean shouldFetch(PieceRouting plan, int piece) {
             return true;
         }
 
--- a/daemon/src/main/java/org/bankturn/daemon/weights/WeightsRelay.java
+++ b/daemon/src/main/java/org/bankturn/daemon/weights/WeightsRelay.java
@@ -180,7 +180,7 @@
         }
 
         @Override
-        public PieceRouting plan(int version) {
+        public PieceRouting routing(int version) {
             WeightsPeers peers = peers();
             WeightsPeer self = new WeightsPeer(settings.nodeAddress().toString(), settings.dataHall(), NO_ENGINE);
             Set<WeightsPeer> relays = new LinkedHashSet<>(peers.relays());
@@ -190,7 +190,7 @@
         }
 
         @Override
-        public boolean wants(PieceRouting plan, int piece) {
+        public boolean shouldFetch(PieceRouting plan, int piece) {
             return plan.isHallFetcher(piece);
         }
 
