--- a/core/src/main/java/org/bankturn/routing/PermitCoordinator.java
+++ b/core/src/main/java/org/bankturn/routing/PermitCoordinator.java
@@ -71,7 +71,7 @@
         }
 
         private void startAt(long now) {
-            nextMillis = now + limit.paceMillis();
+            nextMillis = now + limit.intervalMillis();
         }
 
         private int countWaiters(String gateway, long now) {
@@ -134,7 +134,7 @@
 
     private Answer reserve(Schedule schedule, String gateway, long now) {
         int waiters = schedule.countWaiters(gateway, now);
-        double pace = schedule.limit.paceMillis();
+        double pace = schedule.limit.intervalMillis();
         // the next time may lie far ahead if the limit was lower before
         double next = Math.min(Math.max((double) now, schedule.nextMillis), now + RESERVATION_HORIZON_MILLIS + pace);
         if (next - now <= RESERVATION_HORIZON_MILLIS) {
--- a/core/src/main/java/org/bankturn/routing/RateLimit.java
+++ b/core/src/main/java/org/bankturn/routing/RateLimit.java
@@ -50,7 +50,7 @@
     }
 
     /** Returns the interval between two requests. */
-    double paceMillis() {
+    double intervalMillis() {
         return MILLIS_PER_SECOND / perSecond;
     }
 }
--- a/core/src/main/java/org/bankturn/routing/TargetFlowControl.java
+++ b/core/src/main/java/org/bankturn/routing/TargetFlowControl.java
@@ -65,7 +65,7 @@
         if (permitUntilMillis > nowMillis) {
             return untilPermitUsableMillis(nowMillis);
         }
-        return Math.max(0, nextPermitRequestMillis - nowMillis) + Math.round(limit.paceMillis());
+        return Math.max(0, nextPermitRequestMillis - nowMillis) + Math.round(limit.intervalMillis());
     }
 
     /** Returns true if there are constraints that may still be in force. */
