--- a/core/src/main/java/org/bankturn/routing/NoticeChange.java
+++ b/core/src/main/java/org/bankturn/routing/NoticeChange.java
@@ -16,7 +16,7 @@
     LEAVES;
 
     /** Returns true if the change concerns the target's rate limit, which all gateways share. */
-    public boolean isOfLimit() {
+    public boolean affectsRateLimit() {
         return this == LIMIT_NAMED || this == LIMIT_CHANGED || this == LIMIT_ENDED;
     }
 
--- a/daemon/src/main/java/org/bankturn/daemon/gateway/Attempt.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/Attempt.java
@@ -168,7 +168,7 @@
                     .with(DecisionField.PER_SECOND, target.rateLimit().perSecond())
                     .with(DecisionField.BACK_OFF_MS, read.notice().backOffMillis())
                     .write();
-            if (change.isOfLimit()) {
+            if (change.affectsRateLimit()) {
                 gateway.limitChanged(target);
             }
         }
