--- a/core/src/main/java/org/bankturn/routing/RequestPolicy.java
+++ b/core/src/main/java/org/bankturn/routing/RequestPolicy.java
@@ -135,7 +135,7 @@
     // ---- decisions
 
     /** Registers a new request, which earns part of a retry. */
-    public void arrived(RequestProgress request) {
+    public void requestArrived(RequestProgress request) {
         retryBudget(request.service()).recordRequest();
         if (callerRetries.isRetry(request.route().name(), request.deadlineMillis() - clock.millis())) {
             request.markCallerRetry();
--- a/core/src/test/java/org/bankturn/routing/RequestPolicyTest.java
+++ b/core/src/test/java/org/bankturn/routing/RequestPolicyTest.java
@@ -171,7 +171,7 @@
 
     private RequestProgress callerRetry() {
         RequestProgress request = RequestProgress.of(ROUTE, SERVICE, 1_000, clock.millis() + 5_000);
-        policy.arrived(request);
+        policy.requestArrived(request);
         return request;
     }
 
@@ -246,7 +246,7 @@
 
     private RequestProgress request() {
         RequestProgress request = RequestProgress.of(ROUTE, SERVICE, 1_000, clock.millis() + 6_000);
-        policy.arrived(request);
+        policy.requestArrived(request);
         return request;
     }
 
--- a/core/src/test/java/org/bankturn/routing/RetriesAcrossRestartsTest.java
+++ b/core/src/test/java/org/bankturn/routing/RetriesAcrossRestartsTest.java
@@ -72,7 +72,7 @@
 
         void serve(boolean rejected) {
             RequestProgress request = RequestProgress.of(ROUTE, SERVICE, 100, clock.millis() + 6_000);
-            policy.arrived(request);
+            policy.requestArrived(request);
             requests.add(clock.millis());
             if (isSent(request) && rejected) {
                 request.sent();
--- a/daemon/src/main/java/org/bankturn/daemon/gateway/ForwardedRequest.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/ForwardedRequest.java
@@ -79,7 +79,7 @@
 
     private void begin() {
         gateway.began(this);
-        gateway.policy().arrived(progress);
+        gateway.policy().requestArrived(progress);
         exchange.whenGone(this::callerLeft);
         gateway.reactor().delayBackground(Math.max(1, endMillis - now()), this::timeOut);
         sendToNext();
--- a/standins/src/main/java/org/bankturn/replay/ReplayedGateway.java
+++ b/standins/src/main/java/org/bankturn/replay/ReplayedGateway.java
@@ -165,7 +165,7 @@
             call.refused((double) RetryAfter.CONDEMNED_MILLIS);
             return;
         }
-        policy.arrived(progress);
+        policy.requestArrived(progress);
         Forwarded forwarded = new Forwarded(call, progress);
         time.after(call.endMillis() - time.now(), forwarded::timeUp);
         forwarded.sendToNext();
