--- a/core/src/main/java/org/bankturn/routing/PredictionCorrection.java
+++ b/core/src/main/java/org/bankturn/routing/PredictionCorrection.java
@@ -42,7 +42,7 @@
     }
 
     /** Lets the correction decay after a rejected request. */
-    public void refused() {
+    public void requestRejected() {
         double decayed = extraMillis * REJECTION_DECAY;
         extraMillis = decayed < MIN_MILLIS ? 0 : decayed;
     }
--- a/core/src/main/java/org/bankturn/routing/RequestPolicy.java
+++ b/core/src/main/java/org/bankturn/routing/RequestPolicy.java
@@ -194,7 +194,7 @@
             firstAttempts(request.service()).recordDecision(tooLate);
         }
         if (tooLate) {
-            correction(request.service()).refused();
+            correction(request.service()).requestRejected();
             return new NextStep.GiveUp(
                     "would begin after " + Math.round(candidate.get().predictedMillis()) + " ms, "
                             + candidate.get().roundTripMillis() + " ms of it on the way",
--- a/core/src/test/java/org/bankturn/routing/FirstEventEstimateTest.java
+++ b/core/src/test/java/org/bankturn/routing/FirstEventEstimateTest.java
@@ -37,7 +37,7 @@
         PredictionCorrection correction = learnedFrom(100, 300);
         assertThat(correction.applyTo(100)).isBetween(290.0, 300.0);
         for (int count = 0; count < 200; count++) {
-            correction.refused();
+            correction.requestRejected();
         }
         assertThat(correction.applyTo(100)).isEqualTo(100);
     }
