--- a/core/src/test/java/org/bankturn/routing/RetriesAcrossRestartsTest.java
+++ b/core/src/test/java/org/bankturn/routing/RetriesAcrossRestartsTest.java
@@ -54,10 +54,10 @@
     private final List<Long> retries = new ArrayList<>();
 
     /** A gateway process, whose view of the gateway count is set by the test. */
-    private final class Start {
+    private final class GatewayProcess {
         private final RequestPolicy policy;
 
-        Start(int gatewaysSeen) {
+        GatewayProcess(int gatewaysSeen) {
             UniformRandomProvider random = RandomSource.XO_RO_SHI_RO_128_PP.create(7);
             TargetTable targets = TargetTable.of(clock, "here", PlacementSettings.DEFAULT, random);
             targets.update(ENGINES);
@@ -94,10 +94,10 @@
 
     @Test
     void restarted_gateways_do_not_spend_their_budget_twice() {
-        List<Start> gateways = starts(GATEWAYS);
+        List<GatewayProcess> gateways = starts(GATEWAYS);
         serve(gateways, 10_000, 0);
         serve(gateways, 4_000, 0.45);
-        IntStream.range(1, GATEWAYS).forEach(each -> gateways.set(each, new Start(GATEWAYS)));
+        IntStream.range(1, GATEWAYS).forEach(each -> gateways.set(each, new GatewayProcess(GATEWAYS)));
         serve(gateways, 10_000, 0.45);
         assertAllowedInEveryWindow();
     }
@@ -105,21 +105,22 @@
     @Test
     void repeated_restarts_do_not_increase_the_budget() {
         UniformRandomProvider random = RandomSource.XO_RO_SHI_RO_128_PP.create(3);
-        List<Start> gateways = starts(GATEWAYS);
+        List<GatewayProcess> gateways = starts(GATEWAYS);
         serve(gateways, 10_000, 0.1);
         for (int round = 0; round < 60; round++) {
             serve(gateways, 300 + random.nextInt(1_500), random.nextDouble());
-            gateways.replaceAll(each -> random.nextInt(3) == 0 ? new Start(1 + random.nextInt(GATEWAYS)) : each);
+            gateways.replaceAll(
+                    each -> random.nextInt(3) == 0 ? new GatewayProcess(1 + random.nextInt(GATEWAYS)) : each);
         }
         assertAllowedInEveryWindow();
     }
 
     @Test
     void remaining_gateways_do_not_spend_the_budget_of_removed_ones() {
-        List<Start> gateways = starts(GATEWAYS);
+        List<GatewayProcess> gateways = starts(GATEWAYS);
         serve(gateways, 10_000, 0);
         serve(gateways, 3_000, 0.9);
-        List<Start> left = gateways.subList(0, 1);
+        List<GatewayProcess> left = gateways.subList(0, 1);
         left.forEach(each -> each.setGatewayCount(1));
         serve(left, 10_000, 0.9);
         assertAllowedInEveryWindow();
@@ -127,7 +128,7 @@
 
     @Test
     void partitioned_halls_stay_within_the_shared_budget() {
-        List<Start> gateways = starts(GATEWAYS);
+        List<GatewayProcess> gateways = starts(GATEWAYS);
         serve(gateways, 10_000, 0);
         gateways.subList(0, 3).forEach(each -> each.setGatewayCount(3));
         gateways.subList(3, GATEWAYS).forEach(each -> each.setGatewayCount(4));
@@ -137,8 +138,8 @@
 
     @Test
     void gateway_that_initially_sees_only_itself_does_not_spend_the_whole_budget() {
-        List<Start> gateways = IntStream.range(0, GATEWAYS)
-                .mapToObj(each -> new Start(1))
+        List<GatewayProcess> gateways = IntStream.range(0, GATEWAYS)
+                .mapToObj(each -> new GatewayProcess(1))
                 .collect(Collectors.toCollection(ArrayList::new));
         serve(gateways, 400, 0.9);
         gateways.forEach(each -> each.setGatewayCount(GATEWAYS));
@@ -148,20 +149,20 @@
 
     @Test
     void failure_of_half_of_the_engines_is_retried() {
-        List<Start> gateways = starts(GATEWAYS);
+        List<GatewayProcess> gateways = starts(GATEWAYS);
         serve(gateways, 10_000, 0);
         serve(gateways, FAILURE_MILLIS, 0.5);
         long rejected = FAILURE_MILLIS / REQUEST_INTERVAL_MILLIS / 2;
         assertThat((long) retries.size()).isGreaterThanOrEqualTo(rejected * 8 / 10);
     }
 
-    private List<Start> starts(int count) {
+    private List<GatewayProcess> starts(int count) {
         return IntStream.range(0, count)
-                .mapToObj(each -> new Start(GATEWAYS))
+                .mapToObj(each -> new GatewayProcess(GATEWAYS))
                 .collect(Collectors.toCollection(ArrayList::new));
     }
 
-    private void serve(List<Start> gateways, long millis, double rejectedShare) {
+    private void serve(List<GatewayProcess> gateways, long millis, double rejectedShare) {
         UniformRandomProvider random = RandomSource.XO_RO_SHI_RO_128_PP.create(millis);
         for (long passed = 0; passed < millis; passed += REQUEST_INTERVAL_MILLIS) {
             clock.advance(REQUEST_INTERVAL_MILLIS);
