--- a/core/src/main/java/org/bankturn/routing/RequestPolicy.java
+++ b/core/src/main/java/org/bankturn/routing/RequestPolicy.java
@@ -135,7 +135,7 @@
     // ---- decisions
 
     /** Registers a new request, which earns part of a retry. */
-    public void arrived(RequestProgress request) {
+    public void requestArrived(RequestProgress request) {
         retryBudget(request.service()).recordRequest();
         if (callerRetries.isRetry(request.route().name(), request.deadlineMillis() - clock.millis())) {
             request.markCallerRetry();
@@ -194,7 +194,7 @@
             firstAttempts(request.service()).recordDecision(tooLate);
         }
         if (tooLate) {
-            correction(request.service()).refused();
+            correction(request.service()).requestRejected();
             return new NextStep.GiveUp(
                     "would begin after " + Math.round(candidate.get().predictedMillis()) + " ms, "
                             + candidate.get().roundTripMillis() + " ms of it on the way",
--- a/daemon/src/main/java/org/bankturn/daemon/gateway/Attempt.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/Attempt.java
@@ -170,7 +170,7 @@
                     .with(DecisionField.PER_SECOND, target.rateLimit().perSecond())
                     .with(DecisionField.BACK_OFF_MS, parsed.notice().backOffMillis())
                     .write();
-            if (change.isOfLimit()) {
+            if (change.affectsRateLimit()) {
                 gateway.reportRateLimit(target);
             }
         }
--- a/daemon/src/main/java/org/bankturn/daemon/gateway/ForwardedRequest.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/ForwardedRequest.java
@@ -79,7 +79,7 @@
 
     private void startForwarding() {
         gateway.requestStarted(this);
-        gateway.policy().arrived(progress);
+        gateway.policy().requestArrived(progress);
         exchange.whenGone(this::onCallerDisconnected);
         gateway.reactor().delayBackground(Math.max(1, endMillis - now()), this::onTimeout);
         sendToNext();
