--- a/core/src/main/java/org/bankturn/configuration/Configuration.java
+++ b/core/src/main/java/org/bankturn/configuration/Configuration.java
@@ -171,7 +171,7 @@
         return service(box.service())
                 .filter(Service::hasModel)
                 .flatMap(service -> model(service.model()))
-                .filter(model -> model.mayLiveIn(box.dataHall()));
+                .filter(model -> model.allowsDataHall(box.dataHall()));
     }
 
     /**
--- a/core/src/main/java/org/bankturn/configuration/Model.java
+++ b/core/src/main/java/org/bankturn/configuration/Model.java
@@ -20,7 +20,7 @@
      * @param dataHall the hall's name, not null
      * @return true if the files allow it
      */
-    public boolean mayLiveIn(String dataHall) {
+    public boolean allowsDataHall(String dataHall) {
         return dataHalls.contains(dataHall);
     }
 }
