--- a/core/src/main/java/org/bankturn/configuration/ClientAccount.java
+++ b/core/src/main/java/org/bankturn/configuration/ClientAccount.java
@@ -16,7 +16,7 @@
      * @param dataHall the hall's name, not null
      * @return true if the files allow it
      */
-    public boolean mayLiveIn(String dataHall) {
+    public boolean allowsDataHall(String dataHall) {
         return dataHalls.contains(dataHall);
     }
 }
--- a/core/src/main/java/org/bankturn/routing/TargetSelector.java
+++ b/core/src/main/java/org/bankturn/routing/TargetSelector.java
@@ -78,7 +78,7 @@
             return List.of();
         }
         return boxes.stream()
-                .filter(box -> !box.leaving() && account.mayLiveIn(box.dataHall()))
+                .filter(box -> !box.leaving() && account.allowsDataHall(box.dataHall()))
                 .filter(box -> !tried.contains(box.name()) && view.isAvailable(box.name()))
                 .filter(box -> version == null || view.serves(box.name(), version))
                 .toList();
--- a/daemon/src/main/java/org/bankturn/daemon/entry/EntryServlet.java
+++ b/daemon/src/main/java/org/bankturn/daemon/entry/EntryServlet.java
@@ -105,7 +105,7 @@
 
     private Promise<HttpResponse> admit(CallerRequest request, Configuration configuration, String traceparent)
             throws RefusedException {
-        if (!request.account().mayLiveIn(state.dataHall())) {
+        if (!request.account().allowsDataHall(state.dataHall())) {
             throw new RefusedException(ResultCode.NOT_RUN_RESIDENCY, state.dataHall(), 0);
         }
         AdmissionDecision decision = state.admission().decide(candidate(request, configuration));
@@ -122,7 +122,7 @@
                 .mapToLong(ClientAccount::weight)
                 .sum();
         long boxes = configuration.usableBoxes(request.service().name()).entrySet().stream()
-                .filter(hall -> request.account().mayLiveIn(hall.getKey()))
+                .filter(hall -> request.account().allowsDataHall(hall.getKey()))
                 .mapToLong(hall -> hall.getValue().size())
                 .sum();
         int capacity = (int) Math.max(1, boxes * request.service().requestsAtOnce());
