--- a/core/src/main/java/org/bankturn/configuration/Configuration.java
+++ b/core/src/main/java/org/bankturn/configuration/Configuration.java
@@ -157,7 +157,7 @@
      * @param model the model, not null
      * @return the version, empty if no file describes it
      */
-    public Optional<ModelVersion> wantedVersion(Model model) {
+    public Optional<ModelVersion> desiredVersion(Model model) {
         return Optional.ofNullable(versions.get(model.name() + "/" + model.version()));
     }
 
--- a/core/src/main/java/org/bankturn/state/ReplicatedState.java
+++ b/core/src/main/java/org/bankturn/state/ReplicatedState.java
@@ -227,7 +227,7 @@
     private CommandResult enterService(long index, Command.EnterService enter) {
         boolean wanted = configuration
                 .model(enter.model())
-                .flatMap(configuration::wantedVersion)
+                .flatMap(configuration::desiredVersion)
                 .filter(version -> version.manifest().equals(enter.manifest()))
                 .isPresent();
         boolean inService = enter.manifest().equals(configuration.inService().get(enter.model()));
--- a/daemon/src/main/java/org/bankturn/daemon/control/ControlRole.java
+++ b/daemon/src/main/java/org/bankturn/daemon/control/ControlRole.java
@@ -194,7 +194,7 @@
 
     private void putIntoServiceIfReady(Model model) {
         Configuration configuration = holder.get();
-        Optional<ModelVersion> wanted = configuration.wantedVersion(model);
+        Optional<ModelVersion> wanted = configuration.desiredVersion(model);
         if (wanted.isEmpty()) {
             return;
         }
--- a/daemon/src/main/java/org/bankturn/daemon/target/VersionKeeper.java
+++ b/daemon/src/main/java/org/bankturn/daemon/target/VersionKeeper.java
@@ -106,7 +106,7 @@
     private void bringIntoLine(Configuration configuration) {
         Optional<Box> self = configuration.box(context.box());
         Optional<Model> model = self.flatMap(configuration::modelOn);
-        Optional<ModelVersion> wanted = model.flatMap(configuration::wantedVersion);
+        Optional<ModelVersion> wanted = model.flatMap(configuration::desiredVersion);
         if (wanted.isEmpty()) {
             cancelCopy();
             return;
