--- a/core/src/main/java/org/bankturn/configuration/Configuration.java
+++ b/core/src/main/java/org/bankturn/configuration/Configuration.java
@@ -167,7 +167,7 @@
      * @param box the box, not null
      * @return the model, empty if the box serves a plain service or its hall is not allowed
      */
-    public Optional<Model> modelOn(Box box) {
+    public Optional<Model> modelServedBy(Box box) {
         return service(box.service())
                 .filter(Service::hasModel)
                 .flatMap(service -> model(service.model()))
@@ -302,7 +302,7 @@
 
     private boolean mayBeUsed(Box box) {
         Service service = services.get(box.service());
-        return service != null && (!service.hasModel() || modelOn(box).isPresent());
+        return service != null && (!service.hasModel() || modelServedBy(box).isPresent());
     }
 
     private static Stream<DocumentError> duplicates(ParsedFile candidate, Map<NamedThing.Identity, Long> described) {
--- a/core/src/test/java/org/bankturn/routing/RoutingTest.java
+++ b/core/src/test/java/org/bankturn/routing/RoutingTest.java
@@ -85,7 +85,7 @@
     @Test
     void weights_are_never_planned_into_a_hall_that_the_model_does_not_allow() {
         Box abroad = configuration.box("abroad-chat").orElseThrow();
-        assertThat(configuration.modelOn(abroad)).isEmpty();
+        assertThat(configuration.modelServedBy(abroad)).isEmpty();
         assertThat(configuration.boxesOf(configuration.model("m").orElseThrow()))
                 .extracting(Box::name)
                 .containsExactly("here-chat", "there-chat");
--- a/daemon/src/main/java/org/bankturn/daemon/target/VersionKeeper.java
+++ b/daemon/src/main/java/org/bankturn/daemon/target/VersionKeeper.java
@@ -105,7 +105,7 @@
 
     private void bringIntoLine(Configuration configuration) {
         Optional<Box> self = configuration.box(context.box());
-        Optional<Model> model = self.flatMap(configuration::modelOn);
+        Optional<Model> model = self.flatMap(configuration::modelServedBy);
         Optional<ModelVersion> wanted = model.flatMap(configuration::desiredVersion);
         if (wanted.isEmpty()) {
             cancelCopy();
