--- a/core/src/main/java/org/bankturn/configuration/Configuration.java
+++ b/core/src/main/java/org/bankturn/configuration/Configuration.java
@@ -180,7 +180,7 @@
      * @param model the model, not null
      * @return the boxes, not null
      */
-    public List<Box> boxesOf(Model model) {
+    public List<Box> boxesServing(Model model) {
         return services.values().stream()
                 .filter(service -> model.name().equals(service.model()))
                 .flatMap(service -> usableBoxes(service.name()).values().stream())
--- a/core/src/test/java/org/bankturn/routing/RoutingTest.java
+++ b/core/src/test/java/org/bankturn/routing/RoutingTest.java
@@ -86,7 +86,7 @@
     void weights_are_never_planned_into_a_hall_that_the_model_does_not_allow() {
         Box abroad = configuration.box("abroad-chat").orElseThrow();
         assertThat(configuration.modelServedBy(abroad)).isEmpty();
-        assertThat(configuration.boxesOf(configuration.model("m").orElseThrow()))
+        assertThat(configuration.boxesServing(configuration.model("m").orElseThrow()))
                 .extracting(Box::name)
                 .containsExactly("here-chat", "there-chat");
     }
--- a/daemon/src/main/java/org/bankturn/daemon/control/ControlRole.java
+++ b/daemon/src/main/java/org/bankturn/daemon/control/ControlRole.java
@@ -203,7 +203,7 @@
             return;
         }
         Collection<String> boxes =
-                configuration.boxesOf(model).stream().map(Box::name).toList();
+                configuration.boxesServing(model).stream().map(Box::name).toList();
         if (reports.countLoaded(manifest, boxes) >= model.entersServiceAt()) {
             LOG.log(Level.INFO, "version enters service: " + model.name() + " " + manifest);
             member.submit(new Command.EnterService(model.name(), manifest)).join();
--- a/daemon/src/main/java/org/bankturn/daemon/target/VersionKeeper.java
+++ b/daemon/src/main/java/org/bankturn/daemon/target/VersionKeeper.java
@@ -153,7 +153,7 @@
     }
 
     private void startCopy(Configuration configuration, Box self, Model model, ModelVersion version) {
-        List<Box> neighbours = NeighbourSelector.select(self, configuration.boxesOf(model));
+        List<Box> neighbours = NeighbourSelector.select(self, configuration.boxesServing(model));
         VersionCopy started = new VersionCopy(context, server, model, version, neighbours);
         copy = started;
         copying = version.manifest();
