--- a/core/src/main/java/org/bankturn/configuration/Configuration.java
+++ b/core/src/main/java/org/bankturn/configuration/Configuration.java
@@ -234,7 +234,7 @@
      * @param text the YAML text, without errors by itself, not null
      * @return the content, not null
      */
-    public static OperatorFile contentOf(String text) {
+    public static OperatorFile parseFile(String text) {
         return OperatorFileReader.read("", text).content();
     }
 
--- a/core/src/main/java/org/bankturn/state/ReplicatedState.java
+++ b/core/src/main/java/org/bankturn/state/ReplicatedState.java
@@ -177,7 +177,7 @@
     }
 
     private CommandResult applyFile(long index, Command.ApplyFile apply) {
-        OperatorFile content = Configuration.contentOf(apply.text());
+        OperatorFile content = Configuration.parseFile(apply.text());
         String digest = Digest.of(apply.text());
         for (FileRecord accepted : history) {
             if (accepted.name().equals(content.name()) && accepted.number() == content.number()) {
