--- a/core/src/main/java/org/bankturn/configuration/Configuration.java
+++ b/core/src/main/java/org/bankturn/configuration/Configuration.java
@@ -217,9 +217,9 @@
                         !file.content().name().equals(candidate.content().name()))
                 .forEach(all::add);
         all.add(candidate);
-        Map<NamedThing.Identity, Long> described = all.stream()
+        Map<NameOccurrence.Identity, Long> described = all.stream()
                 .flatMap(file -> file.described().stream())
-                .collect(Collectors.groupingBy(NamedThing::identity, Collectors.counting()));
+                .collect(Collectors.groupingBy(NameOccurrence::identity, Collectors.counting()));
         return Stream.concat(
                         duplicates(candidate, described),
                         all.stream()
@@ -305,7 +305,8 @@
         return service != null && (!service.hasModel() || modelServedBy(box).isPresent());
     }
 
-    private static Stream<DocumentError> duplicates(ParsedFile candidate, Map<NamedThing.Identity, Long> described) {
+    private static Stream<DocumentError> duplicates(
+            ParsedFile candidate, Map<NameOccurrence.Identity, Long> described) {
         return candidate.described().stream()
                 .filter(name -> described.get(name.identity()) > 1)
                 .map(name -> new DocumentError(
@@ -314,7 +315,7 @@
                         name.kind().words() + " " + name.name() + " is described twice"));
     }
 
-    private static Stream<DocumentError> unknown(NamedThing name, Map<NamedThing.Identity, Long> described) {
+    private static Stream<DocumentError> unknown(NameOccurrence name, Map<NameOccurrence.Identity, Long> described) {
         if (described.containsKey(name.identity())) {
             return Stream.empty();
         }
--- a/core/src/main/java/org/bankturn/configuration/NamedThing.java
+++ b/core/src/main/java/org/bankturn/configuration/NameOccurrence.java
@@ -10,7 +10,7 @@
  * @param name the name, not null
  * @param location where it stands, not null
  */
-record NamedThing(Kind kind, String name, SourceLocation location) {
+record NameOccurrence(Kind kind, String name, SourceLocation location) {
     enum Kind {
         DATA_HALL,
         BOX,
--- a/core/src/main/java/org/bankturn/configuration/OperatorFileReader.java
+++ b/core/src/main/java/org/bankturn/configuration/OperatorFileReader.java
@@ -3,7 +3,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.Function;
-import org.bankturn.configuration.NamedThing.Kind;
+import org.bankturn.configuration.NameOccurrence.Kind;
 import org.bankturn.distribution.DistributionPolicy;
 import org.bankturn.document.DocumentError;
 import org.bankturn.document.DocumentReader;
@@ -23,8 +23,8 @@
     private static final String DIGEST_WORDS = "a SHA-256 of 64 lower-case hexadecimal digits";
     private static final int MAXIMUM_COUNT = 1_000_000;
 
-    private final List<NamedThing> described = new ArrayList<>();
-    private final List<NamedThing> referred = new ArrayList<>();
+    private final List<NameOccurrence> described = new ArrayList<>();
+    private final List<NameOccurrence> referred = new ArrayList<>();
 
     /**
      * Reads a file by itself.
@@ -87,7 +87,7 @@
     private Model readModel(Fields fields) {
         String name = describe(fields, Kind.MODEL);
         String version = fields.text("version", NAME_PATTERN, NAME_WORDS);
-        referred.add(new NamedThing(Kind.VERSION, name + "/" + version, fields.locationOf("version")));
+        referred.add(new NameOccurrence(Kind.VERSION, name + "/" + version, fields.locationOf("version")));
         return new Model(
                 name, readResidency(fields), version, fields.choice("policy", DistributionPolicy.class, null), (int)
                         fields.number("entersServiceAt", 1, MAXIMUM_COUNT));
@@ -96,7 +96,7 @@
     private ModelVersion readVersion(Fields fields) {
         String model = refer(fields, "model", Kind.MODEL);
         String name = fields.text("name", NAME_PATTERN, NAME_WORDS);
-        described.add(new NamedThing(Kind.VERSION, model + "/" + name, fields.locationOf("name")));
+        described.add(new NameOccurrence(Kind.VERSION, model + "/" + name, fields.locationOf("name")));
         return new ModelVersion(
                 model,
                 name,
@@ -123,7 +123,7 @@
             fields.contradictory("dataHalls", "dataHalls must list at least one data hall");
         }
         for (int position = 0; position < halls.size(); position++) {
-            referred.add(new NamedThing(
+            referred.add(new NameOccurrence(
                     Kind.DATA_HALL, halls.get(position), fields.locationOf("dataHalls[" + position + "]")));
         }
         return halls;
@@ -131,14 +131,14 @@
 
     private String describe(Fields fields, Kind kind) {
         String name = fields.text("name", NAME_PATTERN, NAME_WORDS);
-        described.add(new NamedThing(kind, name, fields.locationOf("name")));
+        described.add(new NameOccurrence(kind, name, fields.locationOf("name")));
         return name;
     }
 
     private String refer(Fields fields, String field, Kind kind) {
         String name = fields.text(field, NAME_PATTERN, NAME_WORDS);
         if (!name.isEmpty()) {
-            referred.add(new NamedThing(kind, name, fields.locationOf(field)));
+            referred.add(new NameOccurrence(kind, name, fields.locationOf(field)));
         }
         return name;
     }
--- a/core/src/main/java/org/bankturn/configuration/ParsedFile.java
+++ b/core/src/main/java/org/bankturn/configuration/ParsedFile.java
@@ -12,4 +12,7 @@
  * @param errors every error found, empty if the file is good by itself, not null
  */
 record ParsedFile(
-        OperatorFile content, List<NamedThing> described, List<NamedThing> referred, List<DocumentError> errors) {}
+        OperatorFile content,
+        List<NameOccurrence> described,
+        List<NameOccurrence> referred,
+        List<DocumentError> errors) {}
