--- a/core/src/main/java/org/bankturn/configuration/Configuration.java
+++ b/core/src/main/java/org/bankturn/configuration/Configuration.java
@@ -312,14 +312,14 @@
                 .map(name -> new DocumentError(
                         ResultCode.NAME_DUPLICATE,
                         name.location(),
-                        name.kind().words() + " " + name.name() + " is described twice"));
+                        name.kind().label() + " " + name.name() + " is described twice"));
     }
 
     private static Stream<DocumentError> unknown(NameOccurrence name, Map<NameOccurrence.Identity, Long> described) {
         if (described.containsKey(name.identity())) {
             return Stream.empty();
         }
-        String message = "no file describes the " + name.kind().words() + " " + name.name();
+        String message = "no file describes the " + name.kind().label() + " " + name.name();
         return Stream.of(new DocumentError(ResultCode.REFERENCE_UNKNOWN, name.location(), message));
     }
 
--- a/core/src/main/java/org/bankturn/configuration/NameOccurrence.java
+++ b/core/src/main/java/org/bankturn/configuration/NameOccurrence.java
@@ -19,7 +19,7 @@
         SERVICE,
         CLIENT_ACCOUNT;
 
-        String words() {
+        String label() {
             return name().toLowerCase(Locale.ROOT).replace('_', ' ');
         }
     }
