--- a/core/src/main/java/org/bankturn/configuration/Configuration.java
+++ b/core/src/main/java/org/bankturn/configuration/Configuration.java
@@ -217,14 +217,14 @@
                         !file.content().name().equals(candidate.content().name()))
                 .forEach(all::add);
         all.add(candidate);
-        Map<NameOccurrence.Identity, Long> described = all.stream()
-                .flatMap(file -> file.described().stream())
+        Map<NameOccurrence.Identity, Long> definitions = all.stream()
+                .flatMap(file -> file.definitions().stream())
                 .collect(Collectors.groupingBy(NameOccurrence::identity, Collectors.counting()));
         return Stream.concat(
-                        duplicates(candidate, described),
+                        duplicates(candidate, definitions),
                         all.stream()
                                 .flatMap(file -> file.referred().stream())
-                                .flatMap(name -> unknown(name, described)))
+                                .flatMap(name -> unknown(name, definitions)))
                 .toList();
     }
 
@@ -306,17 +306,17 @@
     }
 
     private static Stream<DocumentError> duplicates(
-            ParsedFile candidate, Map<NameOccurrence.Identity, Long> described) {
-        return candidate.described().stream()
-                .filter(name -> described.get(name.identity()) > 1)
+            ParsedFile candidate, Map<NameOccurrence.Identity, Long> definitions) {
+        return candidate.definitions().stream()
+                .filter(name -> definitions.get(name.identity()) > 1)
                 .map(name -> new DocumentError(
                         ResultCode.NAME_DUPLICATE,
                         name.location(),
                         name.kind().label() + " " + name.name() + " is described twice"));
     }
 
-    private static Stream<DocumentError> unknown(NameOccurrence name, Map<NameOccurrence.Identity, Long> described) {
-        if (described.containsKey(name.identity())) {
+    private static Stream<DocumentError> unknown(NameOccurrence name, Map<NameOccurrence.Identity, Long> definitions) {
+        if (definitions.containsKey(name.identity())) {
             return Stream.empty();
         }
         String message = "no file describes the " + name.kind().label() + " " + name.name();
--- a/core/src/main/java/org/bankturn/configuration/OperatorFileReader.java
+++ b/core/src/main/java/org/bankturn/configuration/OperatorFileReader.java
@@ -23,7 +23,7 @@
     private static final String DIGEST_WORDS = "a SHA-256 of 64 lower-case hexadecimal digits";
     private static final int MAXIMUM_COUNT = 1_000_000;
 
-    private final List<NameOccurrence> described = new ArrayList<>();
+    private final List<NameOccurrence> definitions = new ArrayList<>();
     private final List<NameOccurrence> referred = new ArrayList<>();
 
     /**
@@ -45,7 +45,7 @@
         if (!reader.errors().isEmpty()) {
             OperatorFile nothing =
                     new OperatorFile("", 1, List.of(), List.of(), List.of(), List.of(), List.of(), List.of());
-            return new ParsedFile(nothing, described, referred, reader.errors());
+            return new ParsedFile(nothing, definitions, referred, reader.errors());
         }
         OperatorFile content = new OperatorFile(
                 fields.text("name", NAME_PATTERN, NAME_WORDS),
@@ -58,7 +58,7 @@
                 readAll(fields, "clientAccounts", this::readAccount));
         fields.finish();
         List<DocumentError> errors = reader.errors();
-        return new ParsedFile(content, described, referred, errors);
+        return new ParsedFile(content, definitions, referred, errors);
     }
 
     private static <T> List<T> readAll(Fields fields, String name, Function<Fields, T> readOne) {
@@ -96,7 +96,7 @@
     private ModelVersion readVersion(Fields fields) {
         String model = refer(fields, "model", Kind.MODEL);
         String name = fields.text("name", NAME_PATTERN, NAME_WORDS);
-        described.add(new NameOccurrence(Kind.VERSION, model + "/" + name, fields.locationOf("name")));
+        definitions.add(new NameOccurrence(Kind.VERSION, model + "/" + name, fields.locationOf("name")));
         return new ModelVersion(
                 model,
                 name,
@@ -131,7 +131,7 @@
 
     private String describe(Fields fields, Kind kind) {
         String name = fields.text("name", NAME_PATTERN, NAME_WORDS);
-        described.add(new NameOccurrence(kind, name, fields.locationOf("name")));
+        definitions.add(new NameOccurrence(kind, name, fields.locationOf("name")));
         return name;
     }
 
--- a/core/src/main/java/org/bankturn/configuration/ParsedFile.java
+++ b/core/src/main/java/org/bankturn/configuration/ParsedFile.java
@@ -7,12 +7,12 @@
  * A file as read: its content, the names that it describes and refers to, and what is wrong with it by itself.
  *
  * @param content the content, harmless values where something is wrong, not null
- * @param described the names that it describes, not null
+ * @param definitions the names that it describes, not null
  * @param referred the names that it refers to, not null
  * @param errors every error found, empty if the file is good by itself, not null
  */
 record ParsedFile(
         OperatorFile content,
-        List<NameOccurrence> described,
+        List<NameOccurrence> definitions,
         List<NameOccurrence> referred,
         List<DocumentError> errors) {}
