--- a/core/src/main/java/org/bankturn/configuration/Configuration.java
+++ b/core/src/main/java/org/bankturn/configuration/Configuration.java
@@ -223,7 +223,7 @@
         return Stream.concat(
                         duplicates(candidate, definitions),
                         all.stream()
-                                .flatMap(file -> file.referred().stream())
+                                .flatMap(file -> file.references().stream())
                                 .flatMap(name -> unknown(name, definitions)))
                 .toList();
     }
--- a/core/src/main/java/org/bankturn/configuration/OperatorFileReader.java
+++ b/core/src/main/java/org/bankturn/configuration/OperatorFileReader.java
@@ -24,7 +24,7 @@
     private static final int MAXIMUM_COUNT = 1_000_000;
 
     private final List<NameOccurrence> definitions = new ArrayList<>();
-    private final List<NameOccurrence> referred = new ArrayList<>();
+    private final List<NameOccurrence> references = new ArrayList<>();
 
     /**
      * Reads a file by itself.
@@ -45,7 +45,7 @@
         if (!reader.errors().isEmpty()) {
             OperatorFile nothing =
                     new OperatorFile("", 1, List.of(), List.of(), List.of(), List.of(), List.of(), List.of());
-            return new ParsedFile(nothing, definitions, referred, reader.errors());
+            return new ParsedFile(nothing, definitions, references, reader.errors());
         }
         OperatorFile content = new OperatorFile(
                 fields.text("name", NAME_PATTERN, NAME_WORDS),
@@ -58,7 +58,7 @@
                 readAll(fields, "clientAccounts", this::readAccount));
         fields.finish();
         List<DocumentError> errors = reader.errors();
-        return new ParsedFile(content, definitions, referred, errors);
+        return new ParsedFile(content, definitions, references, errors);
     }
 
     private static <T> List<T> readAll(Fields fields, String name, Function<Fields, T> readOne) {
@@ -87,7 +87,7 @@
     private Model readModel(Fields fields) {
         String name = describe(fields, Kind.MODEL);
         String version = fields.text("version", NAME_PATTERN, NAME_WORDS);
-        referred.add(new NameOccurrence(Kind.VERSION, name + "/" + version, fields.locationOf("version")));
+        references.add(new NameOccurrence(Kind.VERSION, name + "/" + version, fields.locationOf("version")));
         return new Model(
                 name, readResidency(fields), version, fields.choice("policy", DistributionPolicy.class, null), (int)
                         fields.number("entersServiceAt", 1, MAXIMUM_COUNT));
@@ -123,7 +123,7 @@
             fields.contradictory("dataHalls", "dataHalls must list at least one data hall");
         }
         for (int position = 0; position < halls.size(); position++) {
-            referred.add(new NameOccurrence(
+            references.add(new NameOccurrence(
                     Kind.DATA_HALL, halls.get(position), fields.locationOf("dataHalls[" + position + "]")));
         }
         return halls;
@@ -138,7 +138,7 @@
     private String refer(Fields fields, String field, Kind kind) {
         String name = fields.text(field, NAME_PATTERN, NAME_WORDS);
         if (!name.isEmpty()) {
-            referred.add(new NameOccurrence(kind, name, fields.locationOf(field)));
+            references.add(new NameOccurrence(kind, name, fields.locationOf(field)));
         }
         return name;
     }
--- a/core/src/main/java/org/bankturn/configuration/ParsedFile.java
+++ b/core/src/main/java/org/bankturn/configuration/ParsedFile.java
@@ -8,11 +8,11 @@
  *
  * @param content the content, harmless values where something is wrong, not null
  * @param definitions the names that it describes, not null
- * @param referred the names that it refers to, not null
+ * @param references the names that it refers to, not null
  * @param errors every error found, empty if the file is good by itself, not null
  */
 record ParsedFile(
         OperatorFile content,
         List<NameOccurrence> definitions,
-        List<NameOccurrence> referred,
+        List<NameOccurrence> references,
         List<DocumentError> errors) {}
