--- a/core/src/main/java/org/bankturn/configuration/Box.java
+++ b/core/src/main/java/org/bankturn/configuration/Box.java
@@ -1,14 +1,14 @@
 package org.bankturn.configuration;
 
 /**
- * A machine with a target process of bankturn beside an engine or a plain service.
+ * A machine that runs a bankturn target process next to an inference engine or a plain service.
  *
- * @param name the box's name, not null
- * @param dataHall the hall that it stands in, not null
- * @param service the service that it answers for, not null
- * @param httpAddress host:port where its target process takes requests, not null
- * @param nodeAddress host:port where its target process takes messages of other processes, not null
- * @param leaving true if the operators are taking it out of service
+ * @param name the box name, not null
+ * @param dataHall the name of the data hall that contains the box, not null
+ * @param service the name of the service that the box runs, not null
+ * @param httpAddress host:port on which the target process accepts HTTP requests, not null
+ * @param nodeAddress host:port on which the target process accepts messages from other bankturn processes, not null
+ * @param leaving true if the box is being taken out of service
  */
 public record Box(
         String name, String dataHall, String service, String httpAddress, String nodeAddress, boolean leaving) {}
--- a/core/src/main/java/org/bankturn/configuration/ClientAccount.java
+++ b/core/src/main/java/org/bankturn/configuration/ClientAccount.java
@@ -5,16 +5,16 @@
 /**
  * A customer whose requests bankturn routes.
  *
- * @param name the account's name, not null
- * @param weight its share against the other accounts, from 1
- * @param dataHalls the halls where its requests may be worked on, not empty
+ * @param name the account name, not null
+ * @param weight the account's relative share of capacity, at least 1
+ * @param dataHalls the data halls in which its requests may be processed, not empty
  */
 public record ClientAccount(String name, int weight, List<String> dataHalls) {
     /**
-     * Tells whether this account's requests may be worked on in a hall.
+     * Returns whether the account's requests may be processed in a data hall.
      *
-     * @param dataHall the hall's name, not null
-     * @return true if the files allow it
+     * @param dataHall the name of the data hall, not null
+     * @return true if the data hall is allowed
      */
     public boolean allowsDataHall(String dataHall) {
         return dataHalls.contains(dataHall);
--- a/core/src/main/java/org/bankturn/configuration/Configuration.java
+++ b/core/src/main/java/org/bankturn/configuration/Configuration.java
@@ -12,10 +12,10 @@
 import org.bankturn.result.ResultCode;
 
 /**
- * Everything that is in force: the newest accepted files, and which version of each model is in service.
+ * The configuration in force: the newest accepted operator files and the version of each model that is in service.
  *
- * <p>Two configurations with the same index have the same digest. A process keeps the one with the highest index that it
- * has seen and never goes below it.
+ * <p>Configurations with the same index have the same digest. A process never replaces its configuration by one with a
+ * lower index.
  *
  * <p>Configuration is thread-safe and immutable.
  */
@@ -34,13 +34,13 @@
     private final Map<String, ClientAccount> clientAccounts;
     private final Map<String, Map<String, List<Box>>> usableBoxes;
 
-    /** Returns the configuration before any file, index 0, not null. */
+    /** Returns the empty configuration with index 0, not null. */
     public static Configuration empty() {
         return EMPTY;
     }
 
     /**
-     * Puts a configuration together from accepted parts.
+     * Creates a configuration from accepted files.
      *
      * @param index the configuration index
      * @param files the newest accepted files, not null
@@ -64,24 +64,24 @@
         this.services = collect(contents, OperatorFile::services, Service::name);
         this.clientAccounts = collect(contents, OperatorFile::clientAccounts, ClientAccount::name);
         this.usableBoxes = boxes.values().stream()
-                .filter(this::mayBeUsed)
+                .filter(this::isUsable)
                 .collect(Collectors.groupingBy(Box::service, Collectors.groupingBy(Box::dataHall)));
         this.digest = computeDigest();
     }
 
     // ---- queries
 
-    /** Returns the index, 0 before any file; it only grows. */
+    /** Returns the index, 0 for the empty configuration. */
     public long index() {
         return index;
     }
 
-    /** Returns the SHA-256 over the index, the files and what is in service, not null. */
+    /** Returns the SHA-256 digest of the index, the files and the manifests in service, not null. */
     public String digest() {
         return digest;
     }
 
-    /** Returns the newest accepted files by name, not null. */
+    /** Returns the newest accepted files, ordered by name, not null. */
     public List<FileRecord> files() {
         return files.values().stream().map(AcceptedFile::record).toList();
     }
@@ -91,81 +91,81 @@
         return Map.copyOf(inService);
     }
 
-    /** Returns every hall, not null. */
+    /** Returns all data halls, not null. */
     public List<DataHall> dataHalls() {
         return List.copyOf(dataHalls.values());
     }
 
-    /** Returns every box, not null. */
+    /** Returns all boxes, not null. */
     public List<Box> boxes() {
         return List.copyOf(boxes.values());
     }
 
-    /** Returns every model, not null. */
+    /** Returns all models, not null. */
     public List<Model> models() {
         return List.copyOf(models.values());
     }
 
-    /** Returns every account, not null. */
+    /** Returns all client accounts, not null. */
     public List<ClientAccount> clientAccounts() {
         return List.copyOf(clientAccounts.values());
     }
 
     /**
-     * Finds a box.
+     * Finds a box by name.
      *
-     * @param name its name, not null
-     * @return the box, empty if no file describes it
+     * @param name the name, not null
+     * @return the box, empty if no file defines it
      */
     public Optional<Box> box(String name) {
         return Optional.ofNullable(boxes.get(name));
     }
 
     /**
-     * Finds a model.
+     * Finds a model by name.
      *
-     * @param name its name, not null
-     * @return the model, empty if no file describes it
+     * @param name the name, not null
+     * @return the model, empty if no file defines it
      */
     public Optional<Model> model(String name) {
         return Optional.ofNullable(models.get(name));
     }
 
     /**
-     * Finds a service.
+     * Finds a service by name.
      *
-     * @param name its name, not null
-     * @return the service, empty if no file describes it
+     * @param name the name, not null
+     * @return the service, empty if no file defines it
      */
     public Optional<Service> service(String name) {
         return Optional.ofNullable(services.get(name));
     }
 
     /**
-     * Finds an account.
+     * Finds a client account by name.
      *
-     * @param name its name, not null
-     * @return the account, empty if no file describes it
+     * @param name the name, not null
+     * @return the client account, empty if no file defines it
      */
     public Optional<ClientAccount> clientAccount(String name) {
         return Optional.ofNullable(clientAccounts.get(name));
     }
 
     /**
-     * Finds the version that the operators want of a model.
+     * Finds the desired version of a model.
      *
      * @param model the model, not null
-     * @return the version, empty if no file describes it
+     * @return the version, empty if no file defines it
      */
     public Optional<ModelVersion> desiredVersion(Model model) {
         return Optional.ofNullable(versions.get(model.name() + "/" + model.version()));
     }
 
     /**
-     * Finds the model that a box serves and that may live in its hall.
+     * Finds the model that a box serves, if the model's weights are allowed in the data hall of the box.
      *
      * @param box the box, not null
-     * @return the model, empty if the box serves a plain service or its hall is not allowed
+     * @return the model, empty if the box serves a plain service or its data hall is not allowed
      */
     public Optional<Model> modelServedBy(Box box) {
         return service(box.service())
@@ -175,7 +175,7 @@
     }
 
     /**
-     * Lists the boxes whose weights may come from each other: same model, halls that the model allows.
+     * Returns the boxes that serve a model and are in data halls that the model allows.
      *
      * @param model the model, not null
      * @return the boxes, not null
@@ -189,21 +189,21 @@
     }
 
     /**
-     * Lists the boxes of a service, without those in a hall that the service's model does not allow.
+     * Returns the boxes of a service, excluding those in data halls that the service's model does not allow.
      *
-     * @param service the service's name, not null
-     * @return the boxes by hall, not null
+     * @param service the service name, not null
+     * @return the boxes by data hall, not null
      */
     public Map<String, List<Box>> usableBoxes(String service) {
         return usableBoxes.getOrDefault(service, Map.of());
     }
 
     /**
-     * Checks a text as the next content of its file, against all other files in force.
+     * Validates a new version of an operator file against all other files in force.
      *
-     * @param source the name to use in errors, not null
+     * @param source the file name for error messages, not null
      * @param text the YAML text, not null
-     * @return every error, empty if the file may be applied, not null
+     * @return the errors, empty if the file is valid, not null
      */
     public List<DocumentError> check(String source, String text) {
         ParsedFile candidate = OperatorFileReader.read(source, text);
@@ -217,21 +217,21 @@
                         !file.content().name().equals(candidate.content().name()))
                 .forEach(all::add);
         all.add(candidate);
-        Map<NameOccurrence.Identity, Long> definitions = all.stream()
+        Map<NameOccurrence.Identity, Long> definitionCounts = all.stream()
                 .flatMap(file -> file.definitions().stream())
                 .collect(Collectors.groupingBy(NameOccurrence::identity, Collectors.counting()));
         return Stream.concat(
-                        duplicates(candidate, definitions),
+                        duplicateDefinitions(candidate, definitionCounts),
                         all.stream()
                                 .flatMap(file -> file.references().stream())
-                                .flatMap(name -> unknown(name, definitions)))
+                                .flatMap(name -> undefined(name, definitionCounts)))
                 .toList();
     }
 
     /**
-     * Reads the name and number that a text gives for itself.
+     * Parses the text of an operator file that has already been validated.
      *
-     * @param text the YAML text, without errors by itself, not null
+     * @param text the YAML text, which must be valid, not null
      * @return the content, not null
      */
     public static OperatorFile parseFile(String text) {
@@ -241,42 +241,42 @@
     // ---- derived copies
 
     /**
-     * Returns this configuration with a file accepted.
+     * Returns a copy of this configuration with a file added or replaced.
      *
-     * @param file the file, checked, not null
-     * @return the next configuration, at the file's index, not null
+     * @param file the validated file, not null
+     * @return the configuration at the file's index, not null
      */
     public Configuration withFile(FileRecord file) {
         Map<String, AcceptedFile> changed = new TreeMap<>(files);
-        changed.put(file.name(), AcceptedFile.read(file));
+        changed.put(file.name(), AcceptedFile.parse(file));
         return new Configuration(file.index(), changed, inService);
     }
 
     /**
-     * Returns a configuration of the given files; files that this one has already are not read again.
+     * Returns a configuration with the given files, without parsing unchanged files again.
      *
      * @param atIndex the index
-     * @param all every file, not null
+     * @param all the files, not null
      * @param manifests the manifest in service by model name, not null
      * @return the configuration, not null
      */
     Configuration withFiles(long atIndex, List<FileRecord> all, Map<String, String> manifests) {
         Map<String, AcceptedFile> byName = new TreeMap<>();
         for (FileRecord file : all) {
-            AcceptedFile known = files.get(file.name());
-            boolean same = known != null && known.record().equals(file);
-            byName.put(file.name(), same ? known : AcceptedFile.read(file));
+            AcceptedFile existing = files.get(file.name());
+            boolean unchanged = existing != null && existing.record().equals(file);
+            byName.put(file.name(), unchanged ? existing : AcceptedFile.parse(file));
         }
         return new Configuration(atIndex, byName, new TreeMap<>(manifests));
     }
 
     /**
-     * Returns this configuration with a version in service.
+     * Returns a copy of this configuration with a different manifest in service for a model.
      *
-     * @param atIndex the index of the change
-     * @param model the model's name, not null
+     * @param atIndex the index of the resulting configuration
+     * @param model the model name, not null
      * @param manifest the manifest that enters service, not null
-     * @return the next configuration, not null
+     * @return the configuration, not null
      */
     public Configuration withInService(long atIndex, String model, String manifest) {
         TreeMap<String, String> changed = new TreeMap<>(inService);
@@ -287,39 +287,40 @@
     // ---- helpers
 
     private static <T> Map<String, T> collect(
-            List<OperatorFile> contents, Function<OperatorFile, List<T>> part, Function<T, String> name) {
+            List<OperatorFile> contents, Function<OperatorFile, List<T>> list, Function<T, String> name) {
         return contents.stream()
-                .flatMap(content -> part.apply(content).stream())
-                .collect(Collectors.toMap(name, thing -> thing, (first, second) -> first, TreeMap::new));
+                .flatMap(content -> list.apply(content).stream())
+                .collect(Collectors.toMap(name, element -> element, (first, second) -> first, TreeMap::new));
     }
 
-    /** An accepted file with what was read from it. */
+    /** An accepted file with its parsed content. */
     private record AcceptedFile(FileRecord record, ParsedFile parsed) {
-        static AcceptedFile read(FileRecord record) {
+        static AcceptedFile parse(FileRecord record) {
             return new AcceptedFile(record, OperatorFileReader.read(record.name(), record.text()));
         }
     }
 
-    private boolean mayBeUsed(Box box) {
+    private boolean isUsable(Box box) {
         Service service = services.get(box.service());
         return service != null && (!service.hasModel() || modelServedBy(box).isPresent());
     }
 
-    private static Stream<DocumentError> duplicates(
-            ParsedFile candidate, Map<NameOccurrence.Identity, Long> definitions) {
+    private static Stream<DocumentError> duplicateDefinitions(
+            ParsedFile candidate, Map<NameOccurrence.Identity, Long> definitionCounts) {
         return candidate.definitions().stream()
-                .filter(name -> definitions.get(name.identity()) > 1)
+                .filter(name -> definitionCounts.get(name.identity()) > 1)
                 .map(name -> new DocumentError(
                         ResultCode.NAME_DUPLICATE,
                         name.location(),
-                        name.kind().label() + " " + name.name() + " is described twice"));
+                        name.kind().label() + " " + name.name() + " is defined more than once"));
     }
 
-    private static Stream<DocumentError> unknown(NameOccurrence name, Map<NameOccurrence.Identity, Long> definitions) {
-        if (definitions.containsKey(name.identity())) {
+    private static Stream<DocumentError> undefined(
+            NameOccurrence name, Map<NameOccurrence.Identity, Long> definitionCounts) {
+        if (definitionCounts.containsKey(name.identity())) {
             return Stream.empty();
         }
-        String message = "no file describes the " + name.kind().label() + " " + name.name();
+        String message = name.kind().label() + " " + name.name() + " is not defined in any file";
         return Stream.of(new DocumentError(ResultCode.REFERENCE_UNKNOWN, name.location(), message));
     }
 
--- a/core/src/main/java/org/bankturn/configuration/ConfigurationHolder.java
+++ b/core/src/main/java/org/bankturn/configuration/ConfigurationHolder.java
@@ -6,9 +6,9 @@
 import java.util.function.Consumer;
 
 /**
- * The configuration in force in this process; it never goes back to an older one.
+ * Holds the current configuration of this process, whose index never decreases.
  *
- * <p>Readers take the current copy without waiting; it is replaced as a whole (read-copy-update).
+ * <p>Reads are lock-free; an update replaces the immutable configuration atomically.
  *
  * <p>ConfigurationHolder is thread-safe.
  */
@@ -16,35 +16,36 @@
     private final AtomicReference<Configuration> current = new AtomicReference<>(Configuration.empty());
     private final List<Consumer<Configuration>> listeners = new ArrayList<>();
 
-    /** Creates a holder of the empty configuration. */
+    /** Creates a holder with the empty configuration. */
     public ConfigurationHolder() {}
 
-    /** Returns what is in force, not null. */
+    /** Returns the current configuration, not null. */
     public Configuration get() {
         return current.get();
     }
 
     /**
-     * Puts a configuration in force if it is newer than the one held.
+     * Replaces the current configuration if the candidate has a higher index.
      *
-     * @param candidate the configuration, not null
-     * @return true if it is now in force, false if the one held is as new
+     * @param candidate the new configuration, not null
+     * @return true if the candidate replaced the current configuration
      */
     public boolean advanceTo(Configuration candidate) {
-        Configuration before = current.getAndUpdate(held -> candidate.index() > held.index() ? candidate : held);
-        if (candidate.index() <= before.index()) {
+        Configuration previous =
+                current.getAndUpdate(existing -> candidate.index() > existing.index() ? candidate : existing);
+        if (candidate.index() <= previous.index()) {
             return false;
         }
-        List<Consumer<Configuration>> told;
+        List<Consumer<Configuration>> snapshot;
         synchronized (listeners) {
-            told = List.copyOf(listeners);
+            snapshot = List.copyOf(listeners);
         }
-        told.forEach(listener -> listener.accept(current.get()));
+        snapshot.forEach(listener -> listener.accept(current.get()));
         return true;
     }
 
     /**
-     * Calls a listener after each advance, on the thread that made it.
+     * Registers a listener that is called after each update, on the updating thread.
      *
      * @param listener the listener, not null
      */
--- a/core/src/main/java/org/bankturn/configuration/ConfigurationUpdate.java
+++ b/core/src/main/java/org/bankturn/configuration/ConfigurationUpdate.java
@@ -6,22 +6,22 @@
 import java.util.Optional;
 
 /**
- * The step from one configuration to a newer one: only the files that changed in between.
+ * An incremental update from one configuration to a newer one, which contains only the changed files.
  *
- * @param baseIndex the index that it starts from
- * @param index the index that it leads to
- * @param digest the digest of the configuration that it leads to, not null
+ * @param baseIndex the configuration index that the update applies to
+ * @param index the configuration index after the update
+ * @param digest the expected digest of the resulting configuration, not null
  * @param changedFiles the files accepted after {@code baseIndex}, not null
- * @param inService the manifest in service by model name, whole, not null
+ * @param inService the complete map from model name to the manifest in service, not null
  */
 public record ConfigurationUpdate(
         long baseIndex, long index, String digest, List<FileRecord> changedFiles, Map<String, String> inService) {
     /**
-     * Makes the step from an index to a configuration.
+     * Creates the update from a configuration index to a configuration.
      *
-     * @param baseIndex the index that the receiver has
-     * @param target the configuration to lead to, not null
-     * @return the step, not null
+     * @param baseIndex the configuration index of the receiver
+     * @param target the resulting configuration, not null
+     * @return the update, not null
      */
     public static ConfigurationUpdate between(long baseIndex, Configuration target) {
         List<FileRecord> changed =
@@ -30,10 +30,11 @@
     }
 
     /**
-     * Takes the step.
+     * Applies the update.
      *
-     * @param base the configuration to start from, at {@code baseIndex}, not null
-     * @return the newer configuration; empty if the result does not have the digest, so that all must be fetched
+     * @param base the configuration at {@code baseIndex}, not null
+     * @return the resulting configuration; empty if its digest differs, in which case the receiver must fetch the whole
+     *     configuration
      */
     public Optional<Configuration> applyTo(Configuration base) {
         List<FileRecord> files = new ArrayList<>(baseIndex == 0 ? List.of() : base.files());
@@ -41,6 +42,6 @@
                 file -> changedFiles.stream().anyMatch(changed -> changed.name().equals(file.name())));
         files.addAll(changedFiles);
         Configuration result = base.withFiles(index, files, inService);
-        return Optional.of(result).filter(made -> made.digest().equals(digest));
+        return Optional.of(result).filter(updated -> updated.digest().equals(digest));
     }
 }
--- a/core/src/main/java/org/bankturn/configuration/DataHall.java
+++ b/core/src/main/java/org/bankturn/configuration/DataHall.java
@@ -1,9 +1,9 @@
 package org.bankturn.configuration;
 
 /**
- * A zone with its own boxes, which may be cut off from the others.
+ * A failure domain that contains boxes and may be partitioned from other data halls.
  *
- * @param name the hall's name, not null
- * @param region the region that the hall lies in, not null
+ * @param name the data hall name, not null
+ * @param region the region that contains the data hall, not null
  */
 public record DataHall(String name, String region) {}
--- a/core/src/main/java/org/bankturn/configuration/Digest.java
+++ b/core/src/main/java/org/bankturn/configuration/Digest.java
@@ -5,14 +5,14 @@
 import java.security.NoSuchAlgorithmException;
 import java.util.HexFormat;
 
-/** SHA-256 in lower-case hexadecimal digits. */
+/** Computes SHA-256 digests as lower-case hexadecimal strings. */
 public final class Digest {
     private Digest() {}
 
     /**
-     * Digests a text.
+     * Computes the digest of a string.
      *
-     * @param text the text, taken as UTF-8, not null
+     * @param text the string, encoded as UTF-8, not null
      * @return 64 hexadecimal digits, not null
      */
     public static String of(String text) {
@@ -20,7 +20,7 @@
     }
 
     /**
-     * Digests bytes.
+     * Computes the digest of a byte array.
      *
      * @param bytes the bytes, not null
      * @return 64 hexadecimal digits, not null
@@ -29,7 +29,7 @@
         return HexFormat.of().formatHex(sha256().digest(bytes));
     }
 
-    /** Returns a fresh SHA-256, which every Java platform has, not null. */
+    /** Returns a new SHA-256 message digest, not null. */
     public static MessageDigest sha256() {
         try {
             return MessageDigest.getInstance("SHA-256");
--- a/core/src/main/java/org/bankturn/configuration/Model.java
+++ b/core/src/main/java/org/bankturn/configuration/Model.java
@@ -4,21 +4,21 @@
 import org.bankturn.distribution.DistributionPolicy;
 
 /**
- * A model whose weights bankturn moves.
+ * A model whose weights bankturn distributes.
  *
- * @param name the model's name, not null
- * @param dataHalls the halls where its weights may live, not empty
- * @param version the version that the operators want in service, not null
- * @param policy what a burst of this model prefers, not null
- * @param entersServiceAt the boxes that must have loaded a version before it enters service
+ * @param name the model name, not null
+ * @param dataHalls the data halls in which its weights may be stored, not empty
+ * @param version the name of the desired version, not null
+ * @param policy the policy for distributing a new version, not null
+ * @param entersServiceAt the number of boxes that must have loaded a version before it enters service
  */
 public record Model(
         String name, List<String> dataHalls, String version, DistributionPolicy policy, int entersServiceAt) {
     /**
-     * Tells whether this model's weights may live in a hall.
+     * Returns whether the model's weights may be stored in a data hall.
      *
-     * @param dataHall the hall's name, not null
-     * @return true if the files allow it
+     * @param dataHall the name of the data hall, not null
+     * @return true if the data hall is allowed
      */
     public boolean allowsDataHall(String dataHall) {
         return dataHalls.contains(dataHall);
--- a/core/src/main/java/org/bankturn/configuration/NameOccurrence.java
+++ b/core/src/main/java/org/bankturn/configuration/NameOccurrence.java
@@ -4,11 +4,11 @@
 import org.bankturn.document.SourceLocation;
 
 /**
- * A name that a file describes, or refers to, with the place where it does.
+ * A definition of a name in an operator file, or a reference to one, with its source location.
  *
- * @param kind what the name stands for, not null
+ * @param kind the kind of object that is named, not null
  * @param name the name, not null
- * @param location where it stands, not null
+ * @param location the source location, not null
  */
 record NameOccurrence(Kind kind, String name, SourceLocation location) {
     enum Kind {
@@ -24,7 +24,7 @@
         }
     }
 
-    /** What makes two names stand for the same thing. */
+    /** Identifies the named object independently of the source location. */
     record Identity(Kind kind, String name) {}
 
     Identity identity() {
--- a/core/src/main/java/org/bankturn/configuration/ParsedFile.java
+++ b/core/src/main/java/org/bankturn/configuration/ParsedFile.java
@@ -4,12 +4,12 @@
 import org.bankturn.document.DocumentError;
 
 /**
- * A file as read: its content, the names that it describes and refers to, and what is wrong with it by itself.
+ * The result of parsing an operator file without regard to other files.
  *
- * @param content the content, harmless values where something is wrong, not null
- * @param definitions the names that it describes, not null
- * @param references the names that it refers to, not null
- * @param errors every error found, empty if the file is good by itself, not null
+ * @param content the content, with default values in place of invalid ones, not null
+ * @param definitions the names that the file defines, not null
+ * @param references the names that the file references, not null
+ * @param errors the errors found, empty if the file is valid, not null
  */
 record ParsedFile(
         OperatorFile content,
--- a/core/src/main/java/org/bankturn/configuration/Service.java
+++ b/core/src/main/java/org/bankturn/configuration/Service.java
@@ -1,14 +1,14 @@
 package org.bankturn.configuration;
 
 /**
- * Something that callers ask for: a model's assistant, or a plain service.
+ * A service that clients can call, backed by a model or by a plain HTTP server.
  *
- * @param name the service's name, not null
- * @param model the model that answers, null for a plain service
- * @param requestsAtOnce the requests that one target works on at a time
+ * @param name the service name, not null
+ * @param model the name of the model that backs the service, null for a plain service
+ * @param requestsAtOnce the maximum number of concurrent requests per target
  */
 public record Service(String name, String model, int requestsAtOnce) {
-    /** Returns true if a model answers. */
+    /** Returns true if the service is backed by a model. */
     public boolean hasModel() {
         return model != null;
     }
--- a/core/src/main/java/org/bankturn/configuration/package-info.java
+++ b/core/src/main/java/org/bankturn/configuration/package-info.java
@@ -1,4 +1,4 @@
 /**
- * The operators' files: their model, their reading, and the configuration that they make together.
+ * The model and the parser of operator files, and the configuration that results from the accepted files.
  */
 package org.bankturn.configuration;
