--- a/core/src/test/java/org/bankturn/configuration/OperatorFileTest.java
+++ b/core/src/test/java/org/bankturn/configuration/OperatorFileTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.api.Test;
 
 class OperatorFileTest {
-    private static final String GOOD = """
+    private static final String VALID_FILE = """
             name: donor
             number: 1
             dataHalls:
@@ -32,16 +32,17 @@
     }
 
     @Test
-    void a_good_file_has_no_errors() {
-        assertThat(check(GOOD)).isEmpty();
+    void valid_file_has_no_errors() {
+        assertThat(check(VALID_FILE)).isEmpty();
     }
 
     @Test
-    void every_error_is_listed_at_once_with_code_line_and_field() {
-        String bad = GOOD.replace("requestsAtOnce: 4", "requestsAtOnce: many, speed: 3")
+    void all_errors_are_reported_with_code_line_and_field() {
+        String invalid = VALID_FILE
+                .replace("requestsAtOnce: 4", "requestsAtOnce: many, speed: 3")
                 .replace("weight: 2", "weight: 0")
                 .replace("number: 1", "numbre: 1");
-        List<DocumentError> errors = check(bad);
+        List<DocumentError> errors = check(invalid);
         assertThat(errors)
                 .extracting(DocumentError::code)
                 .contains(ResultCode.FIELD_MISSING, ResultCode.FIELD_UNKNOWN, ResultCode.FIELD_INVALID);
@@ -53,15 +54,15 @@
     }
 
     @Test
-    void a_name_that_nothing_describes_is_found_with_its_place() {
-        List<DocumentError> errors = check(GOOD.replace("dataHall: puget\n", "dataHall: pugit\n"));
+    void undefined_reference_is_reported_with_its_location() {
+        List<DocumentError> errors = check(VALID_FILE.replace("dataHall: puget\n", "dataHall: pugit\n"));
         assertThat(errors).hasSize(1);
         assertThat(errors.get(0).code()).isEqualTo(ResultCode.REFERENCE_UNKNOWN);
         assertThat(errors.get(0).location().line()).isEqualTo(9);
     }
 
     @Test
-    void a_file_may_not_take_away_what_another_refers_to() {
+    void definition_referenced_by_another_file_cannot_be_removed() {
         FileRecord halls = new FileRecord(
                 "halls", 1, 1, "a", "", "name: halls\nnumber: 1\ndataHalls:\n  - {name: puget, region: north}\n");
         String accounts = """
@@ -69,29 +70,29 @@
                 number: 1
                 clientAccounts: [{name: red, weight: 1, dataHalls: [puget]}]
                 """;
-        Configuration both =
+        Configuration configuration =
                 Configuration.empty().withFile(halls).withFile(new FileRecord("accounts", 1, 2, "a", "", accounts));
-        List<DocumentError> errors = both.check("halls.yaml", "name: halls\nnumber: 2\n");
+        List<DocumentError> errors = configuration.check("halls.yaml", "name: halls\nnumber: 2\n");
         assertThat(errors).extracting(DocumentError::code).containsExactly(ResultCode.REFERENCE_UNKNOWN);
         assertThat(errors.get(0).location().file()).isEqualTo("accounts");
     }
 
     @Test
-    void a_key_given_twice_is_refused() {
-        assertThat(check(GOOD + "name: again\n"))
+    void duplicate_key_is_rejected() {
+        assertThat(check(VALID_FILE + "name: again\n"))
                 .extracting(DocumentError::code)
                 .contains(ResultCode.FILE_UNREADABLE);
     }
 
     @Property(tries = 300, seed = "20261202")
-    void no_text_makes_the_reader_fail(@ForAll String text) {
+    void arbitrary_text_does_not_make_the_parser_throw(@ForAll String text) {
         assertThat(check(text)).isNotNull();
     }
 
     @Property(tries = 300, seed = "20261202")
-    void no_damage_to_a_good_file_makes_the_reader_fail(@ForAll int position, @ForAll char put) {
-        StringBuilder damaged = new StringBuilder(GOOD);
-        damaged.setCharAt(Math.floorMod(position, GOOD.length()), put);
-        assertThat(check(damaged.toString())).isNotNull();
+    void replacing_a_character_does_not_make_the_parser_throw(@ForAll int position, @ForAll char replacement) {
+        StringBuilder corrupted = new StringBuilder(VALID_FILE);
+        corrupted.setCharAt(Math.floorMod(position, VALID_FILE.length()), replacement);
+        assertThat(check(corrupted.toString())).isNotNull();
     }
 }
