--- a/core/src/main/java/org/bankturn/routing/FirstEventEstimate.java
+++ b/core/src/main/java/org/bankturn/routing/FirstEventEstimate.java
@@ -42,6 +42,6 @@
 
     /** Returns how long it takes until one of the engine's places becomes free, on average, while all are taken. */
     private double slotReleaseMillis() {
-        return engine.usualAnswerMillis() / engine.slots();
+        return engine.meanAnswerMillis() / engine.slots();
     }
 }
--- a/core/src/main/java/org/bankturn/routing/InterruptionCost.java
+++ b/core/src/main/java/org/bankturn/routing/InterruptionCost.java
@@ -36,7 +36,7 @@
             return 0;
         }
         double generationMillis = Math.max(0, untilInterruptionMillis - predictedMillis);
-        double interruptionProbability = Math.exp(-generationMillis / engine.usualAnswerMillis());
+        double interruptionProbability = Math.exp(-generationMillis / engine.meanAnswerMillis());
         return interruptionProbability * OBJECTIVES_PER_INTERRUPTION * objectiveMillis;
     }
 }
--- a/core/src/main/java/org/bankturn/routing/RetryAfter.java
+++ b/core/src/main/java/org/bankturn/routing/RetryAfter.java
@@ -45,6 +45,6 @@
     /** Returns when the answers under way at full engines will have ended, spread so that callers come back apart. */
     public static long forBusyEngines(EngineModel engine, UniformRandomProvider random) {
         double share = MIN_ANSWER_SHARE + JITTER_SHARE * random.nextDouble();
-        return Math.max(OTHER_GATEWAY_MILLIS, Math.round(engine.usualAnswerMillis() * share));
+        return Math.max(OTHER_GATEWAY_MILLIS, Math.round(engine.meanAnswerMillis() * share));
     }
 }
--- a/core/src/main/java/org/bankturn/service/EngineModel.java
+++ b/core/src/main/java/org/bankturn/service/EngineModel.java
@@ -27,7 +27,7 @@
     private static final double SLOWER_WHILE_READING = 1.5;
 
     /** Returns how long an answer of the usual length takes an engine whose places are all taken, in milliseconds. */
-    public double usualAnswerMillis() {
+    public double meanAnswerMillis() {
         double step = stepMillis + slots * stepMillisPerRequest;
         return usualAnswerTokens * step * SLOWER_WHILE_READING;
     }
