--- a/core/src/main/java/org/bankturn/routing/RequestPolicy.java
+++ b/core/src/main/java/org/bankturn/routing/RequestPolicy.java
@@ -236,7 +236,7 @@
 
     /** Returns another target for a request that a target answered with a failure, empty if the failure is passed on. */
     public Optional<NextStep.Send> retryAfterFailure(RequestProgress request) {
-        boolean repeatable = request.route().kind().mayRepeat();
+        boolean repeatable = request.route().kind().isRetryable();
         if (!repeatable
                 || !canRetryElsewhere(request)
                 || !retryBudget(request.service()).tryRetry()) {
--- a/core/src/main/java/org/bankturn/service/RequestKind.java
+++ b/core/src/main/java/org/bankturn/service/RequestKind.java
@@ -20,7 +20,7 @@
     }
 
     /** Returns true if a request whose outcome is unknown may be sent to another target. */
-    public boolean mayRepeat() {
+    public boolean isRetryable() {
         return repeatable;
     }
 
--- a/core/src/main/java/org/bankturn/service/ServingConfiguration.java
+++ b/core/src/main/java/org/bankturn/service/ServingConfiguration.java
@@ -132,7 +132,7 @@
         return routes.stream()
                 .filter(route -> route.services().stream()
                         .anyMatch(share -> share.weight() > 0 && share.service().equals(service)))
-                .allMatch(route -> route.kind().mayRepeat() && route.maximumAttempts() > 1);
+                .allMatch(route -> route.kind().isRetryable() && route.maximumAttempts() > 1);
     }
 
     /** Returns what callers may send, not null. */
--- a/daemon/src/main/java/org/bankturn/daemon/gateway/Attempt.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/Attempt.java
@@ -67,7 +67,7 @@
 
     void start() {
         target.requestStarted(metadata.promptTokens(), startedMillis);
-        long maxIdleMillis = route.kind().mayRepeat() ? Long.MAX_VALUE : MAX_IDLE_NOT_REPEATABLE_MILLIS;
+        long maxIdleMillis = route.kind().isRetryable() ? Long.MAX_VALUE : MAX_IDLE_NOT_REPEATABLE_MILLIS;
         TargetConnection idleConnection = gateway.connections().acquire(targetId(), now(), maxIdleMillis);
         Promise<TargetConnection> connected = idleConnection != null
                 ? Promise.of(idleConnection)
--- a/daemon/src/main/java/org/bankturn/daemon/gateway/ForwardedRequest.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/ForwardedRequest.java
@@ -130,7 +130,7 @@
     private void retryOrGiveUp(TargetSighting target, String reason) {
         if (trial || gateway.crashDetector().isCondemned(this)) {
             stopCondemned();
-        } else if (route.kind().mayRepeat()) {
+        } else if (route.kind().isRetryable()) {
             retry(reason);
         } else {
             giveUp(reason + " from " + target.id());
--- a/daemon/src/main/java/org/bankturn/daemon/gateway/StallDetector.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/StallDetector.java
@@ -108,7 +108,7 @@
             return;
         }
         recordStall();
-        if (!request.route().kind().mayRepeat()) {
+        if (!request.route().kind().isRetryable()) {
             return;
         }
         if (request.hasAlternativeTarget()) {
