--- a/core/src/main/java/org/bankturn/service/Route.java
+++ b/core/src/main/java/org/bankturn/service/Route.java
@@ -42,7 +42,7 @@
      *
      * @param draw any number; equal draws give equal services
      */
-    public String serviceFor(long draw) {
+    public String selectService(long draw) {
         long left = Math.floorMod(draw, (long) totalWeight());
         for (WeightedService each : services) {
             left -= each.weight();
--- a/core/src/test/java/org/bankturn/service/ServingConfigurationTest.java
+++ b/core/src/test/java/org/bankturn/service/ServingConfigurationTest.java
@@ -51,10 +51,10 @@
     void draws_fall_on_services_by_weight() {
         Route route = route("r", "/a/", 100, share("chat", 3), share("booking", 1));
         long chats = java.util.stream.LongStream.range(0, 400)
-                .filter(draw -> route.serviceFor(draw).equals("chat"))
+                .filter(draw -> route.selectService(draw).equals("chat"))
                 .count();
         assertThat(chats).isEqualTo(300);
-        assertThat(route.serviceFor(-1)).isEqualTo("booking");
+        assertThat(route.selectService(-1)).isEqualTo("booking");
     }
 
     private static WeightedService share(String service, int weight) {
--- a/daemon/src/main/java/org/bankturn/daemon/gateway/ForwardedRequest.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/ForwardedRequest.java
@@ -52,7 +52,7 @@
                 : route.timeoutMillis();
         this.endMillis = exchange.receivedMillis() + timeoutMillis;
         Service service =
-                gateway.service(route.serviceFor(metadata.id().hashCode())).orElseThrow();
+                gateway.service(route.selectService(metadata.id().hashCode())).orElseThrow();
         this.progress = RequestProgress.of(route, service, metadata.promptTokens(), endMillis);
     }
 
