--- a/core/src/main/java/org/bankturn/service/ServingConfiguration.java
+++ b/core/src/main/java/org/bankturn/service/ServingConfiguration.java
@@ -128,7 +128,7 @@
      *
      * @param service the service's name, not null
      */
-    public boolean everyRequestMayGoOnElsewhere(String service) {
+    public boolean areAllRequestsRetryable(String service) {
         return routes.stream()
                 .filter(route -> route.services().stream()
                         .anyMatch(share -> share.weight() > 0 && share.service().equals(service)))
--- a/core/src/test/java/org/bankturn/service/ServingConfigurationTest.java
+++ b/core/src/test/java/org/bankturn/service/ServingConfigurationTest.java
@@ -64,17 +64,16 @@
     @Test
     void requests_may_go_on_elsewhere_only_if_no_route_of_the_service_forbids_it() {
         Route safe = route("safe", "/a/", 100, share("chat", 1));
-        assertThat(configuration(safe).everyRequestMayGoOnElsewhere("chat")).isTrue();
+        assertThat(configuration(safe).areAllRequestsRetryable("chat")).isTrue();
         for (RequestKind kind : List.of(RequestKind.UNSAFE, RequestKind.STREAM)) {
             Route once = new Route("once", "h", "/b/", kind, 100, 50, 0, List.of(share("chat", 1)), 2, false);
-            assertThat(configuration(safe, once).everyRequestMayGoOnElsewhere("chat"))
+            assertThat(configuration(safe, once).areAllRequestsRetryable("chat"))
                     .isFalse();
         }
         Route single = new Route(
                 "single", "h", "/b/", RequestKind.RESUMABLE_STREAM, 100, 50, 0, List.of(share("chat", 1)), 1, false);
-        assertThat(configuration(safe, single).everyRequestMayGoOnElsewhere("chat"))
-                .isFalse();
-        assertThat(configuration(safe, single).everyRequestMayGoOnElsewhere("booking"))
+        assertThat(configuration(safe, single).areAllRequestsRetryable("chat")).isFalse();
+        assertThat(configuration(safe, single).areAllRequestsRetryable("booking"))
                 .isTrue();
     }
 
--- a/daemon/src/main/java/org/bankturn/daemon/weights/WeightsAgent.java
+++ b/daemon/src/main/java/org/bankturn/daemon/weights/WeightsAgent.java
@@ -251,7 +251,7 @@
     /** Returns AT_ONCE if aborted requests can resume at another target, since draining would then only cost capacity. */
     private ChangeMethod changeMethod() {
         boolean resumable = published.configuration() != null
-                && published.configuration().everyRequestMayGoOnElsewhere(settings.service());
+                && published.configuration().areAllRequestsRetryable(settings.service());
         return resumable ? ChangeMethod.AT_ONCE : ChangeMethod.AFTER_ANSWERS;
     }
 
