--- a/core/src/main/java/org/bankturn/service/ServingConfiguration.java
+++ b/core/src/main/java/org/bankturn/service/ServingConfiguration.java
@@ -146,7 +146,7 @@
     }
 
     /** Returns the account that a key speaks for, empty if none does. */
-    public Optional<Account> accountOf(String key) {
+    public Optional<Account> accountForKey(String key) {
         return Optional.ofNullable(accountsByKey.get(key));
     }
 
--- a/daemon/src/main/java/org/bankturn/daemon/gateway/Gateway.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/Gateway.java
@@ -269,13 +269,13 @@
         if (configuration.hasAccounts() && !route.get().open()) {
             account = metadata.apiKey() == null
                     ? null
-                    : configuration.accountOf(metadata.apiKey()).orElse(null);
+                    : configuration.accountForKey(metadata.apiKey()).orElse(null);
             if (account == null) {
                 deny(exchange, metadata, 401, "unknown key");
                 return;
             }
         } else if (metadata.apiKey() != null) {
-            account = configuration.accountOf(metadata.apiKey()).orElse(null);
+            account = configuration.accountForKey(metadata.apiKey()).orElse(null);
         }
         new ForwardedRequest(this, exchange, metadata, route.get(), account).start();
     }
