--- a/core/src/main/java/org/bankturn/service/Route.java
+++ b/core/src/main/java/org/bankturn/service/Route.java
@@ -14,7 +14,7 @@
  * @param priority the rank of the requests, 0 first
  * @param services the services that may run them, at least one with a weight above 0
  * @param maximumAttempts the targets that one request may be sent to
- * @param open true if no key is needed
+ * @param allowsAnonymous true if no key is needed
  */
 public record Route(
         String name,
@@ -26,7 +26,7 @@
         int priority,
         List<WeightedService> services,
         int maximumAttempts,
-        boolean open) {
+        boolean allowsAnonymous) {
     /** Copies the services. */
     public Route {
         services = List.copyOf(services);
--- a/daemon/src/main/java/org/bankturn/daemon/gateway/Gateway.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/Gateway.java
@@ -266,7 +266,7 @@
             return;
         }
         Account account = null;
-        if (configuration.hasAccounts() && !route.get().open()) {
+        if (configuration.hasAccounts() && !route.get().allowsAnonymous()) {
             account = metadata.apiKey() == null
                     ? null
                     : configuration.accountForKey(metadata.apiKey()).orElse(null);
