--- a/core/src/main/java/org/bankturn/service/Account.java
+++ b/core/src/main/java/org/bankturn/service/Account.java
@@ -3,14 +3,14 @@
 import java.util.List;
 
 /**
- * A client account and the keys that speak for it.
+ * A client account and its API keys.
  *
- * @param name the account's name, not null
- * @param keys its keys, not null
- * @param priority the rank of its requests, 0 first; -1 to take each route's
+ * @param name the account name, not null
+ * @param keys the API keys that authenticate the account, not null
+ * @param priority the priority of its requests, 0 being the highest; -1 to use the priority of the route
  */
 public record Account(String name, List<String> keys, int priority) {
-    /** Copies the keys. */
+    /** Creates an account with a copy of the keys. */
     public Account {
         keys = List.copyOf(keys);
     }
--- a/core/src/main/java/org/bankturn/service/ClientLimits.java
+++ b/core/src/main/java/org/bankturn/service/ClientLimits.java
@@ -1,15 +1,15 @@
 package org.bankturn.service;
 
 /**
- * What callers may send and how long they may rest.
+ * Size limits and timeouts for client connections.
  *
- * @param maximumHeaderBytes the largest head
- * @param maximumBodyBytes the largest body
- * @param headerTimeoutMillis the longest that a head may take
- * @param idleTimeoutMillis the longest that a connection may rest
+ * @param maximumHeaderBytes the maximum size of the request line and headers
+ * @param maximumBodyBytes the maximum size of a request body
+ * @param headerTimeoutMillis the maximum time to receive the request line and headers
+ * @param idleTimeoutMillis the maximum time that a connection may be idle
  */
 public record ClientLimits(
         int maximumHeaderBytes, int maximumBodyBytes, long headerTimeoutMillis, long idleTimeoutMillis) {
-    /** What holds before operators have said anything. */
+    /** The limits that apply when the operators have configured none. */
     public static final ClientLimits DEFAULT = new ClientLimits(16_384, 4 << 20, 3_000, 15_000);
 }
--- a/core/src/main/java/org/bankturn/service/DocumentFormat.java
+++ b/core/src/main/java/org/bankturn/service/DocumentFormat.java
@@ -1,14 +1,14 @@
 package org.bankturn.service;
 
-/** Reads the documents that operators publish, in whatever notation they use. */
+/** Parses configuration documents that operators publish. */
 @FunctionalInterface
 public interface DocumentFormat {
     /**
-     * Reads a document.
+     * Parses a document.
      *
-     * @param document its bytes, not null
-     * @return what it says; ask it for its problems before accepting it, not null
-     * @throws UnreadableDocumentException if it cannot be read whole
+     * @param document the bytes of the document, not null
+     * @return the configuration, which may be inconsistent; see {@link ServingConfiguration#problems()}, not null
+     * @throws UnreadableDocumentException if the document cannot be parsed
      */
     ServingConfiguration read(byte[] document) throws UnreadableDocumentException;
 }
--- a/core/src/main/java/org/bankturn/service/EngineModel.java
+++ b/core/src/main/java/org/bankturn/service/EngineModel.java
@@ -1,17 +1,17 @@
 package org.bankturn.service;
 
 /**
- * How fast the engines of a service work.
+ * A performance model of the inference engines of a service.
  *
- * @param slots requests that run at once
- * @param tokenCapacity tokens that fit in memory
- * @param stepMillis the time of one token step
- * @param stepMillisPerRequest what each running request adds to a step
- * @param stepMillisPerThousandTokens what a thousand tokens of context add to a step
- * @param promptTokensPerMillisecond how fast prompts are read
- * @param promptTokensPerStep the most that is read in a step
- * @param stepsPerPass token steps between readings while requests write
- * @param usualAnswerTokens the mean length of an answer
+ * @param slots the maximum number of concurrent requests
+ * @param tokenCapacity the number of tokens that fit into the KV cache
+ * @param stepMillis the base duration of a decoding step
+ * @param stepMillisPerRequest the additional step duration per running request
+ * @param stepMillisPerThousandTokens the additional step duration per thousand tokens of context
+ * @param promptTokensPerMillisecond the prompt processing rate
+ * @param promptTokensPerStep the maximum number of prompt tokens processed in a step
+ * @param stepsPerPass the decoding steps between two prompt processing steps while requests are generating
+ * @param usualAnswerTokens the mean length of a response in tokens
  */
 public record EngineModel(
         int slots,
@@ -23,12 +23,12 @@
         int promptTokensPerStep,
         int stepsPerPass,
         int usualAnswerTokens) {
-    /** Prompts that are read between token steps make an answer take about that much longer on a busy engine. */
-    private static final double SLOWER_WHILE_READING = 1.5;
+    /** The factor by which interleaved prompt processing slows down decoding on a busy engine. */
+    private static final double PREFILL_SLOWDOWN = 1.5;
 
-    /** Returns how long an answer of the usual length takes an engine whose places are all taken, in milliseconds. */
+    /** Returns the duration of a response of mean length on a fully loaded engine, in milliseconds. */
     public double meanAnswerMillis() {
         double step = stepMillis + slots * stepMillisPerRequest;
-        return usualAnswerTokens * step * SLOWER_WHILE_READING;
+        return usualAnswerTokens * step * PREFILL_SLOWDOWN;
     }
 }
--- a/core/src/main/java/org/bankturn/service/RequestKind.java
+++ b/core/src/main/java/org/bankturn/service/RequestKind.java
@@ -1,30 +1,30 @@
 package org.bankturn.service;
 
-/** What a route's requests are, and so what may be repeated. */
+/** The retry and streaming semantics of a route's requests. */
 public enum RequestKind {
-    /** May run more than once. */
+    /** May be executed more than once. */
     IDEMPOTENT(true, false),
-    /** Runs at most once. */
+    /** Must be executed at most once. */
     UNSAFE(false, false),
-    /** Answers with events and runs at most once. */
+    /** Responds with an event stream and must be executed at most once. */
     STREAM(false, true),
-    /** Answers with events and may be taken up at another target after the last whole event. */
+    /** Responds with an event stream that another target can resume after the last complete event. */
     RESUMABLE_STREAM(true, true);
 
-    private final boolean repeatable;
+    private final boolean retryable;
     private final boolean stream;
 
-    RequestKind(boolean repeatable, boolean stream) {
-        this.repeatable = repeatable;
+    RequestKind(boolean retryable, boolean stream) {
+        this.retryable = retryable;
         this.stream = stream;
     }
 
     /** Returns true if a request whose outcome is unknown may be sent to another target. */
     public boolean isRetryable() {
-        return repeatable;
+        return retryable;
     }
 
-    /** Returns true if answers are series of events. */
+    /** Returns true if responses are event streams. */
     public boolean isStream() {
         return stream;
     }
--- a/core/src/main/java/org/bankturn/service/Route.java
+++ b/core/src/main/java/org/bankturn/service/Route.java
@@ -3,18 +3,18 @@
 import java.util.List;
 
 /**
- * Which requests go to which services, and within what bounds.
+ * A rule that assigns requests to services and sets their limits.
  *
- * @param name the route's name, not null
- * @param host the host that requests name, not null
- * @param pathPrefix the beginning of their paths, with a slash at both ends, not null
- * @param kind what may be repeated, not null
- * @param timeoutMillis the longest that a request may be held, more than 0
- * @param objectiveMillis the time within which an answer is in time
- * @param priority the rank of the requests, 0 first
- * @param services the services that may run them, at least one with a weight above 0
- * @param maximumAttempts the targets that one request may be sent to
- * @param allowsAnonymous true if no key is needed
+ * @param name the route name, not null
+ * @param host the value of the Host header, not null
+ * @param pathPrefix the path prefix, which starts and ends with a slash, not null
+ * @param kind the retry and streaming semantics of the requests, not null
+ * @param timeoutMillis the maximum duration of a request, more than 0
+ * @param objectiveMillis the target response time
+ * @param priority the priority of the requests, 0 being the highest
+ * @param services the weighted services that execute the requests, at least one with a positive weight
+ * @param maximumAttempts the maximum number of attempts per request
+ * @param allowsAnonymous true if requests need no API key
  */
 public record Route(
         String name,
@@ -27,29 +27,29 @@
         List<WeightedService> services,
         int maximumAttempts,
         boolean allowsAnonymous) {
-    /** Copies the services. */
+    /** Creates a route with a copy of the services. */
     public Route {
         services = List.copyOf(services);
     }
 
-    /** Returns the sum of the services' weights. */
+    /** Returns the sum of the service weights. */
     public int totalWeight() {
         return services.stream().mapToInt(WeightedService::weight).sum();
     }
 
     /**
-     * Returns the service that a draw falls on.
+     * Selects a service according to the weights.
      *
-     * @param draw any number; equal draws give equal services
+     * @param draw any number; equal numbers select the same service
      */
     public String selectService(long draw) {
-        long left = Math.floorMod(draw, (long) totalWeight());
-        for (WeightedService each : services) {
-            left -= each.weight();
-            if (left < 0) {
-                return each.service();
+        long remaining = Math.floorMod(draw, (long) totalWeight());
+        for (WeightedService weighted : services) {
+            remaining -= weighted.weight();
+            if (remaining < 0) {
+                return weighted.service();
             }
         }
-        throw new IllegalStateException("route without weights: " + name);
+        throw new IllegalStateException("route has no service with a positive weight: " + name);
     }
 }
--- a/core/src/main/java/org/bankturn/service/Service.java
+++ b/core/src/main/java/org/bankturn/service/Service.java
@@ -1,14 +1,14 @@
 package org.bankturn.service;
 
 /**
- * A group of like targets.
+ * A group of interchangeable targets.
  *
- * @param name the service's name, not null
- * @param healthPath where a target tells its health, not null
- * @param maximumConnections the connections that one target takes from all callers together
- * @param engine the model of its engines, null for a plain service
- * @param weights how its weights are cut up, null if it holds none
- * @param originAddress where weights are fetched from, host:port, null unless the service is an origin
+ * @param name the service name, not null
+ * @param healthPath the path of the health check endpoint of a target, not null
+ * @param maximumConnections the maximum number of connections to one target across all clients
+ * @param engine the performance model of its engines, null for a plain service
+ * @param weights the layout of its model weights, null if it has none
+ * @param originAddress the host:port from which weights are fetched, null unless the service is an origin
  * @param originHall the data hall of the origin, null unless the service is an origin
  */
 public record Service(
@@ -19,7 +19,7 @@
         WeightsLayout weights,
         String originAddress,
         String originHall) {
-    /** Returns true if this service hands out weights. */
+    /** Returns true if this service is an origin of model weights. */
     public boolean isOrigin() {
         return originAddress != null;
     }
--- a/core/src/main/java/org/bankturn/service/ServingConfiguration.java
+++ b/core/src/main/java/org/bankturn/service/ServingConfiguration.java
@@ -9,10 +9,10 @@
 import java.util.Set;
 
 /**
- * Everything that operators published under one version, ready for look-ups.
+ * An indexed version of the configuration document that operators publish.
  *
- * <p>ServingConfiguration is immutable and thread-safe. It may be built from contents that do not hold together; ask
- * {@link #problems()} before accepting one.
+ * <p>ServingConfiguration is immutable and thread-safe. An instance may be inconsistent; check {@link #problems()} before
+ * using it.
  */
 public final class ServingConfiguration {
     private final long version;
@@ -27,11 +27,11 @@
     /**
      * Creates a configuration.
      *
-     * @param version its version
-     * @param routes its routes, not null
-     * @param services its services, not null
-     * @param limits what callers may send, not null
-     * @param accounts its client accounts; without any, no request needs a key
+     * @param version the version of the document
+     * @param routes the routes, not null
+     * @param services the services, not null
+     * @param limits the limits for client connections, not null
+     * @param accounts the client accounts, not null; if empty, requests need no API key
      * @return the configuration, not null
      */
     public static ServingConfiguration of(
@@ -48,57 +48,57 @@
         this.services = new HashMap<>();
         this.routesByHost = new HashMap<>();
         this.accountsByKey = new HashMap<>();
-        List<String> found = new ArrayList<>();
+        List<String> errors = new ArrayList<>();
         for (Service service : services) {
             if (this.services.put(service.name(), service) != null) {
-                found.add("service named twice: " + service.name());
+                errors.add("duplicate service: " + service.name());
             }
         }
-        indexRoutes(found);
-        indexKeys(found);
-        this.problems = List.copyOf(found);
+        indexRoutes(errors);
+        indexKeys(errors);
+        this.problems = List.copyOf(errors);
     }
 
-    private void indexRoutes(List<String> found) {
-        Set<String> places = new HashSet<>();
+    private void indexRoutes(List<String> errors) {
+        Set<String> prefixes = new HashSet<>();
         for (Route route : routes) {
-            if (!places.add(route.host() + " " + route.pathPrefix())) {
-                found.add("two routes at " + route.host() + route.pathPrefix());
+            if (!prefixes.add(route.host() + " " + route.pathPrefix())) {
+                errors.add("duplicate route for " + route.host() + route.pathPrefix());
             }
-            for (WeightedService each : route.services()) {
-                if (!services.containsKey(each.service())) {
-                    found.add("route " + route.name() + " names unknown service " + each.service());
+            for (WeightedService weighted : route.services()) {
+                if (!services.containsKey(weighted.service())) {
+                    errors.add("route " + route.name() + " refers to unknown service " + weighted.service());
                 }
-                if (each.weight() < 0) {
-                    found.add("route " + route.name() + " has a weight below 0");
+                if (weighted.weight() < 0) {
+                    errors.add("route " + route.name() + " has a negative weight");
                 }
             }
             if (route.totalWeight() <= 0) {
-                found.add("route " + route.name() + " has no weight");
+                errors.add("route " + route.name() + " has no service with a positive weight");
             }
             if (route.timeoutMillis() <= 0) {
-                found.add("route " + route.name() + " has no timeout");
+                errors.add("route " + route.name() + " has no positive timeout");
             }
             routesByHost.computeIfAbsent(route.host(), key -> new ArrayList<>()).add(route);
         }
         routesByHost
                 .values()
-                .forEach(list -> list.sort((one, other) -> Integer.compare(
-                        other.pathPrefix().length(), one.pathPrefix().length())));
+                .forEach(list -> list.sort((left, right) -> Integer.compare(
+                        right.pathPrefix().length(), left.pathPrefix().length())));
     }
 
-    private void indexKeys(List<String> found) {
+    private void indexKeys(List<String> errors) {
         for (Account account : accounts) {
             for (String key : account.keys()) {
                 Account other = accountsByKey.put(key, account);
                 if (other != null && !other.name().equals(account.name())) {
-                    found.add("accounts " + other.name() + " and " + account.name() + " share a key");
+                    errors.add("accounts " + other.name() + " and " + account.name() + " use the same API key");
                 }
             }
         }
     }
 
-    /** Returns the version. */
+    /** Returns the version of the document. */
     public long version() {
         return version;
     }
@@ -113,44 +113,45 @@
         return Map.copyOf(services);
     }
 
-    /** Returns a service, empty if there is none of that name. */
+    /** Returns the service with a name, empty if there is none. */
     public Optional<Service> service(String name) {
         return Optional.ofNullable(services.get(name));
     }
 
-    /** Returns the origin of weights, empty if there is none. */
+    /** Returns the service that is the origin of model weights, empty if there is none. */
     public Optional<Service> origin() {
         return services.values().stream().filter(Service::isOrigin).findFirst();
     }
 
     /**
-     * Returns true if every request that a service may run can be repeated or taken up at another of its targets.
+     * Returns true if every request that a service may receive can be retried or resumed at another of its targets.
      *
-     * @param service the service's name, not null
+     * @param service the service name, not null
      */
     public boolean areAllRequestsRetryable(String service) {
         return routes.stream()
                 .filter(route -> route.services().stream()
-                        .anyMatch(share -> share.weight() > 0 && share.service().equals(service)))
+                        .anyMatch(weighted ->
+                                weighted.weight() > 0 && weighted.service().equals(service)))
                 .allMatch(route -> route.kind().isRetryable() && route.maximumAttempts() > 1);
     }
 
-    /** Returns what callers may send, not null. */
+    /** Returns the limits for client connections, not null. */
     public ClientLimits limits() {
         return limits;
     }
 
-    /** Returns true if requests need keys. */
+    /** Returns true if requests need an API key, except on anonymous routes. */
     public boolean hasAccounts() {
         return !accounts.isEmpty();
     }
 
-    /** Returns the account that a key speaks for, empty if none does. */
+    /** Returns the account that an API key belongs to, empty if the key is unknown. */
     public Optional<Account> accountForKey(String key) {
         return Optional.ofNullable(accountsByKey.get(key));
     }
 
-    /** Returns the route with the longest prefix that begins the path, empty if none does. */
+    /** Returns the route with the longest matching path prefix, empty if none matches. */
     public Optional<Route> route(String host, String path) {
         for (Route route : routesByHost.getOrDefault(host, List.of())) {
             if (path.startsWith(route.pathPrefix())) {
@@ -160,7 +161,7 @@
         return Optional.empty();
     }
 
-    /** Returns why this configuration must not be accepted, empty if it holds together. */
+    /** Returns the validation errors, empty if the configuration is consistent. */
     public List<String> problems() {
         return problems;
     }
--- a/core/src/main/java/org/bankturn/service/UnreadableDocumentException.java
+++ b/core/src/main/java/org/bankturn/service/UnreadableDocumentException.java
@@ -1,10 +1,10 @@
 package org.bankturn.service;
 
-/** Says that a document cannot be read whole, and where. */
+/** Thrown when a configuration document cannot be parsed. */
 public final class UnreadableDocumentException extends Exception {
     private static final long serialVersionUID = 1L;
 
-    /** Creates an exception that says what is wrong and where. */
+    /** Creates an exception with a message that describes the error and its location. */
     public UnreadableDocumentException(String message) {
         super(message);
     }
--- a/core/src/main/java/org/bankturn/service/WeightedService.java
+++ b/core/src/main/java/org/bankturn/service/WeightedService.java
@@ -1,9 +1,9 @@
 package org.bankturn.service;
 
 /**
- * A service that takes part of a route's requests.
+ * A service that receives a weighted share of the requests of a route.
  *
- * @param service the service's name, not null
- * @param weight its share against the weights of the others, zero or more
+ * @param service the service name, not null
+ * @param weight its weight relative to the other services of the route, zero or more
  */
 public record WeightedService(String service, int weight) {}
--- a/core/src/main/java/org/bankturn/service/package-info.java
+++ b/core/src/main/java/org/bankturn/service/package-info.java
@@ -1,2 +1,2 @@
-/** What operators publish for requests: routes, services, engines, client accounts and limits, as immutable records. */
+/** The published serving configuration: routes, services, engine models, client accounts and limits. */
 package org.bankturn.service;
