--- a/core/src/test/java/org/bankturn/service/ServingConfigurationTest.java
+++ b/core/src/test/java/org/bankturn/service/ServingConfigurationTest.java
@@ -10,9 +10,9 @@
     private static final Service BOOKING = new Service("booking", "/health", 10, null, null, null, null);
 
     @Test
-    void the_longest_prefix_that_begins_the_path_wins() {
+    void route_with_longest_matching_prefix_is_selected() {
         ServingConfiguration configuration = configuration(
-                route("wide", "/a/", 100, share("chat", 1)), route("narrow", "/a/b/", 100, share("booking", 1)));
+                route("wide", "/a/", 100, weighted("chat", 1)), route("narrow", "/a/b/", 100, weighted("booking", 1)));
         assertThat(configuration.route("h", "/a/b/c").orElseThrow().name()).isEqualTo("narrow");
         assertThat(configuration.route("h", "/a/x").orElseThrow().name()).isEqualTo("wide");
         assertThat(configuration.route("other", "/a/x")).isEmpty();
@@ -20,15 +20,17 @@
     }
 
     @Test
-    void each_of_the_faults_is_found() {
-        assertThat(configuration(route("r", "/a/", 100, share("nobody", 1))).problems())
+    void each_inconsistency_is_reported() {
+        assertThat(configuration(route("r", "/a/", 100, weighted("nobody", 1))).problems())
                 .hasSize(1);
-        assertThat(configuration(route("r", "/a/", 100, share("chat", 1)), route("s", "/a/", 100, share("chat", 1)))
+        assertThat(configuration(
+                                route("r", "/a/", 100, weighted("chat", 1)),
+                                route("s", "/a/", 100, weighted("chat", 1)))
                         .problems())
                 .hasSize(1);
-        assertThat(configuration(route("r", "/a/", 100, share("chat", 0))).problems())
+        assertThat(configuration(route("r", "/a/", 100, weighted("chat", 0))).problems())
                 .hasSize(1);
-        assertThat(configuration(route("r", "/a/", 0, share("chat", 1))).problems())
+        assertThat(configuration(route("r", "/a/", 0, weighted("chat", 1))).problems())
                 .hasSize(1);
         assertThat(ServingConfiguration.of(
                                 1,
@@ -41,15 +43,15 @@
     }
 
     @Test
-    void a_sound_configuration_has_no_problems() {
-        assertThat(configuration(route("r", "/a/", 100, share("chat", 90), share("booking", 10)))
+    void consistent_configuration_has_no_problems() {
+        assertThat(configuration(route("r", "/a/", 100, weighted("chat", 90), weighted("booking", 10)))
                         .problems())
                 .isEmpty();
     }
 
     @Test
-    void draws_fall_on_services_by_weight() {
-        Route route = route("r", "/a/", 100, share("chat", 3), share("booking", 1));
+    void services_are_selected_by_weight() {
+        Route route = route("r", "/a/", 100, weighted("chat", 3), weighted("booking", 1));
         long chats = java.util.stream.LongStream.range(0, 400)
                 .filter(draw -> route.selectService(draw).equals("chat"))
                 .count();
@@ -57,21 +59,21 @@
         assertThat(route.selectService(-1)).isEqualTo("booking");
     }
 
-    private static WeightedService share(String service, int weight) {
+    private static WeightedService weighted(String service, int weight) {
         return new WeightedService(service, weight);
     }
 
     @Test
-    void requests_may_go_on_elsewhere_only_if_no_route_of_the_service_forbids_it() {
-        Route safe = route("safe", "/a/", 100, share("chat", 1));
+    void requests_are_retryable_only_if_every_route_of_the_service_allows_it() {
+        Route safe = route("safe", "/a/", 100, weighted("chat", 1));
         assertThat(configuration(safe).areAllRequestsRetryable("chat")).isTrue();
         for (RequestKind kind : List.of(RequestKind.UNSAFE, RequestKind.STREAM)) {
-            Route once = new Route("once", "h", "/b/", kind, 100, 50, 0, List.of(share("chat", 1)), 2, false);
+            Route once = new Route("once", "h", "/b/", kind, 100, 50, 0, List.of(weighted("chat", 1)), 2, false);
             assertThat(configuration(safe, once).areAllRequestsRetryable("chat"))
                     .isFalse();
         }
         Route single = new Route(
-                "single", "h", "/b/", RequestKind.RESUMABLE_STREAM, 100, 50, 0, List.of(share("chat", 1)), 1, false);
+                "single", "h", "/b/", RequestKind.RESUMABLE_STREAM, 100, 50, 0, List.of(weighted("chat", 1)), 1, false);
         assertThat(configuration(safe, single).areAllRequestsRetryable("chat")).isFalse();
         assertThat(configuration(safe, single).areAllRequestsRetryable("booking"))
                 .isTrue();
