--- a/core/src/main/java/org/bankturn/configuration/OperatorFileReader.java
+++ b/core/src/main/java/org/bankturn/configuration/OperatorFileReader.java
@@ -121,7 +121,7 @@
     private List<String> readAllowedHalls(Fields fields) {
         List<String> halls = fields.texts("dataHalls");
         if (halls.isEmpty()) {
-            fields.contradictory("dataHalls", "dataHalls must list at least one data hall");
+            fields.reportContradiction("dataHalls", "dataHalls must list at least one data hall");
         }
         for (int i = 0; i < halls.size(); i++) {
             references.add(new NameOccurrence(Kind.DATA_HALL, halls.get(i), fields.locationOf("dataHalls[" + i + "]")));
--- a/core/src/main/java/org/bankturn/document/Fields.java
+++ b/core/src/main/java/org/bankturn/document/Fields.java
@@ -242,7 +242,7 @@
      * @param name the field's name, not null
      * @param message what is wrong, not null
      */
-    public void contradictory(String name, String message) {
+    public void reportContradiction(String name, String message) {
         reader.report(ResultCode.FIELD_CONTRADICTORY, pathOf(name), message);
     }
 
--- a/daemon/src/main/java/org/bankturn/daemon/settings/DaemonSettingsReader.java
+++ b/daemon/src/main/java/org/bankturn/daemon/settings/DaemonSettingsReader.java
@@ -78,14 +78,14 @@
             try {
                 roles.add(ProcessRole.valueOf(text.toUpperCase(Locale.ROOT)));
             } catch (IllegalArgumentException e) {
-                fields.contradictory("roles", "roles are entry, control and target, not " + text);
+                fields.reportContradiction("roles", "roles are entry, control and target, not " + text);
             }
         }
         if (roles.isEmpty()) {
-            fields.contradictory("roles", "roles must list at least one of entry, control and target");
+            fields.reportContradiction("roles", "roles must list at least one of entry, control and target");
         }
         if (roles.contains(ProcessRole.TARGET) && roles.size() > 1) {
-            fields.contradictory("roles", "a target process has no other role");
+            fields.reportContradiction("roles", "a target process has no other role");
         }
         return roles;
     }
@@ -97,7 +97,7 @@
             box.finish();
         }
         if (boxes.isEmpty()) {
-            fields.contradictory("controlBoxes", "controlBoxes must list at least one box");
+            fields.reportContradiction("controlBoxes", "controlBoxes must list at least one box");
         }
         return List.copyOf(boxes);
     }
@@ -109,7 +109,7 @@
                 fields.number("heartbeatMillis", 10, 20_000, 150),
                 (int) fields.number("snapshotEvery", 16, 1_000_000, 4_096));
         if (settings.electionTimeoutMillis() < 3 * settings.heartbeatMillis()) {
-            fields.contradictory(
+            fields.reportContradiction(
                     "electionTimeoutMillis", "electionTimeoutMillis must be three times heartbeatMillis or more");
         }
         return settings;
@@ -143,7 +143,7 @@
     private static <T> T readSection(Fields fields, String name, boolean wanted, SectionReader<T> reader) {
         boolean present = fields.has(name);
         if (present != wanted) {
-            fields.contradictory(
+            fields.reportContradiction(
                     name, wanted ? "the role " + name + " needs a section " + name : "there is no role " + name);
         }
         if (!present || !wanted) {
@@ -175,7 +175,7 @@
         try {
             return Address.parse(text);
         } catch (IllegalArgumentException e) {
-            fields.contradictory(name, "must be " + ADDRESS_WORDS + ", not " + text);
+            fields.reportContradiction(name, "must be " + ADDRESS_WORDS + ", not " + text);
             return NO_ADDRESS;
         }
     }
