--- a/core/src/main/java/org/bankturn/configuration/OperatorFileReader.java
+++ b/core/src/main/java/org/bankturn/configuration/OperatorFileReader.java
@@ -56,7 +56,7 @@
                 readList(fields, "versions", this::readVersion),
                 readList(fields, "services", this::readService),
                 readList(fields, "clientAccounts", this::readAccount));
-        fields.finish();
+        fields.reportUnknownFields();
         List<DocumentError> errors = reader.errors();
         return new ParsedFile(content, definitions, references, errors);
     }
@@ -65,7 +65,7 @@
         List<T> all = new ArrayList<>();
         for (Fields element : fields.objects(name)) {
             all.add(readElement.apply(element));
-            element.finish();
+            element.reportUnknownFields();
         }
         return List.copyOf(all);
     }
--- a/core/src/main/java/org/bankturn/document/Fields.java
+++ b/core/src/main/java/org/bankturn/document/Fields.java
@@ -15,7 +15,7 @@
 /**
  * The fields of one mapping in a document.
  *
- * <p>Read each field that is known, then call {@link #finish()}, which reports the others. A field that is missing or
+ * <p>Read each field that is known, then call {@link #reportUnknownFields()}, which reports the others. A field that is missing or
  * wrong is reported and read as a harmless value.
  *
  * <p>Fields is mutable and not thread-safe.
@@ -226,7 +226,7 @@
     }
 
     /** Reports every field that was not read. */
-    public void finish() {
+    public void reportUnknownFields() {
         node.fieldNames().forEachRemaining(name -> {
             if (!known.contains(name)) {
                 String message = "unknown field " + name + "; known here: "
--- a/daemon/src/main/java/org/bankturn/daemon/settings/DaemonSettingsReader.java
+++ b/daemon/src/main/java/org/bankturn/daemon/settings/DaemonSettingsReader.java
@@ -52,7 +52,7 @@
             return new Result(null, reader.errors());
         }
         DaemonSettings settings = readAll(fields);
-        fields.finish();
+        fields.reportUnknownFields();
         return reader.errors().isEmpty() ? new Result(settings, List.of()) : new Result(null, reader.errors());
     }
 
@@ -94,7 +94,7 @@
         List<ControlBox> boxes = new ArrayList<>();
         for (Fields box : fields.objects("controlBoxes")) {
             boxes.add(new ControlBox(box.text("name", NAME_PATTERN, NAME_WORDS), readAddress(box, "nodeAddress")));
-            box.finish();
+            box.reportUnknownFields();
         }
         if (boxes.isEmpty()) {
             fields.reportContradiction("controlBoxes", "controlBoxes must list at least one box");
@@ -151,7 +151,7 @@
         }
         Fields section = fields.object(name);
         T read = reader.read(section);
-        section.finish();
+        section.reportUnknownFields();
         return read;
     }
 
--- a/standins/src/main/java/org/bankturn/replay/LoadPatternReader.java
+++ b/standins/src/main/java/org/bankturn/replay/LoadPatternReader.java
@@ -53,7 +53,7 @@
         DocumentReader reader = DocumentReader.of(name);
         Fields fields = reader.read(text);
         LoadPattern pattern = pattern(fields);
-        fields.finish();
+        fields.reportUnknownFields();
         boolean wrong = !reader.errors().isEmpty();
         return new Result(wrong ? null : pattern, reader.errors());
     }
@@ -87,7 +87,7 @@
                 whole(fields, "usualAnswerTokens", 1, MOST_TOKENS));
         LoadPattern.Engine engine = new LoadPattern.Engine(
                 model, whole(fields, "pairsMicrosPerMillion", 0, MOST_TOKENS), whole(fields, "queue", 0, MOST_MEMBERS));
-        fields.finish();
+        fields.reportUnknownFields();
         return engine;
     }
 
@@ -127,7 +127,7 @@
         return fields.objects(name).stream()
                 .map(each -> {
                     T read = entry.read(each);
-                    each.finish();
+                    each.reportUnknownFields();
                     return read;
                 })
                 .toList();
