--- a/core/src/main/java/org/bankturn/document/DocumentError.java
+++ b/core/src/main/java/org/bankturn/document/DocumentError.java
@@ -3,11 +3,11 @@
 import org.bankturn.result.ResultCode;
 
 /**
- * One thing wrong with a document.
+ * An error in a document.
  *
- * @param code the numbered code, not null
- * @param location where, not null
- * @param message what is wrong, naming the value, not null
+ * @param code the result code, not null
+ * @param location the source location, not null
+ * @param message the description of the error, including the invalid value, not null
  */
 public record DocumentError(ResultCode code, SourceLocation location, String message) {
     @Override
--- a/core/src/main/java/org/bankturn/document/DocumentReader.java
+++ b/core/src/main/java/org/bankturn/document/DocumentReader.java
@@ -18,10 +18,10 @@
 import org.bankturn.result.ResultCode;
 
 /**
- * Reads a YAML document into fields that know where they stand.
+ * Parses a YAML document into fields with source locations.
  *
- * <p>Errors are collected, not thrown: read all the fields, then look at {@link #errors()}. A document with any error
- * must not be used.
+ * <p>Errors are collected rather than thrown: read all fields, then check {@link #errors()}. A document with errors must
+ * not be used.
  *
  * <p>DocumentReader is mutable and not thread-safe.
  */
@@ -29,17 +29,17 @@
     private static final YAMLFactory YAML = YAMLFactory.builder()
             .enable(StreamReadFeature.STRICT_DUPLICATE_DETECTION)
             .build();
-    private static final int MAXIMUM_DEPTH = 32;
+    private static final int MAX_DEPTH = 32;
 
     private final String file;
     private final Map<String, SourceLocation> locations = new HashMap<>();
     private final List<DocumentError> errors = new ArrayList<>();
 
     /**
-     * Starts the reading of a document.
+     * Creates a reader for one document.
      *
-     * @param file the name to use in errors, not null
-     * @return a reader, not null
+     * @param file the file name for error messages, not null
+     * @return the reader, not null
      */
     public static DocumentReader of(String file) {
         return new DocumentReader(file);
@@ -53,7 +53,7 @@
      * Parses the document.
      *
      * @param text the YAML text, not null
-     * @return the fields of the document; without any if it is not a mapping, not null
+     * @return the fields of the document; empty if the document is not a mapping, not null
      */
     public Fields read(String text) {
         ObjectNode empty = JsonNodeFactory.instance.objectNode();
@@ -69,31 +69,31 @@
             int line = at == null ? 0 : at.getLineNr();
             int column = at == null ? 0 : at.getColumnNr();
             SourceLocation location = new SourceLocation(file, line, column, "");
-            String reason = e.getOriginalMessage().lines().findFirst().orElse("not YAML");
+            String reason = e.getOriginalMessage().lines().findFirst().orElse("invalid YAML");
             errors.add(new DocumentError(ResultCode.FILE_UNREADABLE, location, reason));
         } catch (IOException | RuntimeException e) {
-            report(ResultCode.FILE_UNREADABLE, "", "not readable as YAML: " + e.getMessage());
+            report(ResultCode.FILE_UNREADABLE, "", "cannot parse YAML: " + e.getMessage());
         }
         return new Fields(this, empty, "");
     }
 
-    /** Returns every error found so far, in the order found, not null. */
+    /** Returns the errors found so far, in the order of detection, not null. */
     public List<DocumentError> errors() {
         return List.copyOf(errors);
     }
 
     /**
-     * Returns where a field stands.
+     * Returns the source location of a field.
      *
      * @param path the field's path, not null
-     * @return its location, or that of the nearest field around it, not null
+     * @return its location, or that of the nearest enclosing field if it is missing, not null
      */
     public SourceLocation locationOf(String path) {
-        String at = path;
-        while (!at.isEmpty() && !locations.containsKey(at)) {
-            at = at.substring(0, Math.max(0, Math.max(at.lastIndexOf('.'), at.lastIndexOf('['))));
+        String known = path;
+        while (!known.isEmpty() && !locations.containsKey(known)) {
+            known = known.substring(0, Math.max(0, Math.max(known.lastIndexOf('.'), known.lastIndexOf('['))));
         }
-        SourceLocation found = locations.getOrDefault(at, new SourceLocation(file, 1, 1, ""));
+        SourceLocation found = locations.getOrDefault(known, new SourceLocation(file, 1, 1, ""));
         return new SourceLocation(file, found.line(), found.column(), path);
     }
 
@@ -104,8 +104,8 @@
     private JsonNode build(JsonParser parser, String path, int depth) throws IOException {
         JsonLocation at = parser.currentTokenLocation();
         locations.putIfAbsent(path, new SourceLocation(file, at.getLineNr(), at.getColumnNr(), path));
-        if (depth > MAXIMUM_DEPTH) {
-            throw new IOException("nested deeper than " + MAXIMUM_DEPTH);
+        if (depth > MAX_DEPTH) {
+            throw new IOException("nesting exceeds the maximum depth of " + MAX_DEPTH);
         }
         JsonNodeFactory factory = JsonNodeFactory.instance;
         return switch (parser.currentToken()) {
--- a/core/src/main/java/org/bankturn/document/Fields.java
+++ b/core/src/main/java/org/bankturn/document/Fields.java
@@ -13,10 +13,10 @@
 import org.bankturn.result.ResultCode;
 
 /**
- * The fields of one mapping in a document.
+ * The fields of a mapping in a document.
  *
- * <p>Read each field that is known, then call {@link #reportUnknownFields()}, which reports the others. A field that is missing or
- * wrong is reported and read as a harmless value.
+ * <p>Read each supported field, then call {@link #reportUnknownFields()} to report the others. A missing or invalid field
+ * is reported and replaced by a default value.
  *
  * <p>Fields is mutable and not thread-safe.
  */
@@ -33,10 +33,10 @@
     }
 
     /**
-     * Tells whether a field is there.
+     * Returns whether a field is present.
      *
-     * @param name the field's name, not null
-     * @return true if it is there and not null
+     * @param name the field name, not null
+     * @return true if the field is present and not null
      */
     public boolean has(String name) {
         known.add(name);
@@ -44,9 +44,9 @@
     }
 
     /**
-     * Returns where a field stands.
+     * Returns the source location of a field.
      *
-     * @param name the field's name, not null
+     * @param name the field name, not null
      * @return its location, not null
      */
     public SourceLocation locationOf(String name) {
@@ -54,10 +54,10 @@
     }
 
     /**
-     * Reads a text that must be there and not be empty.
+     * Reads a required, non-blank string.
      *
-     * @param name the field's name, not null
-     * @return the text, empty if it was reported, not null
+     * @param name the field name, not null
+     * @return the string, empty if an error was reported, not null
      */
     public String text(String name) {
         JsonNode value = required(name);
@@ -65,116 +65,116 @@
             return "";
         }
         if (!value.isTextual() || value.textValue().isBlank()) {
-            return invalid(name, value, "a text that is not empty", "");
+            return invalid(name, value, "a non-empty string", "");
         }
         return value.textValue();
     }
 
     /**
-     * Reads a text that may be missing.
+     * Reads an optional string.
      *
-     * @param name the field's name, not null
-     * @param missing the value if the field is missing, null allowed
-     * @return the text
+     * @param name the field name, not null
+     * @param defaultValue the default value, may be null
+     * @return the string
      */
-    public String text(String name, String missing) {
-        return has(name) ? text(name) : missing;
+    public String text(String name, String defaultValue) {
+        return has(name) ? text(name) : defaultValue;
     }
 
     /**
-     * Reads a text of a given shape that must be there.
+     * Reads a required string that must match a pattern.
      *
-     * @param name the field's name, not null
-     * @param pattern the regular expression that the whole text must match, not null
-     * @param wanted the shape in words, not null
-     * @return the text, empty if it was reported, not null
+     * @param name the field name, not null
+     * @param pattern the regular expression that the whole string must match, not null
+     * @param expected the description of the expected format for error messages, not null
+     * @return the string, empty if an error was reported, not null
      */
-    public String text(String name, String pattern, String wanted) {
+    public String text(String name, String pattern, String expected) {
         String text = text(name);
         if (!text.isEmpty() && !text.matches(pattern)) {
-            return invalid(name, node.get(name), wanted, "");
+            return invalid(name, node.get(name), expected, "");
         }
         return text;
     }
 
     /**
-     * Reads a whole number that must be there.
+     * Reads a required integer.
      *
-     * @param name the field's name, not null
-     * @param minimum the least value
-     * @param maximum the greatest value
-     * @return the number, {@code minimum} if it was reported
+     * @param name the field name, not null
+     * @param minimum the minimum value
+     * @param maximum the maximum value
+     * @return the number, {@code minimum} if an error was reported
      */
     public long number(String name, long minimum, long maximum) {
         JsonNode value = required(name);
         if (value == null) {
             return minimum;
         }
-        boolean fits = value.isIntegralNumber()
+        boolean valid = value.isIntegralNumber()
                 && value.canConvertToLong()
                 && value.longValue() >= minimum
                 && value.longValue() <= maximum;
-        return fits
+        return valid
                 ? value.longValue()
-                : invalid(name, value, "a whole number from " + minimum + " to " + maximum, minimum);
+                : invalid(name, value, "an integer from " + minimum + " to " + maximum, minimum);
     }
 
     /**
-     * Reads a whole number that may be missing.
+     * Reads an optional integer.
      *
-     * @param name the field's name, not null
-     * @param minimum the least value
-     * @param maximum the greatest value
-     * @param missing the value if the field is missing
+     * @param name the field name, not null
+     * @param minimum the minimum value
+     * @param maximum the maximum value
+     * @param defaultValue the default value
      * @return the number
      */
-    public long number(String name, long minimum, long maximum, long missing) {
-        return has(name) ? number(name, minimum, maximum) : missing;
+    public long number(String name, long minimum, long maximum, long defaultValue) {
+        return has(name) ? number(name, minimum, maximum) : defaultValue;
     }
 
     /**
-     * Reads true or false.
+     * Reads an optional boolean.
      *
-     * @param name the field's name, not null
-     * @param missing the value if the field is missing
+     * @param name the field name, not null
+     * @param defaultValue the default value
      * @return the value
      */
-    public boolean flag(String name, boolean missing) {
+    public boolean flag(String name, boolean defaultValue) {
         if (!has(name)) {
-            return missing;
+            return defaultValue;
         }
         JsonNode value = node.get(name);
-        return value.isBoolean() ? value.booleanValue() : invalid(name, value, "true or false", missing);
+        return value.isBoolean() ? value.booleanValue() : invalid(name, value, "true or false", defaultValue);
     }
 
     /**
-     * Reads one of an enum's values, written in lower case with hyphens.
+     * Reads an enum constant, written in lower case with hyphens.
      *
-     * @param name the field's name, not null
-     * @param type the enum, not null
-     * @param missing the value if the field is missing, null if it must be there
-     * @return the value; the first of the enum if it was reported, not null
+     * @param name the field name, not null
+     * @param type the enum type, not null
+     * @param defaultValue the default value, null if the field is required
+     * @return the constant; the first constant if an error was reported, not null
      */
-    public <E extends Enum<E>> E choice(String name, Class<E> type, E missing) {
-        E[] all = type.getEnumConstants();
-        if (missing != null && !has(name)) {
-            return missing;
+    public <E extends Enum<E>> E choice(String name, Class<E> type, E defaultValue) {
+        E[] constants = type.getEnumConstants();
+        if (defaultValue != null && !has(name)) {
+            return defaultValue;
         }
         String text = text(name);
-        for (E value : all) {
-            if (spelling(value).equals(text)) {
+        for (E value : constants) {
+            if (yamlName(value).equals(text)) {
                 return value;
             }
         }
-        String wanted = Stream.of(all).map(Fields::spelling).collect(Collectors.joining(", "));
-        return text.isEmpty() ? all[0] : invalid(name, node.get(name), "one of " + wanted, all[0]);
+        String expected = Stream.of(constants).map(Fields::yamlName).collect(Collectors.joining(", "));
+        return text.isEmpty() ? constants[0] : invalid(name, node.get(name), "one of " + expected, constants[0]);
     }
 
     /**
-     * Reads a list of texts that may be missing.
+     * Reads an optional list of non-blank strings.
      *
-     * @param name the field's name, not null
-     * @return the texts, empty if the field is missing, not null
+     * @param name the field name, not null
+     * @return the strings, empty if the field is missing, not null
      */
     public List<String> texts(String name) {
         List<String> texts = new ArrayList<>();
@@ -182,17 +182,17 @@
             if (value.isTextual() && !value.textValue().isBlank()) {
                 texts.add(value.textValue());
             } else {
-                invalid(name + "[" + texts.size() + "]", value, "a text that is not empty", "");
+                invalid(name + "[" + texts.size() + "]", value, "a non-empty string", "");
             }
         }
         return List.copyOf(texts);
     }
 
     /**
-     * Reads a mapping that must be there.
+     * Reads a required mapping.
      *
-     * @param name the field's name, not null
-     * @return its fields, none if it was reported, not null
+     * @param name the field name, not null
+     * @return its fields, empty if an error was reported, not null
      */
     public Fields object(String name) {
         JsonNode value = required(name);
@@ -206,16 +206,16 @@
     }
 
     /**
-     * Reads a list of mappings that may be missing.
+     * Reads an optional list of mappings.
      *
-     * @param name the field's name, not null
+     * @param name the field name, not null
      * @return the mappings, empty if the field is missing, not null
      */
     public List<Fields> objects(String name) {
         List<Fields> objects = new ArrayList<>();
-        int position = 0;
+        int index = 0;
         for (JsonNode value : list(name)) {
-            String inner = name + "[" + position++ + "]";
+            String inner = name + "[" + index++ + "]";
             if (value instanceof ObjectNode object) {
                 objects.add(new Fields(reader, object, pathOf(inner)));
             } else {
@@ -225,11 +225,11 @@
         return objects;
     }
 
-    /** Reports every field that was not read. */
+    /** Reports an error for every field that was not read. */
     public void reportUnknownFields() {
         node.fieldNames().forEachRemaining(name -> {
             if (!known.contains(name)) {
-                String message = "unknown field " + name + "; known here: "
+                String message = "unknown field " + name + "; supported fields: "
                         + known.stream().sorted().collect(Collectors.joining(", "));
                 reader.report(ResultCode.FIELD_UNKNOWN, pathOf(name), message);
             }
@@ -237,10 +237,10 @@
     }
 
     /**
-     * Reports a field whose value contradicts another.
+     * Reports a field whose value contradicts another field or setting.
      *
-     * @param name the field's name, not null
-     * @param message what is wrong, not null
+     * @param name the field name, not null
+     * @param message the error message, not null
      */
     public void reportContradiction(String name, String message) {
         reader.report(ResultCode.FIELD_CONTRADICTORY, pathOf(name), message);
@@ -262,16 +262,16 @@
         return node.get(name);
     }
 
-    private <T> T invalid(String name, JsonNode value, String wanted, T harmless) {
-        reader.report(ResultCode.FIELD_INVALID, pathOf(name), "must be " + wanted + ", not " + value);
-        return harmless;
+    private <T> T invalid(String name, JsonNode value, String expected, T defaultValue) {
+        reader.report(ResultCode.FIELD_INVALID, pathOf(name), "must be " + expected + ", not " + value);
+        return defaultValue;
     }
 
     private String pathOf(String name) {
         return path.isEmpty() ? name : path + "." + name;
     }
 
-    private static String spelling(Enum<?> value) {
+    private static String yamlName(Enum<?> value) {
         return value.name().toLowerCase(Locale.ROOT).replace('_', '-');
     }
 }
--- a/core/src/main/java/org/bankturn/document/SourceLocation.java
+++ b/core/src/main/java/org/bankturn/document/SourceLocation.java
@@ -1,11 +1,11 @@
 package org.bankturn.document;
 
 /**
- * A place in a document.
+ * A source location in a document.
  *
- * @param file the document's name, not null
- * @param line the line, from 1; 0 if it has none
- * @param column the column, from 1; 0 if it has none
+ * @param file the document name, not null
+ * @param line the line number, starting at 1; 0 if unknown
+ * @param column the column number, starting at 1; 0 if unknown
  * @param field the path of the field, such as {@code boxes[2].address}; empty for the whole document
  */
 public record SourceLocation(String file, int line, int column, String field) {
--- a/core/src/main/java/org/bankturn/document/package-info.java
+++ b/core/src/main/java/org/bankturn/document/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Reading of YAML documents that lists every error at once, each with code, file, line, column and field.
+ * Parsing of YAML documents that reports all errors, each with a result code, file, line, column and field.
  */
 package org.bankturn.document;
