--- a/core/src/main/java/org/bankturn/admission/AdmissionDecision.java
+++ b/core/src/main/java/org/bankturn/admission/AdmissionDecision.java
@@ -4,7 +4,7 @@
 
 /** Whether a request is taken on. */
 public sealed interface AdmissionDecision {
-    /** It is taken on; the caller must call {@link FairAdmission#ended} once. */
+    /** It is taken on; the caller must call {@link FairAdmission#complete} once. */
     record Admitted() implements AdmissionDecision {}
 
     /**
--- a/core/src/main/java/org/bankturn/admission/FairAdmission.java
+++ b/core/src/main/java/org/bankturn/admission/FairAdmission.java
@@ -74,7 +74,7 @@
      * @param account the client account, not null
      * @param tookMillis how long it was worked on
      */
-    public void ended(String account, long tookMillis) {
+    public void complete(String account, long tookMillis) {
         running.get(account).decrementAndGet();
         total.decrementAndGet();
         serviceMillis.updateAndGet(old -> old == 0 ? tookMillis : old + (tookMillis - old) / SMOOTHING);
--- a/daemon/src/main/java/org/bankturn/daemon/entry/EntryServlet.java
+++ b/daemon/src/main/java/org/bankturn/daemon/entry/EntryServlet.java
@@ -57,7 +57,7 @@
                 return;
             }
             ended = true;
-            state.admission().ended(request.account().name(), state.clock().millis() - startMillis);
+            state.admission().complete(request.account().name(), state.clock().millis() - startMillis);
             state.telemetry().requestEnded(request.service().name(), result);
             state.telemetry().inFlight(state.admission().running());
             span.end();
