--- a/core/src/main/java/org/bankturn/admission/FairAdmission.java
+++ b/core/src/main/java/org/bankturn/admission/FairAdmission.java
@@ -32,13 +32,13 @@
      *
      * @param account the client account, not null
      * @param weight the account's weight
-     * @param weightOfAll the weights of all accounts together
+     * @param totalWeight the weights of all accounts together
      * @param capacity the requests that the targets can work on at once
      * @param remainingMillis the time left to its deadline
      */
-    public record Candidate(String account, int weight, long weightOfAll, int capacity, long remainingMillis) {
+    public record Candidate(String account, int weight, long totalWeight, int capacity, long remainingMillis) {
         private long share() {
-            return Math.max(1, (long) capacity * weight / Math.max(1, weightOfAll));
+            return Math.max(1, (long) capacity * weight / Math.max(1, totalWeight));
         }
     }
 
--- a/daemon/src/main/java/org/bankturn/daemon/entry/EntryServlet.java
+++ b/daemon/src/main/java/org/bankturn/daemon/entry/EntryServlet.java
@@ -118,7 +118,7 @@
     }
 
     private FairAdmission.Candidate candidate(CallerRequest request, Configuration configuration) {
-        long weightOfAll = configuration.clientAccounts().stream()
+        long totalWeight = configuration.clientAccounts().stream()
                 .mapToLong(ClientAccount::weight)
                 .sum();
         long boxes = configuration.usableBoxes(request.service().name()).entrySet().stream()
@@ -128,7 +128,7 @@
         int capacity = (int) Math.max(1, boxes * request.service().requestsAtOnce());
         long remaining = request.dueMillis() - state.clock().millis();
         return new FairAdmission.Candidate(
-                request.account().name(), request.account().weight(), weightOfAll, capacity, remaining);
+                request.account().name(), request.account().weight(), totalWeight, capacity, remaining);
     }
 
     // ---- requests without a key
