--- a/core/src/main/java/org/bankturn/result/ResultCode.java
+++ b/core/src/main/java/org/bankturn/result/ResultCode.java
@@ -93,7 +93,7 @@
     }
 
     /** Returns true if the outcome says that the request certainly was not run by this attempt. */
-    public boolean saysNotRun() {
+    public boolean isNotRun() {
         return name().startsWith("NOT_RUN_");
     }
 }
--- a/core/src/main/java/org/bankturn/routing/NotRunProof.java
+++ b/core/src/main/java/org/bankturn/routing/NotRunProof.java
@@ -46,7 +46,7 @@
 
     private NotRunProof(ResultCode code, String witnessed) {
         Objects.requireNonNull(code, "code must not be null");
-        if (!code.saysNotRun()) {
+        if (!code.isNotRun()) {
             throw new IllegalArgumentException("code does not say not run: " + code);
         }
         this.code = code;
--- a/core/src/test/java/org/bankturn/result/ResultCodeTest.java
+++ b/core/src/test/java/org/bankturn/result/ResultCodeTest.java
@@ -16,7 +16,7 @@
     void the_table_in_the_docs_is_that_of_the_code() throws IOException {
         String expected = Arrays.stream(ResultCode.values())
                 .map(code -> "| " + code.number() + " | " + code.name() + " | " + code.httpStatus() + " | "
-                        + (code.saysNotRun() ? "yes" : "") + " | " + code.description() + " |")
+                        + (code.isNotRun() ? "yes" : "") + " | " + code.description() + " |")
                 .collect(Collectors.joining("\n"));
         assertThat(Files.readString(TABLE)).contains(expected);
     }
--- a/daemon/src/main/java/org/bankturn/daemon/Answers.java
+++ b/daemon/src/main/java/org/bankturn/daemon/Answers.java
@@ -20,7 +20,7 @@
      */
     public static HttpResponse of(ResultCode code, String detail, long retryAfterMillis) {
         String message = code.description() + (detail.isEmpty() ? "" : " " + detail);
-        String body = "{\"code\":" + code.number() + ",\"name\":\"" + code.name() + "\",\"notRun\":" + code.saysNotRun()
+        String body = "{\"code\":" + code.number() + ",\"name\":\"" + code.name() + "\",\"notRun\":" + code.isNotRun()
                 + ",\"message\":\"" + escape(message) + "\",\"retryAfterMillis\":" + retryAfterMillis + "}\n";
         HttpResponse.Builder builder = HttpResponse.ofCode(code.httpStatus())
                 .withHeader(HttpHeaders.CONTENT_TYPE, "application/json")
--- a/daemon/src/main/java/org/bankturn/daemon/entry/Dispatcher.java
+++ b/daemon/src/main/java/org/bankturn/daemon/entry/Dispatcher.java
@@ -106,7 +106,7 @@
             if (rejected.get() == ResultCode.NOT_RUN_LEAVING) {
                 state.targets().recordLeavingRefusal(box.name());
             }
-            return rejected.get().saysNotRun()
+            return rejected.get().isNotRun()
                     ? new AttemptOutcome.NotRun<>(NotRunProof.rejectedByTargetProcess(rejected.get()))
                     : new AttemptOutcome.Unknown<>(rejected.get().description());
         }
