--- a/core/src/main/java/org/bankturn/codec/Deflated.java
+++ b/core/src/main/java/org/bankturn/codec/DeflateCodec.java
@@ -6,10 +6,10 @@
 import java.util.zip.Inflater;
 
 /** Makes documents small for the log and for links between data halls. */
-public final class Deflated {
+public final class DeflateCodec {
     private static final int BUFFER_BYTES = 8_192;
 
-    private Deflated() {}
+    private DeflateCodec() {}
 
     /** Returns the deflated bytes. */
     public static byte[] deflate(byte[] plain) {
--- a/daemon/src/main/java/org/bankturn/daemon/group/DocumentReads.java
+++ b/daemon/src/main/java/org/bankturn/daemon/group/DocumentReads.java
@@ -4,7 +4,7 @@
 import io.activej.promise.Promise;
 import java.io.IOException;
 import java.util.concurrent.CompletableFuture;
-import org.bankturn.codec.Deflated;
+import org.bankturn.codec.DeflateCodec;
 import org.bankturn.daemon.group.GroupMember.Outcome;
 import org.bankturn.daemon.settings.Address;
 import org.bankturn.daemon.wire.NodeClients;
@@ -49,7 +49,7 @@
                         : ask(member.query(state -> new NodeReply.Document(state.documentVersion(), state.document()))))
                 .map(document -> document.deflated() == null
                         ? new ControlAnswer.Unavailable("no document yet")
-                        : new ControlAnswer.Document(Deflated.inflate(document.deflated())));
+                        : new ControlAnswer.Document(DeflateCodec.inflate(document.deflated())));
     }
 
     private Promise<NodeReply.Document> confirmedDocument(long haveVersion) {
--- a/daemon/src/main/java/org/bankturn/daemon/group/GroupNode.java
+++ b/daemon/src/main/java/org/bankturn/daemon/group/GroupNode.java
@@ -15,7 +15,7 @@
 import org.bankturn.agreement.RaftNode;
 import org.bankturn.agreement.RaftSettings;
 import org.bankturn.agreement.Snapshot;
-import org.bankturn.codec.Deflated;
+import org.bankturn.codec.DeflateCodec;
 import org.bankturn.daemon.group.GroupMember.Outcome;
 import org.bankturn.daemon.http.HttpListener;
 import org.bankturn.daemon.http.ServerExchange;
@@ -281,7 +281,7 @@
         if (!configuration.problems().isEmpty()) {
             return Promise.of(new ControlAnswer.Refused(configuration.problems().get(0)));
         }
-        return change(new PublicationCommand.PutDocument(configuration.version(), Deflated.deflate(document)));
+        return change(new PublicationCommand.PutDocument(configuration.version(), DeflateCodec.deflate(document)));
     }
 
     /** Submits a command; one that the local state already reflects is accepted without a submission. */
--- a/daemon/src/main/java/org/bankturn/daemon/group/TargetCallHandler.java
+++ b/daemon/src/main/java/org/bankturn/daemon/group/TargetCallHandler.java
@@ -6,7 +6,7 @@
 import java.util.Optional;
 import java.util.function.BooleanSupplier;
 import java.util.function.Function;
-import org.bankturn.codec.Deflated;
+import org.bankturn.codec.DeflateCodec;
 import org.bankturn.daemon.weights.WeightsRelay;
 import org.bankturn.publication.PublicationCommand;
 import org.bankturn.registry.Evidence;
@@ -126,7 +126,8 @@
     private Map<String, Service> services(Accepted accepted) {
         if (accepted.deflated() != null && accepted.version() != parsedVersion) {
             try {
-                services = format.read(Deflated.inflate(accepted.deflated())).services();
+                services =
+                        format.read(DeflateCodec.inflate(accepted.deflated())).services();
                 parsedVersion = accepted.version();
             } catch (UnreadableDocumentException e) {
                 throw new IllegalStateException("cannot parse accepted document: " + e.getMessage(), e);
--- a/daemon/src/main/java/org/bankturn/daemon/publication/PublicationFollower.java
+++ b/daemon/src/main/java/org/bankturn/daemon/publication/PublicationFollower.java
@@ -9,7 +9,7 @@
 import java.util.Optional;
 import java.util.Set;
 import java.util.function.Supplier;
-import org.bankturn.codec.Deflated;
+import org.bankturn.codec.DeflateCodec;
 import org.bankturn.daemon.observe.DecisionField;
 import org.bankturn.daemon.observe.DecisionKind;
 import org.bankturn.daemon.observe.DecisionLog;
@@ -185,7 +185,7 @@
         if (update.document() != null
                 && (configuration == null || update.documentVersion() > configuration.version())) {
             try {
-                configuration = format.read(Deflated.inflate(update.document()));
+                configuration = format.read(DeflateCodec.inflate(update.document()));
             } catch (UnreadableDocumentException e) {
                 log.line(DecisionKind.PUBLISHED)
                         .with(DecisionField.OUTCOME, "unreadable")
