--- a/core/src/main/java/org/bankturn/admission/AdmissionDecision.java
+++ b/core/src/main/java/org/bankturn/admission/AdmissionDecision.java
@@ -2,16 +2,16 @@
 
 import org.bankturn.result.ResultCode;
 
-/** Whether a request is taken on. */
+/** The result of an admission check. */
 public sealed interface AdmissionDecision {
-    /** It is taken on; the caller must call {@link FairAdmission#complete} once. */
+    /** The request is admitted; the caller must call {@link FairAdmission#complete} exactly once when it has ended. */
     record Admitted() implements AdmissionDecision {}
 
     /**
-     * It is refused at once.
+     * The request is rejected without being queued.
      *
-     * @param code why, not null
-     * @param retryAfterMillis when to come back
+     * @param code the reason, not null
+     * @param retryAfterMillis the recommended delay before a retry
      */
     record Refused(ResultCode code, long retryAfterMillis) implements AdmissionDecision {}
 }
--- a/core/src/main/java/org/bankturn/admission/FairAdmission.java
+++ b/core/src/main/java/org/bankturn/admission/FairAdmission.java
@@ -7,34 +7,34 @@
 import org.bankturn.result.ResultCode;
 
 /**
- * Takes requests on so that client accounts get their weighted shares of what the targets can do at once.
+ * Admits requests so that each client account receives its weighted share of the concurrent capacity of the targets.
  *
- * <p>While there is room, everyone is taken on. Beyond {@link #SHARED_PERCENT} of the capacity only accounts below their
- * share are, so a few large accounts cannot fill the room that small ones are due. A request that cannot make its
- * deadline is refused at once. There is no queue.
+ * <p>Up to {@link #SHARED_PERCENT} of the capacity, requests of every account are admitted. Above it, only accounts within
+ * their share are, so that a few large accounts cannot use the capacity reserved for small ones. A request whose
+ * deadline has passed is rejected. Requests are not queued.
  *
  * <p>FairAdmission is thread-safe; it uses atomics.
  */
 public final class FairAdmission {
-    /** Percentage of the capacity that any account may use as long as it is free. */
+    /** The percentage of the capacity that is available to all accounts regardless of their shares. */
     public static final int SHARED_PERCENT = 75;
 
     private static final long PERCENT = 100;
-    private static final long SMOOTHING = 16;
-    private static final long MINIMUM_RETRY_MILLIS = 50;
+    private static final long SMOOTHING_DIVISOR = 16;
+    private static final long MIN_RETRY_MILLIS = 50;
 
     private final Map<String, AtomicInteger> running = new ConcurrentHashMap<>();
     private final AtomicInteger total = new AtomicInteger();
-    private final AtomicLong serviceMillis = new AtomicLong();
+    private final AtomicLong meanServiceMillis = new AtomicLong();
 
     /**
-     * A request that asks to be taken on.
+     * A request to be admitted or rejected.
      *
      * @param account the client account, not null
-     * @param weight the account's weight
-     * @param totalWeight the weights of all accounts together
-     * @param capacity the requests that the targets can work on at once
-     * @param remainingMillis the time left to its deadline
+     * @param weight the weight of the account
+     * @param totalWeight the sum of the weights of all accounts
+     * @param capacity the number of requests that the targets can process concurrently
+     * @param remainingMillis the time remaining until the deadline
      */
     public record Candidate(String account, int weight, long totalWeight, int capacity, long remainingMillis) {
         private long share() {
@@ -42,54 +42,55 @@
         }
     }
 
-    /** Creates an admission with nothing running. */
+    /** Creates an admission control with no running requests. */
     public FairAdmission() {}
 
     /**
-     * Decides on a request.
+     * Decides whether to admit a request.
      *
      * @param candidate the request, not null
      * @return the decision, not null
      */
     public AdmissionDecision decide(Candidate candidate) {
         if (candidate.remainingMillis() <= 0) {
-            return new AdmissionDecision.Refused(ResultCode.NOT_RUN_DEADLINE, MINIMUM_RETRY_MILLIS);
+            return new AdmissionDecision.Refused(ResultCode.NOT_RUN_DEADLINE, MIN_RETRY_MILLIS);
         }
-        AtomicInteger own = running.computeIfAbsent(candidate.account(), name -> new AtomicInteger());
-        int ownNow = own.incrementAndGet();
-        int totalNow = total.incrementAndGet();
-        boolean room = totalNow * PERCENT <= (long) candidate.capacity() * SHARED_PERCENT;
-        boolean belowShare = totalNow <= candidate.capacity() && ownNow <= candidate.share();
-        if (room || belowShare) {
+        AtomicInteger accountCounter = running.computeIfAbsent(candidate.account(), name -> new AtomicInteger());
+        int accountRunning = accountCounter.incrementAndGet();
+        int totalRunning = total.incrementAndGet();
+        boolean belowSharedLimit = totalRunning * PERCENT <= (long) candidate.capacity() * SHARED_PERCENT;
+        boolean withinShare = totalRunning <= candidate.capacity() && accountRunning <= candidate.share();
+        if (belowSharedLimit || withinShare) {
             return new AdmissionDecision.Admitted();
         }
-        own.decrementAndGet();
+        accountCounter.decrementAndGet();
         total.decrementAndGet();
         return new AdmissionDecision.Refused(ResultCode.NOT_RUN_OVERLOADED, retryAfterMillis(candidate));
     }
 
     /**
-     * Counts a request that was taken on as ended.
+     * Records the completion of an admitted request.
      *
      * @param account the client account, not null
-     * @param tookMillis how long it was worked on
+     * @param durationMillis the processing time of the request
      */
-    public void complete(String account, long tookMillis) {
+    public void complete(String account, long durationMillis) {
         running.get(account).decrementAndGet();
         total.decrementAndGet();
-        serviceMillis.updateAndGet(old -> old == 0 ? tookMillis : old + (tookMillis - old) / SMOOTHING);
+        meanServiceMillis.updateAndGet(
+                mean -> mean == 0 ? durationMillis : mean + (durationMillis - mean) / SMOOTHING_DIVISOR);
     }
 
-    /** Returns the requests being worked on. */
+    /** Returns the number of running requests. */
     public int running() {
         return total.get();
     }
 
-    /** A place frees up every service time over capacity; the account's excess over its share comes on top. */
+    /** Estimates when the account drops below its share, from its excess requests and the mean service time. */
     private long retryAfterMillis(Candidate candidate) {
-        int own = running.get(candidate.account()).get();
-        long excess = Math.max(1, own - candidate.share() + 1);
-        long each = serviceMillis.get() / Math.max(1, candidate.share());
-        return Math.max(MINIMUM_RETRY_MILLIS, excess * each);
+        int accountRunning = running.get(candidate.account()).get();
+        long excess = Math.max(1, accountRunning - candidate.share() + 1);
+        long releaseIntervalMillis = meanServiceMillis.get() / Math.max(1, candidate.share());
+        return Math.max(MIN_RETRY_MILLIS, excess * releaseIntervalMillis);
     }
 }
--- a/core/src/main/java/org/bankturn/admission/package-info.java
+++ b/core/src/main/java/org/bankturn/admission/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Which requests are taken on: weighted shares of client accounts, and deadlines.
+ * Admission control of requests by weighted shares of client accounts and by deadlines.
  */
 package org.bankturn.admission;
