--- a/core/src/main/java/org/bankturn/result/ResultCode.java
+++ b/core/src/main/java/org/bankturn/result/ResultCode.java
@@ -3,10 +3,10 @@
 import java.util.Optional;
 
 /**
- * A numbered outcome that a caller, an operator or a log reader can look up in docs/RESULT-CODES.md.
+ * A numbered result of a request or operation, documented in docs/RESULT-CODES.md.
  *
- * <p>Numbers never change meaning: 1xxx are outcomes of files and settings, 2xxx of requests, 3xxx of weights, 4xxx of
- * control and storage. The HTTP status is what an entry or control process answers with.
+ * <p>The meaning of a number never changes. The ranges are: 1xxx for operator files and settings, 2xxx for requests, 3xxx
+ * for weights, and 4xxx for control and storage. Entry and control processes respond with the HTTP status of the code.
  *
  * <p>ResultCode is thread-safe and immutable.
  */
@@ -57,7 +57,7 @@
     private final String description;
 
     /**
-     * Finds a code by its number.
+     * Finds a result code by its number.
      *
      * @param number the number, such as 2001
      * @return the code, empty if no code has the number, not null
@@ -77,22 +77,22 @@
         this.description = description;
     }
 
-    /** Returns the number, unique and stable. */
+    /** Returns the unique and stable number. */
     public int number() {
         return number;
     }
 
-    /** Returns the HTTP status this outcome is answered with. */
+    /** Returns the HTTP status of responses with this code. */
     public int httpStatus() {
         return httpStatus;
     }
 
-    /** Returns one sentence for operators, not null. */
+    /** Returns a one-sentence description, not null. */
     public String description() {
         return description;
     }
 
-    /** Returns true if the outcome says that the request certainly was not run by this attempt. */
+    /** Returns true if this code guarantees that the attempt did not execute the request. */
     public boolean isNotRun() {
         return name().startsWith("NOT_RUN_");
     }
--- a/core/src/main/java/org/bankturn/result/package-info.java
+++ b/core/src/main/java/org/bankturn/result/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Numbered result codes; docs/RESULT-CODES.md is checked against the enum by a test.
+ * Numbered result codes; a test verifies that docs/RESULT-CODES.md matches the enum.
  */
 package org.bankturn.result;
