--- a/core/src/main/java/org/bankturn/codec/DeflateCodec.java
+++ b/core/src/main/java/org/bankturn/codec/DeflateCodec.java
@@ -5,17 +5,17 @@
 import java.util.zip.Deflater;
 import java.util.zip.Inflater;
 
-/** Makes documents small for the log and for links between data halls. */
+/** Compresses and decompresses documents with DEFLATE in the zlib format. */
 public final class DeflateCodec {
     private static final int BUFFER_BYTES = 8_192;
 
     private DeflateCodec() {}
 
-    /** Returns the deflated bytes. */
-    public static byte[] deflate(byte[] plain) {
+    /** Compresses bytes. */
+    public static byte[] deflate(byte[] uncompressed) {
         Deflater deflater = new Deflater();
         try {
-            deflater.setInput(plain);
+            deflater.setInput(uncompressed);
             deflater.finish();
             ByteArrayOutputStream output = new ByteArrayOutputStream();
             byte[] buffer = new byte[BUFFER_BYTES];
@@ -28,23 +28,27 @@
         }
     }
 
-    /** Returns the plain bytes; throws IllegalArgumentException if these were not deflated. */
-    public static byte[] inflate(byte[] deflated) {
+    /**
+     * Decompresses bytes.
+     *
+     * @throws IllegalArgumentException if the bytes are not valid compressed data
+     */
+    public static byte[] inflate(byte[] compressed) {
         Inflater inflater = new Inflater();
         try {
-            inflater.setInput(deflated);
+            inflater.setInput(compressed);
             ByteArrayOutputStream output = new ByteArrayOutputStream();
             byte[] buffer = new byte[BUFFER_BYTES];
             while (!inflater.finished()) {
                 int size = inflater.inflate(buffer);
                 if (size == 0 && !inflater.finished()) {
-                    throw new IllegalArgumentException("deflated bytes are cut short");
+                    throw new IllegalArgumentException("compressed data is truncated");
                 }
                 output.write(buffer, 0, size);
             }
             return output.toByteArray();
         } catch (DataFormatException e) {
-            throw new IllegalArgumentException("not deflated", e);
+            throw new IllegalArgumentException("invalid compressed data", e);
         } finally {
             inflater.end();
         }
--- a/core/src/main/java/org/bankturn/codec/MessagePackCodec.java
+++ b/core/src/main/java/org/bankturn/codec/MessagePackCodec.java
@@ -10,10 +10,10 @@
 import org.msgpack.jackson.dataformat.MessagePackMapper;
 
 /**
- * Encodes records as MessagePack and reads them back.
+ * Encodes and decodes records as MessagePack.
  *
- * <p>Use it for everything that bankturn's own processes write to each other or to their data folders. Unknown fields
- * are ignored so that a newer process can talk to an older one.
+ * <p>It is used for messages between bankturn processes and for files in their data folders. Unknown fields are ignored
+ * for compatibility between versions.
  *
  * <p>MessagePackCodec is thread-safe and immutable.
  */
--- a/core/src/main/java/org/bankturn/codec/package-info.java
+++ b/core/src/main/java/org/bankturn/codec/package-info.java
@@ -1,4 +1,4 @@
 /**
- * MessagePack encoding of typed records, for the log, for snapshots and for messages between processes.
+ * MessagePack encoding of records for the log, snapshots and messages between processes, and DEFLATE compression.
  */
 package org.bankturn.codec;
