--- a/core/src/main/java/org/bankturn/time/Clock.java
+++ b/core/src/main/java/org/bankturn/time/Clock.java
@@ -3,13 +3,13 @@
 /**
  * A source of the current time in milliseconds.
  *
- * <p>Every coordination part takes a clock instead of reading the system's, so that tests and embedding programs
- * decide how time passes. Readings of one clock never go backwards.
+ * <p>Components take a clock instead of reading the system time, so that tests and embedding applications control the
+ * passage of time. Successive readings of a clock never decrease.
  */
 @FunctionalInterface
 public interface Clock {
     /**
-     * Returns a clock that advances with the machine's monotonic timer and starts at the wall-clock time.
+     * Returns a clock that starts at the current wall-clock time and advances with the monotonic system timer.
      *
      * @return a thread-safe clock, not null
      */
--- a/core/src/main/java/org/bankturn/time/ManualClock.java
+++ b/core/src/main/java/org/bankturn/time/ManualClock.java
@@ -3,9 +3,9 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * A clock that moves only when told to.
+ * A clock that advances only when {@link #advance} is called.
  *
- * <p>Use it to drive a coordination part step by step, in tests or in a planner run faster than real time.
+ * <p>It is used in tests and in simulations that run faster than real time.
  *
  * <p>ManualClock is thread-safe and mutable.
  */
@@ -15,7 +15,7 @@
     /**
      * Creates a clock.
      *
-     * @param millis the first reading in milliseconds
+     * @param millis the initial time in milliseconds
      * @return a clock, not null
      */
     public static ManualClock startingAt(long millis) {
@@ -32,15 +32,15 @@
     }
 
     /**
-     * Moves the clock forward.
+     * Advances the clock.
      *
-     * @param step milliseconds to add, zero or more
+     * @param stepMillis the number of milliseconds to add, not negative
      */
-    public void advance(long step) {
-        if (step < 0) {
-            throw new IllegalArgumentException("step must not be negative: " + step);
+    public void advance(long stepMillis) {
+        if (stepMillis < 0) {
+            throw new IllegalArgumentException("step must not be negative: " + stepMillis);
         }
-        millis.addAndGet(step);
+        millis.addAndGet(stepMillis);
     }
 
     @Override
--- a/core/src/main/java/org/bankturn/time/SystemClock.java
+++ b/core/src/main/java/org/bankturn/time/SystemClock.java
@@ -1,9 +1,9 @@
 package org.bankturn.time;
 
 /**
- * A clock that reads the wall clock once and the monotonic timer from then on.
+ * A clock that reads the wall clock once and the monotonic timer afterwards.
  *
- * <p>Use it in daemons. Steps of the wall clock do not disturb leases or timeouts.
+ * <p>Adjustments of the wall clock do not affect leases or timeouts.
  *
  * <p>SystemClock is thread-safe and immutable.
  */
--- a/core/src/main/java/org/bankturn/time/package-info.java
+++ b/core/src/main/java/org/bankturn/time/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Time in milliseconds, passed in everywhere so that every coordination part can be driven by a test.
+ * Clocks with millisecond resolution that are injected into components to make them testable.
  */
 package org.bankturn.time;
