--- a/core/src/test/java/org/bankturn/result/ResultCodeTest.java
+++ b/core/src/test/java/org/bankturn/result/ResultCodeTest.java
@@ -13,7 +13,7 @@
     private static final Path TABLE = Path.of("..", "docs", "RESULT-CODES.md");
 
     @Test
-    void the_table_in_the_docs_is_that_of_the_code() throws IOException {
+    void documentation_table_matches_the_enum() throws IOException {
         String expected = Arrays.stream(ResultCode.values())
                 .map(code -> "| " + code.number() + " | " + code.name() + " | " + code.httpStatus() + " | "
                         + (code.isNotRun() ? "yes" : "") + " | " + code.description() + " |")
