--- a/core/src/main/java/org/bankturn/document/DocumentReader.java
+++ b/core/src/main/java/org/bankturn/document/DocumentReader.java
@@ -89,11 +89,11 @@
      * @return its location, or that of the nearest enclosing field if it is missing, not null
      */
     public SourceLocation locationOf(String path) {
-        String known = path;
-        while (!known.isEmpty() && !locations.containsKey(known)) {
-            known = known.substring(0, Math.max(0, Math.max(known.lastIndexOf('.'), known.lastIndexOf('['))));
+        String nearest = path;
+        while (!nearest.isEmpty() && !locations.containsKey(nearest)) {
+            nearest = nearest.substring(0, Math.max(0, Math.max(nearest.lastIndexOf('.'), nearest.lastIndexOf('['))));
         }
-        SourceLocation found = locations.getOrDefault(known, new SourceLocation(file, 1, 1, ""));
+        SourceLocation found = locations.getOrDefault(nearest, new SourceLocation(file, 1, 1, ""));
         return new SourceLocation(file, found.line(), found.column(), path);
     }
 
--- a/core/src/main/java/org/bankturn/document/Fields.java
+++ b/core/src/main/java/org/bankturn/document/Fields.java
@@ -24,7 +24,7 @@
     private final DocumentReader reader;
     private final ObjectNode node;
     private final String path;
-    private final Set<String> known = new HashSet<>();
+    private final Set<String> supported = new HashSet<>();
 
     Fields(DocumentReader reader, ObjectNode node, String path) {
         this.reader = reader;
@@ -39,7 +39,7 @@
      * @return true if the field is present and not null
      */
     public boolean has(String name) {
-        known.add(name);
+        supported.add(name);
         return node.hasNonNull(name);
     }
 
@@ -228,9 +228,9 @@
     /** Reports an error for every field that was not read. */
     public void reportUnknownFields() {
         node.fieldNames().forEachRemaining(name -> {
-            if (!known.contains(name)) {
+            if (!supported.contains(name)) {
                 String message = "unknown field " + name + "; supported fields: "
-                        + known.stream().sorted().collect(Collectors.joining(", "));
+                        + supported.stream().sorted().collect(Collectors.joining(", "));
                 reader.report(ResultCode.FIELD_UNKNOWN, pathOf(name), message);
             }
         });
