--- a/core/src/main/java/org/bankturn/routing/FirstEventEstimate.java
+++ b/core/src/main/java/org/bankturn/routing/FirstEventEstimate.java
@@ -42,6 +42,6 @@
 
     /** Returns the mean time until a slot is released while all are in use. */
     private double slotReleaseMillis() {
-        return engine.usualAnswerMillis() / engine.slots();
+        return engine.meanAnswerMillis() / engine.slots();
     }
 }
--- a/core/src/main/java/org/bankturn/routing/NotRunProof.java
+++ b/core/src/main/java/org/bankturn/routing/NotRunProof.java
@@ -46,7 +46,7 @@
 
     private NotRunProof(ResultCode code, String evidence) {
         Objects.requireNonNull(code, "code must not be null");
-        if (!code.saysNotRun()) {
+        if (!code.isNotRun()) {
             throw new IllegalArgumentException("result code does not mean that the request was not executed: " + code);
         }
         this.code = code;
--- a/core/src/test/java/org/bankturn/routing/RoutingTest.java
+++ b/core/src/test/java/org/bankturn/routing/RoutingTest.java
@@ -1,8 +1,5 @@
 package org.bankturn.routing;
 
-import static org.assertj.core.api.Assertions.assertThat;
-import static org.assertj.core.api.Assertions.assertThatThrownBy;
-
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
@@ -18,6 +15,8 @@
 import org.bankturn.result.ResultCode;
 import org.bankturn.time.ManualClock;
 import org.junit.jupiter.api.Test;
+import static org.assertj.core.api.Assertions.assertThat;
+import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
 class RoutingTest {
     private static final String MANIFEST = "a".repeat(64);
@@ -85,8 +84,8 @@
     @Test
     void weights_are_not_assigned_to_halls_that_the_model_does_not_allow() {
         Box abroad = configuration.box("abroad-chat").orElseThrow();
-        assertThat(configuration.modelOn(abroad)).isEmpty();
-        assertThat(configuration.boxesOf(configuration.model("m").orElseThrow()))
+        assertThat(configuration.modelServedBy(abroad)).isEmpty();
+        assertThat(configuration.boxesServing(configuration.model("m").orElseThrow()))
                 .extracting(Box::name)
                 .containsExactly("here-chat", "there-chat");
     }
--- a/daemon/src/main/java/org/bankturn/daemon/control/ControlRole.java
+++ b/daemon/src/main/java/org/bankturn/daemon/control/ControlRole.java
@@ -194,7 +194,7 @@
 
     private void putIntoServiceIfReady(Model model) {
         Configuration configuration = holder.get();
-        Optional<ModelVersion> wanted = configuration.wantedVersion(model);
+        Optional<ModelVersion> wanted = configuration.desiredVersion(model);
         if (wanted.isEmpty()) {
             return;
         }
@@ -203,7 +203,7 @@
             return;
         }
         Collection<String> boxes =
-                configuration.boxesOf(model).stream().map(Box::name).toList();
+                configuration.boxesServing(model).stream().map(Box::name).toList();
         if (reports.countLoaded(manifest, boxes) >= model.entersServiceAt()) {
             LOG.log(Level.INFO, "version enters service: " + model.name() + " " + manifest);
             member.submit(new Command.EnterService(model.name(), manifest)).join();
--- a/daemon/src/main/java/org/bankturn/daemon/entry/EntryServlet.java
+++ b/daemon/src/main/java/org/bankturn/daemon/entry/EntryServlet.java
@@ -57,7 +57,7 @@
                 return;
             }
             ended = true;
-            state.admission().ended(request.account().name(), state.clock().millis() - startMillis);
+            state.admission().complete(request.account().name(), state.clock().millis() - startMillis);
             state.telemetry().requestEnded(request.service().name(), result);
             state.telemetry().inFlight(state.admission().running());
             span.end();
@@ -105,7 +105,7 @@
 
     private Promise<HttpResponse> admit(CallerRequest request, Configuration configuration, String traceparent)
             throws RefusedException {
-        if (!request.account().mayLiveIn(state.dataHall())) {
+        if (!request.account().allowsDataHall(state.dataHall())) {
             throw new RefusedException(ResultCode.NOT_RUN_RESIDENCY, state.dataHall(), 0);
         }
         AdmissionDecision decision = state.admission().decide(candidate(request, configuration));
@@ -118,17 +118,17 @@
     }
 
     private FairAdmission.Candidate candidate(CallerRequest request, Configuration configuration) {
-        long weightOfAll = configuration.clientAccounts().stream()
+        long totalWeight = configuration.clientAccounts().stream()
                 .mapToLong(ClientAccount::weight)
                 .sum();
         long boxes = configuration.usableBoxes(request.service().name()).entrySet().stream()
-                .filter(hall -> request.account().mayLiveIn(hall.getKey()))
+                .filter(hall -> request.account().allowsDataHall(hall.getKey()))
                 .mapToLong(hall -> hall.getValue().size())
                 .sum();
         int capacity = (int) Math.max(1, boxes * request.service().requestsAtOnce());
         long remaining = request.dueMillis() - state.clock().millis();
         return new FairAdmission.Candidate(
-                request.account().name(), request.account().weight(), weightOfAll, capacity, remaining);
+                request.account().name(), request.account().weight(), totalWeight, capacity, remaining);
     }
 
     // ---- requests without a key
--- a/daemon/src/main/java/org/bankturn/daemon/gateway/ForwardedRequest.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/ForwardedRequest.java
@@ -52,7 +52,7 @@
                 : route.timeoutMillis();
         this.endMillis = exchange.receivedMillis() + timeoutMillis;
         Service service =
-                gateway.service(route.serviceFor(metadata.id().hashCode())).orElseThrow();
+                gateway.service(route.selectService(metadata.id().hashCode())).orElseThrow();
         this.progress = RequestProgress.of(route, service, metadata.promptTokens(), endMillis);
     }
 
@@ -130,7 +130,7 @@
     private void retryOrGiveUp(TargetSighting target, String reason) {
         if (trial || gateway.crashDetector().isCondemned(this)) {
             stopCondemned();
-        } else if (route.kind().mayRepeat()) {
+        } else if (route.kind().isRetryable()) {
             retry(reason);
         } else {
             giveUp(reason + " from " + target.id());
--- a/daemon/src/main/java/org/bankturn/daemon/target/VersionKeeper.java
+++ b/daemon/src/main/java/org/bankturn/daemon/target/VersionKeeper.java
@@ -105,8 +105,8 @@
 
     private void bringIntoLine(Configuration configuration) {
         Optional<Box> self = configuration.box(context.box());
-        Optional<Model> model = self.flatMap(configuration::modelOn);
-        Optional<ModelVersion> wanted = model.flatMap(configuration::wantedVersion);
+        Optional<Model> model = self.flatMap(configuration::modelServedBy);
+        Optional<ModelVersion> wanted = model.flatMap(configuration::desiredVersion);
         if (wanted.isEmpty()) {
             cancelCopy();
             return;
@@ -153,7 +153,7 @@
     }
 
     private void startCopy(Configuration configuration, Box self, Model model, ModelVersion version) {
-        List<Box> neighbours = NeighbourSelector.select(self, configuration.boxesOf(model));
+        List<Box> neighbours = NeighbourSelector.select(self, configuration.boxesServing(model));
         VersionCopy started = new VersionCopy(context, server, model, version, neighbours);
         copy = started;
         copying = version.manifest();
