--- a/daemon/src/main/java/org/bankturn/daemon/gateway/Attempt.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/Attempt.java
@@ -4,9 +4,9 @@
 import java.io.ByteArrayOutputStream;
 import java.util.Optional;
 import org.bankturn.daemon.gateway.EventSplitter.Event;
-import org.bankturn.daemon.http.AnswerListener;
 import org.bankturn.daemon.http.HopFailure;
 import org.bankturn.daemon.http.HttpHead;
+import org.bankturn.daemon.http.ResponseListener;
 import org.bankturn.daemon.http.ServerExchange;
 import org.bankturn.daemon.http.TargetConnection;
 import org.bankturn.daemon.observe.DecisionField;
@@ -25,7 +25,7 @@
  *
  * <p>Attempt is confined to its reactor's thread.
  */
-final class Attempt implements AnswerListener {
+final class Attempt implements ResponseListener {
     private static final long CONNECT_TIMEOUT_MILLIS = 400;
 
     /** Idle limit for non-repeatable requests; a connection idle for longer may have been dropped silently. */
--- a/daemon/src/main/java/org/bankturn/daemon/http/HttpCalls.java
+++ b/daemon/src/main/java/org/bankturn/daemon/http/HttpCalls.java
@@ -155,7 +155,7 @@
         return null;
     }
 
-    private final class Call implements AnswerListener {
+    private final class Call implements ResponseListener {
         private final InetSocketAddress address;
         private final byte[] request;
         private final SettablePromise<Answer> result = new SettablePromise<>();
--- a/daemon/src/main/java/org/bankturn/daemon/http/AnswerListener.java
+++ b/daemon/src/main/java/org/bankturn/daemon/http/ResponseListener.java
@@ -1,7 +1,7 @@
 package org.bankturn.daemon.http;
 
 /** Takes what comes back for a request that was sent on a {@link TargetConnection}. */
-public interface AnswerListener {
+public interface ResponseListener {
     /**
      * Takes an answer's head.
      *
--- a/daemon/src/main/java/org/bankturn/daemon/http/TargetConnection.java
+++ b/daemon/src/main/java/org/bankturn/daemon/http/TargetConnection.java
@@ -25,7 +25,7 @@
     private final ITcpSocket socket;
     private final Clock clock;
     private final ByteQueue received = new ByteQueue();
-    private AnswerListener listener;
+    private ResponseListener listener;
     private BodyDecoder body;
     private boolean wanted;
     private boolean bodiless;
@@ -99,7 +99,7 @@
      * @param expectsNoBody true if the answer has no body whatever its head says
      * @param answers takes the answer, not null
      */
-    public void send(byte[] request, boolean expectsNoBody, AnswerListener answers) {
+    public void send(byte[] request, boolean expectsNoBody, ResponseListener answers) {
         listener = answers;
         bodiless = expectsNoBody;
         writing = true;
@@ -151,7 +151,7 @@
             end(HopFailure.CLOSED);
             return;
         }
-        AnswerListener waiting = listener;
+        ResponseListener waiting = listener;
         boolean answered = wanted;
         close();
         if (waiting == null) {
@@ -165,7 +165,7 @@
     }
 
     private void end(HopFailure failure) {
-        AnswerListener waiting = listener;
+        ResponseListener waiting = listener;
         close();
         if (waiting != null) {
             waiting.onFailure(failure);
@@ -249,7 +249,7 @@
         if (!wanted) {
             return;
         }
-        AnswerListener waiting = listener;
+        ResponseListener waiting = listener;
         listener = null;
         restingSince = clock.millis();
         answers++;
