--- a/daemon/src/main/java/org/bankturn/daemon/gateway/Attempt.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/Attempt.java
@@ -186,7 +186,7 @@
     }
 
     @Override
-    public void onPart(byte[] bytes) {
+    public void onBodyPart(byte[] bytes) {
         stallDetector.onData();
         if (!isStreamed()) {
             content.writeBytes(bytes);
--- a/daemon/src/main/java/org/bankturn/daemon/http/HttpCalls.java
+++ b/daemon/src/main/java/org/bankturn/daemon/http/HttpCalls.java
@@ -217,7 +217,7 @@
         }
 
         @Override
-        public void onPart(byte[] bytes) {
+        public void onBodyPart(byte[] bytes) {
             content.writeBytes(bytes);
         }
 
--- a/daemon/src/main/java/org/bankturn/daemon/http/ResponseListener.java
+++ b/daemon/src/main/java/org/bankturn/daemon/http/ResponseListener.java
@@ -11,7 +11,7 @@
     boolean onHead(HttpHead head);
 
     /** Takes a part of the body. */
-    void onPart(byte[] bytes);
+    void onBodyPart(byte[] bytes);
 
     /** The answer is whole. */
     void onEnd();
--- a/daemon/src/main/java/org/bankturn/daemon/http/TargetConnection.java
+++ b/daemon/src/main/java/org/bankturn/daemon/http/TargetConnection.java
@@ -219,7 +219,7 @@
         byte[] part = body.take(received);
         boolean whole = body.isDone();
         if (wanted && part.length > 0) {
-            listener.onPart(part);
+            listener.onBodyPart(part);
         }
         if (whole && !ended) {
             answerEnded();
