--- a/daemon/src/main/java/org/bankturn/daemon/gateway/Attempt.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/Attempt.java
@@ -239,7 +239,7 @@
     }
 
     @Override
-    public void onEnd() {
+    public void onComplete() {
         if (finished) {
             return;
         }
--- a/daemon/src/main/java/org/bankturn/daemon/http/HttpCalls.java
+++ b/daemon/src/main/java/org/bankturn/daemon/http/HttpCalls.java
@@ -222,7 +222,7 @@
         }
 
         @Override
-        public void onEnd() {
+        public void onComplete() {
             if (connection.isUsable()) {
                 rest(address, connection);
             }
--- a/daemon/src/main/java/org/bankturn/daemon/http/ResponseListener.java
+++ b/daemon/src/main/java/org/bankturn/daemon/http/ResponseListener.java
@@ -14,7 +14,7 @@
     void onBodyPart(byte[] bytes);
 
     /** The answer is whole. */
-    void onEnd();
+    void onComplete();
 
     /**
      * There will be no whole answer.
--- a/daemon/src/main/java/org/bankturn/daemon/http/TargetConnection.java
+++ b/daemon/src/main/java/org/bankturn/daemon/http/TargetConnection.java
@@ -158,7 +158,7 @@
             return;
         }
         if (answered) {
-            waiting.onEnd();
+            waiting.onComplete();
         } else {
             waiting.onFailure(HopFailure.CLOSED);
         }
@@ -257,6 +257,6 @@
         if (spoilt) {
             close();
         }
-        waiting.onEnd();
+        waiting.onComplete();
     }
 }
