--- a/daemon/src/main/java/org/bankturn/daemon/group/AddressConflictResolver.java
+++ b/daemon/src/main/java/org/bankturn/daemon/group/AddressConflictResolver.java
@@ -5,7 +5,7 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 import java.util.Optional;
-import org.bankturn.daemon.http.HttpCalls;
+import org.bankturn.daemon.http.PooledHttpClient;
 import org.bankturn.daemon.observe.DecisionField;
 import org.bankturn.daemon.observe.DecisionKind;
 import org.bankturn.daemon.observe.DecisionLog;
@@ -37,7 +37,7 @@
     private final DecisionLog log;
     private final long minIntervalMillis;
     private final Map<String, Long> firstHeardMillis = new LinkedHashMap<>();
-    private HttpCalls calls;
+    private PooledHttpClient calls;
 
     /**
      * Returns a resolver without any tracked incarnations, not null.
@@ -88,7 +88,7 @@
             return Promise.of(Optional.empty());
         }
         if (calls == null) {
-            calls = HttpCalls.on(reactor, clock);
+            calls = PooledHttpClient.on(reactor, clock);
         }
         return calls.ask(
                         Address.parse(sighting.address()).toSocketAddress(),
--- a/daemon/src/main/java/org/bankturn/daemon/http/HttpCalls.java
+++ b/daemon/src/main/java/org/bankturn/daemon/http/PooledHttpClient.java
@@ -20,7 +20,7 @@
  *
  * <p>HttpCalls is confined to its reactor's thread.
  */
-public final class HttpCalls {
+public final class PooledHttpClient {
     private static final long REST_MILLIS = 1_000;
 
     /** A question to a process on the same box takes 1 to 20 ms; one that is asked twice does no harm. */
@@ -48,7 +48,7 @@
     }
 
     /** Returns a caller on the reactor's thread, not null. */
-    public static HttpCalls on(NioReactor reactor, Clock clock) {
+    public static PooledHttpClient on(NioReactor reactor, Clock clock) {
         return on(reactor, clock, ConnectionObserver.NONE);
     }
 
@@ -59,11 +59,11 @@
      * @param clock the time, not null
      * @param observer hears of connections that went silent, not null
      */
-    public static HttpCalls on(NioReactor reactor, Clock clock, ConnectionObserver observer) {
-        return new HttpCalls(reactor, clock, observer);
+    public static PooledHttpClient on(NioReactor reactor, Clock clock, ConnectionObserver observer) {
+        return new PooledHttpClient(reactor, clock, observer);
     }
 
-    private HttpCalls(NioReactor reactor, Clock clock, ConnectionObserver observer) {
+    private PooledHttpClient(NioReactor reactor, Clock clock, ConnectionObserver observer) {
         this.reactor = reactor;
         this.clock = clock;
         this.observer = observer;
--- a/daemon/src/main/java/org/bankturn/daemon/serving/Rehearsal.java
+++ b/daemon/src/main/java/org/bankturn/daemon/serving/Rehearsal.java
@@ -9,8 +9,8 @@
 import java.util.List;
 import java.util.jar.JarEntry;
 import java.util.jar.JarFile;
-import org.bankturn.daemon.http.HttpCalls;
 import org.bankturn.daemon.http.HttpHead;
+import org.bankturn.daemon.http.PooledHttpClient;
 import org.bankturn.daemon.settings.Address;
 import org.bankturn.daemon.settings.ProcessRole;
 import org.bankturn.routing.RetryLimits;
@@ -89,7 +89,7 @@
         Eventloop reactor = Eventloop.builder().withThreadName("rehearsal").build();
         reactor.keepAlive(true);
         new Thread(reactor, "rehearsal").start();
-        HttpCalls caller = HttpCalls.on(reactor, Clock.system());
+        PooledHttpClient caller = PooledHttpClient.on(reactor, Clock.system());
         for (int round = 0; round < ROUNDS; round++) {
             Thread.sleep(LENGTH_MILLIS / ROUNDS);
             reactor.execute(() -> {
@@ -125,7 +125,7 @@
 
     /** A call to the control process or a request of a caller. */
     public record Call(String method, String target, byte[] body) {
-        private void send(HttpCalls caller, Address to) {
+        private void send(PooledHttpClient caller, Address to) {
             caller.call(to.toSocketAddress(), HttpHead.request(method, target, List.of()), body, CALL_MILLIS);
         }
     }
--- a/daemon/src/main/java/org/bankturn/daemon/weights/PieceFetcher.java
+++ b/daemon/src/main/java/org/bankturn/daemon/weights/PieceFetcher.java
@@ -11,7 +11,7 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.Set;
-import org.bankturn.daemon.http.HttpCalls;
+import org.bankturn.daemon.http.PooledHttpClient;
 import org.bankturn.daemon.observe.DecisionField;
 import org.bankturn.daemon.observe.DecisionKind;
 import org.bankturn.daemon.wire.NodeRequest;
@@ -374,7 +374,7 @@
                         piece == PieceRouting.MANIFEST
                                 ? context.dialect().manifest(model, version)
                                 : context.dialect().piece(model, version, piece))
-                .map(HttpCalls.Answer::body)
+                .map(PooledHttpClient.Answer::body)
                 .whenComplete((bytes, failure) -> {
                     originCalls--;
                     invalidOriginAnswers += failure == null || failure instanceof HttpStatusException ? 1 : 0;
--- a/daemon/src/main/java/org/bankturn/daemon/weights/ProcessCopyContext.java
+++ b/daemon/src/main/java/org/bankturn/daemon/weights/ProcessCopyContext.java
@@ -6,8 +6,8 @@
 import java.net.InetSocketAddress;
 import java.util.Optional;
 import java.util.function.Function;
-import org.bankturn.daemon.http.HttpCalls;
 import org.bankturn.daemon.http.HttpHead;
+import org.bankturn.daemon.http.PooledHttpClient;
 import org.bankturn.daemon.observe.DecisionLog;
 import org.bankturn.daemon.observe.ServingMetrics;
 import org.bankturn.daemon.observe.SilentConnections;
@@ -30,7 +30,7 @@
 
     private final WeightsDependencies dependencies;
     private final Participant participant;
-    private final HttpCalls calls;
+    private final PooledHttpClient calls;
     private PieceRouting routing;
     private long routingIndex;
     private int routingVersion;
@@ -62,7 +62,7 @@
     ProcessCopyContext(WeightsDependencies dependencies, Participant participant) {
         this.dependencies = dependencies;
         this.participant = participant;
-        this.calls = HttpCalls.on(
+        this.calls = PooledHttpClient.on(
                 dependencies.reactor(),
                 dependencies.clock(),
                 SilentConnections.to(ServingMetrics.PEER_TARGET, dependencies.log(), dependencies.metrics()));
@@ -114,16 +114,17 @@
     }
 
     @Override
-    public Promise<HttpCalls.Answer> callEngine(HttpHead head, byte[] body) {
+    public Promise<PooledHttpClient.Answer> callEngine(HttpHead head, byte[] body) {
         return withEngine(engine -> calls.call(engine, head, body, ENGINE_TIMEOUT_MILLIS));
     }
 
     @Override
-    public Promise<HttpCalls.Answer> queryEngine(HttpHead head) {
+    public Promise<PooledHttpClient.Answer> queryEngine(HttpHead head) {
         return withEngine(engine -> calls.ask(engine, head, ENGINE_TIMEOUT_MILLIS));
     }
 
-    private Promise<HttpCalls.Answer> withEngine(Function<InetSocketAddress, Promise<HttpCalls.Answer>> call) {
+    private Promise<PooledHttpClient.Answer> withEngine(
+            Function<InetSocketAddress, Promise<PooledHttpClient.Answer>> call) {
         return participant
                 .engine()
                 .map(engine -> requireSuccess(call.apply(engine.toSocketAddress())))
@@ -137,7 +138,7 @@
     }
 
     @Override
-    public Promise<HttpCalls.Answer> callOrigin(HttpHead head) {
+    public Promise<PooledHttpClient.Answer> callOrigin(HttpHead head) {
         Optional<Service> origin = participant.peers().origin();
         if (origin.isEmpty()) {
             return Promise.ofException(new IOException("no weights origin is configured"));
@@ -147,7 +148,7 @@
                 address.toSocketAddress(), head, EMPTY_BODY, ORIGIN_CONNECT_TIMEOUT_MILLIS, ORIGIN_TIMEOUT_MILLIS));
     }
 
-    private static Promise<HttpCalls.Answer> requireSuccess(Promise<HttpCalls.Answer> call) {
+    private static Promise<PooledHttpClient.Answer> requireSuccess(Promise<PooledHttpClient.Answer> call) {
         return call.then(answer -> answer.isSuccess()
                 ? Promise.of(answer)
                 : Promise.ofException(new HttpStatusException(answer.head().status())));
--- a/daemon/src/main/java/org/bankturn/daemon/weights/WeightsCopy.java
+++ b/daemon/src/main/java/org/bankturn/daemon/weights/WeightsCopy.java
@@ -14,7 +14,7 @@
 import java.util.Map;
 import java.util.Objects;
 import java.util.Set;
-import org.bankturn.daemon.http.HttpCalls;
+import org.bankturn.daemon.http.PooledHttpClient;
 import org.bankturn.daemon.observe.DecisionField;
 import org.bankturn.daemon.observe.DecisionKind;
 import org.bankturn.service.WeightsLayout;
@@ -303,7 +303,7 @@
     // ---- verification and start
 
     /** Reads every staged piece back, restages corrupt ones, then orders the engine to load the weights. */
-    Promise<HttpCalls.Answer> verifyAndStart(ChangeMethod method) {
+    Promise<PooledHttpClient.Answer> verifyAndStart(ChangeMethod method) {
         return verify(0)
                 .then(() -> context.callEngine(
                         context.dialect().order(), context.dialect().startOrder(layout.model(), version, method)));
--- a/daemon/src/test/java/org/bankturn/daemon/http/HttpCallsTest.java
+++ b/daemon/src/test/java/org/bankturn/daemon/http/HttpCallsTest.java
@@ -45,8 +45,8 @@
         reactor.keepAlive(true);
         new Thread(reactor, "calls-test").start();
         try (ServerSocket server = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-            HttpCalls calls = HttpCalls.on(reactor, clock);
-            CompletableFuture<HttpCalls.Answer> answer = reactor.submit(() -> calls.call(
+            PooledHttpClient calls = PooledHttpClient.on(reactor, clock);
+            CompletableFuture<PooledHttpClient.Answer> answer = reactor.submit(() -> calls.call(
                     new InetSocketAddress(InetAddress.getLoopbackAddress(), server.getLocalPort()),
                     HttpHead.request("GET", "/x", List.of()),
                     new byte[0],
--- a/daemon/src/test/java/org/bankturn/daemon/serving/MetricsServerTest.java
+++ b/daemon/src/test/java/org/bankturn/daemon/serving/MetricsServerTest.java
@@ -7,8 +7,8 @@
 import java.io.OutputStream;
 import java.nio.charset.StandardCharsets;
 import java.util.List;
-import org.bankturn.daemon.http.HttpCalls;
 import org.bankturn.daemon.http.HttpHead;
+import org.bankturn.daemon.http.PooledHttpClient;
 import org.bankturn.daemon.observe.DecisionKind;
 import org.bankturn.daemon.observe.DecisionLog;
 import org.bankturn.daemon.observe.RequestOutcome;
@@ -49,7 +49,7 @@
         try {
             return reactor.submit(() -> {
                         MetricsServer.of(reactor, clock, address, metrics).listen();
-                        return HttpCalls.on(reactor, clock)
+                        return PooledHttpClient.on(reactor, clock)
                                 .call(
                                         address.toSocketAddress(),
                                         HttpHead.request("GET", "/metrics", List.of()),
--- a/daemon/src/test/java/org/bankturn/daemon/weights/ScriptedOrigin.java
+++ b/daemon/src/test/java/org/bankturn/daemon/weights/ScriptedOrigin.java
@@ -10,8 +10,8 @@
 import java.util.HexFormat;
 import java.util.List;
 import java.util.Map;
-import org.bankturn.daemon.http.HttpCalls;
 import org.bankturn.daemon.http.HttpHead;
+import org.bankturn.daemon.http.PooledHttpClient;
 
 /** An in-memory origin of weights that a test can make fail or send corrupt pieces. */
 final class ScriptedOrigin {
@@ -36,14 +36,14 @@
         return requests.stream().filter(("piece/" + piece)::equals).count();
     }
 
-    Promise<HttpCalls.Answer> answer(HttpHead head) {
+    Promise<PooledHttpClient.Answer> answer(HttpHead head) {
         boolean isManifest = head.second().equals("manifest");
         if (isManifest ? manifestDown : down) {
             return Promise.ofException(new IOException("origin is down"));
         }
         requests.add(head.second());
         byte[] body = head.second().equals("manifest") ? manifest() : pieceOrCorrupt(numberOf(head));
-        return Promise.of(new HttpCalls.Answer(HttpHead.answer(200, List.of()), body));
+        return Promise.of(new PooledHttpClient.Answer(HttpHead.answer(200, List.of()), body));
     }
 
     static int numberOf(HttpHead head) {
