--- a/daemon/src/main/java/org/bankturn/daemon/gateway/Attempt.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/Attempt.java
@@ -4,11 +4,11 @@
 import java.io.ByteArrayOutputStream;
 import java.util.Optional;
 import org.bankturn.daemon.gateway.EventSplitter.Event;
-import org.bankturn.daemon.http.HopFailure;
 import org.bankturn.daemon.http.HttpHead;
 import org.bankturn.daemon.http.ResponseListener;
 import org.bankturn.daemon.http.ServerExchange;
 import org.bankturn.daemon.http.TargetConnection;
+import org.bankturn.daemon.http.TransportFailure;
 import org.bankturn.daemon.observe.DecisionField;
 import org.bankturn.daemon.observe.DecisionKind;
 import org.bankturn.daemon.observe.DecisionLine;
@@ -88,7 +88,7 @@
         }
         gateway.crashDetector().onConnectResult(target.sighting(), failure);
         if (failure != null) {
-            onFailure(HopFailure.NOT_CONNECTED);
+            onFailure(TransportFailure.NOT_CONNECTED);
             return;
         }
         if (isHeldBack(opened)) {
@@ -245,7 +245,7 @@
         }
         boolean endsWithinEvent = isStreamed() && events.remainder().length > 0;
         if (endsWithinEvent) {
-            onFailure(HopFailure.CLOSED);
+            onFailure(TransportFailure.CLOSED);
             return;
         }
         finish(true);
@@ -317,7 +317,7 @@
     }
 
     @Override
-    public void onFailure(HopFailure failure) {
+    public void onFailure(TransportFailure failure) {
         if (finished) {
             return;
         }
--- a/daemon/src/main/java/org/bankturn/daemon/http/PooledHttpClient.java
+++ b/daemon/src/main/java/org/bankturn/daemon/http/PooledHttpClient.java
@@ -230,7 +230,7 @@
         }
 
         @Override
-        public void onFailure(HopFailure failure) {
+        public void onFailure(TransportFailure failure) {
             result.trySetException(new IOException(failure + " at " + address));
         }
     }
--- a/daemon/src/main/java/org/bankturn/daemon/http/ResponseListener.java
+++ b/daemon/src/main/java/org/bankturn/daemon/http/ResponseListener.java
@@ -21,5 +21,5 @@
      *
      * @param failure what happened, not null
      */
-    void onFailure(HopFailure failure);
+    void onFailure(TransportFailure failure);
 }
--- a/daemon/src/main/java/org/bankturn/daemon/http/TargetConnection.java
+++ b/daemon/src/main/java/org/bankturn/daemon/http/TargetConnection.java
@@ -106,7 +106,7 @@
         socket.write(ByteBuf.wrapForReading(request)).whenComplete((nothing, failure) -> {
             writing = false;
             if (failure != null) {
-                end(HopFailure.RESET);
+                end(TransportFailure.RESET);
             }
         });
     }
@@ -129,7 +129,7 @@
                 return;
             }
             if (failure != null) {
-                end(HopFailure.RESET);
+                end(TransportFailure.RESET);
                 return;
             }
             if (bytes == null) {
@@ -148,7 +148,7 @@
     private void endOfInput() {
         boolean whole = body != null && body.endsWithConnection();
         if (!whole) {
-            end(HopFailure.CLOSED);
+            end(TransportFailure.CLOSED);
             return;
         }
         ResponseListener waiting = listener;
@@ -160,11 +160,11 @@
         if (answered) {
             waiting.onComplete();
         } else {
-            waiting.onFailure(HopFailure.CLOSED);
+            waiting.onFailure(TransportFailure.CLOSED);
         }
     }
 
-    private void end(HopFailure failure) {
+    private void end(TransportFailure failure) {
         ResponseListener waiting = listener;
         close();
         if (waiting != null) {
@@ -187,7 +187,7 @@
                 }
             }
         } catch (HttpFormatException e) {
-            end(HopFailure.MALFORMED);
+            end(TransportFailure.MALFORMED);
         }
     }
 
--- a/daemon/src/main/java/org/bankturn/daemon/http/HopFailure.java
+++ b/daemon/src/main/java/org/bankturn/daemon/http/TransportFailure.java
@@ -1,7 +1,7 @@
 package org.bankturn.daemon.http;
 
 /** Why a hop gave no whole answer. */
-public enum HopFailure {
+public enum TransportFailure {
     /** No connection could be made: the request did not leave. */
     NOT_CONNECTED(true),
     /** The other side reset the connection. */
@@ -13,7 +13,7 @@
 
     private final boolean surelyNotSent;
 
-    HopFailure(boolean surelyNotSent) {
+    TransportFailure(boolean surelyNotSent) {
         this.surelyNotSent = surelyNotSent;
     }
 
