--- a/daemon/src/main/java/org/bankturn/daemon/http/PooledHttpClient.java
+++ b/daemon/src/main/java/org/bankturn/daemon/http/PooledHttpClient.java
@@ -40,7 +40,7 @@
      * @param head its head, not null
      * @param body its body, not null
      */
-    public record Answer(HttpHead head, byte[] body) {
+    public record Response(HttpHead head, byte[] body) {
         /** Returns true if the status says success. */
         public boolean isSuccess() {
             return head.status() / 100 == 2;
@@ -79,7 +79,7 @@
      * @param timeoutMillis how long to wait for the whole answer
      * @return the answer; fails if there is no whole one in time
      */
-    public Promise<Answer> call(InetSocketAddress address, HttpHead head, byte[] body, long timeoutMillis) {
+    public Promise<Response> call(InetSocketAddress address, HttpHead head, byte[] body, long timeoutMillis) {
         return call(address, head, body, timeoutMillis, timeoutMillis);
     }
 
@@ -93,7 +93,7 @@
      * @param timeoutMillis how long to wait for the whole answer
      * @return the answer; fails if there is no whole one in time
      */
-    public Promise<Answer> call(
+    public Promise<Response> call(
             InetSocketAddress address, HttpHead head, byte[] body, long connectMillis, long timeoutMillis) {
         Call call = new Call(address, bytesOf(head, body));
         reactor.delayBackground(timeoutMillis, call::timeOut);
@@ -109,7 +109,7 @@
      * @param timeoutMillis how long to wait for the whole answer
      * @return the answer; fails if there is no whole one in time
      */
-    public Promise<Answer> ask(InetSocketAddress address, HttpHead head, long timeoutMillis) {
+    public Promise<Response> ask(InetSocketAddress address, HttpHead head, long timeoutMillis) {
         Call call = new Call(address, bytesOf(head, NOTHING));
         reactor.delayBackground(timeoutMillis, call::timeOut);
         TargetConnection rested = takeRested(address);
@@ -158,7 +158,7 @@
     private final class Call implements ResponseListener {
         private final InetSocketAddress address;
         private final byte[] request;
-        private final SettablePromise<Answer> result = new SettablePromise<>();
+        private final SettablePromise<Response> result = new SettablePromise<>();
         private final ByteArrayOutputStream content = new ByteArrayOutputStream();
         private TargetConnection connection;
         private HttpHead answer;
@@ -226,7 +226,7 @@
             if (connection.isUsable()) {
                 rest(address, connection);
             }
-            result.trySet(new Answer(answer, content.toByteArray()));
+            result.trySet(new Response(answer, content.toByteArray()));
         }
 
         @Override
--- a/daemon/src/main/java/org/bankturn/daemon/weights/CopyContext.java
+++ b/daemon/src/main/java/org/bankturn/daemon/weights/CopyContext.java
@@ -34,16 +34,16 @@
     PieceRouting routing(int version);
 
     /** Sends a command to the local engine, at most once; fails unless the status is success. */
-    Promise<PooledHttpClient.Answer> callEngine(HttpHead head, byte[] body);
+    Promise<PooledHttpClient.Response> callEngine(HttpHead head, byte[] body);
 
     /** Sends a read-only request to the local engine; fails unless the status is success. */
-    Promise<PooledHttpClient.Answer> queryEngine(HttpHead head);
+    Promise<PooledHttpClient.Response> queryEngine(HttpHead head);
 
     /** Returns the limit of concurrent calls from this box to the origin. */
     int maxOriginCalls();
 
     /** Calls the origin of weights; fails unless the status is success. */
-    Promise<PooledHttpClient.Answer> callOrigin(HttpHead head);
+    Promise<PooledHttpClient.Response> callOrigin(HttpHead head);
 
     /** Requests a piece from a neighbour; completes with null if it is not available there, fails if there is no answer. */
     Promise<byte[]> requestPiece(String box, NodeRequest.GetPiece request);
--- a/daemon/src/main/java/org/bankturn/daemon/weights/PieceFetcher.java
+++ b/daemon/src/main/java/org/bankturn/daemon/weights/PieceFetcher.java
@@ -374,7 +374,7 @@
                         piece == PieceRouting.MANIFEST
                                 ? context.dialect().manifest(model, version)
                                 : context.dialect().piece(model, version, piece))
-                .map(PooledHttpClient.Answer::body)
+                .map(PooledHttpClient.Response::body)
                 .whenComplete((bytes, failure) -> {
                     originCalls--;
                     invalidOriginAnswers += failure == null || failure instanceof HttpStatusException ? 1 : 0;
--- a/daemon/src/main/java/org/bankturn/daemon/weights/ProcessCopyContext.java
+++ b/daemon/src/main/java/org/bankturn/daemon/weights/ProcessCopyContext.java
@@ -114,17 +114,17 @@
     }
 
     @Override
-    public Promise<PooledHttpClient.Answer> callEngine(HttpHead head, byte[] body) {
+    public Promise<PooledHttpClient.Response> callEngine(HttpHead head, byte[] body) {
         return withEngine(engine -> calls.call(engine, head, body, ENGINE_TIMEOUT_MILLIS));
     }
 
     @Override
-    public Promise<PooledHttpClient.Answer> queryEngine(HttpHead head) {
+    public Promise<PooledHttpClient.Response> queryEngine(HttpHead head) {
         return withEngine(engine -> calls.ask(engine, head, ENGINE_TIMEOUT_MILLIS));
     }
 
-    private Promise<PooledHttpClient.Answer> withEngine(
-            Function<InetSocketAddress, Promise<PooledHttpClient.Answer>> call) {
+    private Promise<PooledHttpClient.Response> withEngine(
+            Function<InetSocketAddress, Promise<PooledHttpClient.Response>> call) {
         return participant
                 .engine()
                 .map(engine -> requireSuccess(call.apply(engine.toSocketAddress())))
@@ -138,7 +138,7 @@
     }
 
     @Override
-    public Promise<PooledHttpClient.Answer> callOrigin(HttpHead head) {
+    public Promise<PooledHttpClient.Response> callOrigin(HttpHead head) {
         Optional<Service> origin = participant.peers().origin();
         if (origin.isEmpty()) {
             return Promise.ofException(new IOException("no weights origin is configured"));
@@ -148,7 +148,7 @@
                 address.toSocketAddress(), head, EMPTY_BODY, ORIGIN_CONNECT_TIMEOUT_MILLIS, ORIGIN_TIMEOUT_MILLIS));
     }
 
-    private static Promise<PooledHttpClient.Answer> requireSuccess(Promise<PooledHttpClient.Answer> call) {
+    private static Promise<PooledHttpClient.Response> requireSuccess(Promise<PooledHttpClient.Response> call) {
         return call.then(answer -> answer.isSuccess()
                 ? Promise.of(answer)
                 : Promise.ofException(new HttpStatusException(answer.head().status())));
--- a/daemon/src/main/java/org/bankturn/daemon/weights/WeightsCopy.java
+++ b/daemon/src/main/java/org/bankturn/daemon/weights/WeightsCopy.java
@@ -303,7 +303,7 @@
     // ---- verification and start
 
     /** Reads every staged piece back, restages corrupt ones, then orders the engine to load the weights. */
-    Promise<PooledHttpClient.Answer> verifyAndStart(ChangeMethod method) {
+    Promise<PooledHttpClient.Response> verifyAndStart(ChangeMethod method) {
         return verify(0)
                 .then(() -> context.callEngine(
                         context.dialect().order(), context.dialect().startOrder(layout.model(), version, method)));
--- a/daemon/src/test/java/org/bankturn/daemon/http/HttpCallsTest.java
+++ b/daemon/src/test/java/org/bankturn/daemon/http/HttpCallsTest.java
@@ -46,7 +46,7 @@
         new Thread(reactor, "calls-test").start();
         try (ServerSocket server = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             PooledHttpClient calls = PooledHttpClient.on(reactor, clock);
-            CompletableFuture<PooledHttpClient.Answer> answer = reactor.submit(() -> calls.call(
+            CompletableFuture<PooledHttpClient.Response> answer = reactor.submit(() -> calls.call(
                     new InetSocketAddress(InetAddress.getLoopbackAddress(), server.getLocalPort()),
                     HttpHead.request("GET", "/x", List.of()),
                     new byte[0],
--- a/daemon/src/test/java/org/bankturn/daemon/weights/FetchSchedulerTest.java
+++ b/daemon/src/test/java/org/bankturn/daemon/weights/FetchSchedulerTest.java
@@ -34,7 +34,7 @@
     private final Eventloop reactor = Eventloop.create();
     private final FetchScheduler scheduler = new FetchScheduler();
     private final List<String> requested = new ArrayList<>();
-    private final Deque<SettablePromise<PooledHttpClient.Answer>> pendingCalls = new ArrayDeque<>();
+    private final Deque<SettablePromise<PooledHttpClient.Response>> pendingCalls = new ArrayDeque<>();
 
     @Test
     void half_fetched_older_version_is_finished_before_newer_one() {
@@ -92,7 +92,7 @@
 
     private void answer(int count) {
         for (int answered = 0; answered < count && !pendingCalls.isEmpty(); answered++) {
-            pendingCalls.poll().set(new PooledHttpClient.Answer(HttpHead.answer(200, List.of()), new byte[] {1}));
+            pendingCalls.poll().set(new PooledHttpClient.Response(HttpHead.answer(200, List.of()), new byte[] {1}));
         }
     }
 
@@ -168,19 +168,19 @@
         }
 
         @Override
-        public Promise<PooledHttpClient.Answer> callEngine(HttpHead head, byte[] body) {
+        public Promise<PooledHttpClient.Response> callEngine(HttpHead head, byte[] body) {
             throw new AssertionError("unexpected engine command");
         }
 
         @Override
-        public Promise<PooledHttpClient.Answer> queryEngine(HttpHead head) {
+        public Promise<PooledHttpClient.Response> queryEngine(HttpHead head) {
             throw new AssertionError("unexpected engine request");
         }
 
         @Override
-        public Promise<PooledHttpClient.Answer> callOrigin(HttpHead head) {
+        public Promise<PooledHttpClient.Response> callOrigin(HttpHead head) {
             requested.add(version + "/" + ScriptedOrigin.numberOf(head));
-            SettablePromise<PooledHttpClient.Answer> answer = new SettablePromise<>();
+            SettablePromise<PooledHttpClient.Response> answer = new SettablePromise<>();
             pendingCalls.add(answer);
             return answer;
         }
--- a/daemon/src/test/java/org/bankturn/daemon/weights/ScriptedBox.java
+++ b/daemon/src/test/java/org/bankturn/daemon/weights/ScriptedBox.java
@@ -111,7 +111,7 @@
     }
 
     @Override
-    public Promise<PooledHttpClient.Answer> callEngine(HttpHead head, byte[] body) {
+    public Promise<PooledHttpClient.Response> callEngine(HttpHead head, byte[] body) {
         byte[] answer = new byte[0];
         if (head.second().startsWith("put/")) {
             put(ScriptedOrigin.numberOf(head), body);
@@ -120,11 +120,11 @@
         } else {
             orders.add(new String(body, StandardCharsets.UTF_8));
         }
-        return Promise.of(new PooledHttpClient.Answer(HttpHead.answer(200, List.of()), answer));
+        return Promise.of(new PooledHttpClient.Response(HttpHead.answer(200, List.of()), answer));
     }
 
     @Override
-    public Promise<PooledHttpClient.Answer> queryEngine(HttpHead head) {
+    public Promise<PooledHttpClient.Response> queryEngine(HttpHead head) {
         return callEngine(head, new byte[0]);
     }
 
@@ -134,7 +134,7 @@
     }
 
     @Override
-    public Promise<PooledHttpClient.Answer> callOrigin(HttpHead head) {
+    public Promise<PooledHttpClient.Response> callOrigin(HttpHead head) {
         return origin.answer(head);
     }
 
--- a/daemon/src/test/java/org/bankturn/daemon/weights/ScriptedOrigin.java
+++ b/daemon/src/test/java/org/bankturn/daemon/weights/ScriptedOrigin.java
@@ -36,14 +36,14 @@
         return requests.stream().filter(("piece/" + piece)::equals).count();
     }
 
-    Promise<PooledHttpClient.Answer> answer(HttpHead head) {
+    Promise<PooledHttpClient.Response> answer(HttpHead head) {
         boolean isManifest = head.second().equals("manifest");
         if (isManifest ? manifestDown : down) {
             return Promise.ofException(new IOException("origin is down"));
         }
         requests.add(head.second());
         byte[] body = head.second().equals("manifest") ? manifest() : pieceOrCorrupt(numberOf(head));
-        return Promise.of(new PooledHttpClient.Answer(HttpHead.answer(200, List.of()), body));
+        return Promise.of(new PooledHttpClient.Response(HttpHead.answer(200, List.of()), body));
     }
 
     static int numberOf(HttpHead head) {
