--- a/daemon/src/main/java/org/bankturn/daemon/group/AddressConflictResolver.java
+++ b/daemon/src/main/java/org/bankturn/daemon/group/AddressConflictResolver.java
@@ -90,7 +90,7 @@
         if (calls == null) {
             calls = PooledHttpClient.on(reactor, clock);
         }
-        return calls.ask(
+        return calls.callIdempotent(
                         Address.parse(sighting.address()).toSocketAddress(),
                         dialect.healthProbe(healthPath.get(), sighting.name()),
                         PROBE_TIMEOUT_MILLIS)
--- a/daemon/src/main/java/org/bankturn/daemon/http/PooledHttpClient.java
+++ b/daemon/src/main/java/org/bankturn/daemon/http/PooledHttpClient.java
@@ -109,7 +109,7 @@
      * @param timeoutMillis how long to wait for the whole answer
      * @return the answer; fails if there is no whole one in time
      */
-    public Promise<Response> ask(InetSocketAddress address, HttpHead head, long timeoutMillis) {
+    public Promise<Response> callIdempotent(InetSocketAddress address, HttpHead head, long timeoutMillis) {
         Call call = new Call(address, bytesOf(head, NOTHING));
         reactor.delayBackground(timeoutMillis, call::timeOut);
         TargetConnection rested = takeRested(address);
--- a/daemon/src/main/java/org/bankturn/daemon/weights/ProcessCopyContext.java
+++ b/daemon/src/main/java/org/bankturn/daemon/weights/ProcessCopyContext.java
@@ -120,7 +120,7 @@
 
     @Override
     public Promise<PooledHttpClient.Response> queryEngine(HttpHead head) {
-        return withEngine(engine -> calls.ask(engine, head, ENGINE_TIMEOUT_MILLIS));
+        return withEngine(engine -> calls.callIdempotent(engine, head, ENGINE_TIMEOUT_MILLIS));
     }
 
     private Promise<PooledHttpClient.Response> withEngine(
