--- a/daemon/src/main/java/org/bankturn/daemon/gateway/Attempt.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/Attempt.java
@@ -323,7 +323,7 @@
         }
         finish(false);
         targetFailed(failure.name());
-        if (failure.isSurelyNotSent()) {
+        if (failure.isDefinitelyUnsent()) {
             request.onConnectFailure();
             return;
         }
--- a/daemon/src/main/java/org/bankturn/daemon/http/TransportFailure.java
+++ b/daemon/src/main/java/org/bankturn/daemon/http/TransportFailure.java
@@ -18,7 +18,7 @@
     }
 
     /** Returns true if no byte of the request left. */
-    public boolean isSurelyNotSent() {
+    public boolean isDefinitelyUnsent() {
         return surelyNotSent;
     }
 }
