--- a/daemon/src/main/java/org/bankturn/daemon/gateway/StallDetector.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/StallDetector.java
@@ -124,7 +124,7 @@
         }
         stallRecorded = true;
         TargetState target = choice.target();
-        boolean connectionWorked = connection.hasCarried() || dataReceived;
+        boolean connectionWorked = connection.hasReceivedResponse() || dataReceived;
         boolean targetResponsive = target.hasRecentActivity(now(), lastDataMillis);
         blamesTarget = !connectionWorked || targetResponsive;
         if (!blamesTarget) {
@@ -136,7 +136,7 @@
                 .with(DecisionField.DEPENDENCY, "connection")
                 .with(DecisionField.TARGET, targetId())
                 .with(DecisionField.REQUEST, request.metadata().id())
-                .with(DecisionField.KEPT, connection.hasCarried())
+                .with(DecisionField.KEPT, connection.hasReceivedResponse())
                 .with(DecisionField.SILENT_MS, now() - connection.heardMillis())
                 .write();
     }
--- a/daemon/src/main/java/org/bankturn/daemon/http/TargetConnection.java
+++ b/daemon/src/main/java/org/bankturn/daemon/http/TargetConnection.java
@@ -78,7 +78,7 @@
     }
 
     /** Returns true if it carried an answer before the request that is under way. */
-    public boolean hasCarried() {
+    public boolean hasReceivedResponse() {
         return answers > 0;
     }
 
