--- a/daemon/src/main/java/org/bankturn/daemon/http/PooledHttpClient.java
+++ b/daemon/src/main/java/org/bankturn/daemon/http/PooledHttpClient.java
@@ -133,10 +133,10 @@
     private void rest(InetSocketAddress address, TargetConnection connection) {
         Deque<TargetConnection> kept = resting.computeIfAbsent(address, key -> new ArrayDeque<>());
         kept.add(connection);
-        long calls = connection.answers();
+        long calls = connection.responseCount();
         // the timer may fire a millisecond early by the clock, and the connection would then stay open for good
         reactor.delayBackground(REST_MILLIS, () -> {
-            boolean unused = connection.answers() == calls;
+            boolean unused = connection.responseCount() == calls;
             if (unused && kept.remove(connection)) {
                 connection.close();
             }
--- a/daemon/src/main/java/org/bankturn/daemon/http/TargetConnection.java
+++ b/daemon/src/main/java/org/bankturn/daemon/http/TargetConnection.java
@@ -35,7 +35,7 @@
     private final long openedMillis;
     private long restingSince;
     private long heardMillis;
-    private long answers;
+    private long responseCount;
     private long mostRestMillis = UNKNOWN_REST_MILLIS;
 
     /** Connects; the promise fails if that takes longer than {@code timeoutMillis}. */
@@ -79,12 +79,12 @@
 
     /** Returns true if it carried an answer before the request that is under way. */
     public boolean hasReceivedResponse() {
-        return answers > 0;
+        return responseCount > 0;
     }
 
     /** Returns how many whole answers it has carried. */
-    public long answers() {
-        return answers;
+    public long responseCount() {
+        return responseCount;
     }
 
     /** Returns true if the connection is no longer open. */
@@ -252,7 +252,7 @@
         ResponseListener waiting = listener;
         listener = null;
         restingSince = clock.millis();
-        answers++;
+        responseCount++;
         spoilt |= received.size() > 0 || writing;
         if (spoilt) {
             close();
