--- a/daemon/src/main/java/org/bankturn/daemon/gateway/StallDetector.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/StallDetector.java
@@ -137,7 +137,7 @@
                 .with(DecisionField.TARGET, targetId())
                 .with(DecisionField.REQUEST, request.metadata().id())
                 .with(DecisionField.KEPT, connection.hasReceivedResponse())
-                .with(DecisionField.SILENT_MS, now() - connection.heardMillis())
+                .with(DecisionField.SILENT_MS, now() - connection.lastReadMillis())
                 .write();
     }
 
--- a/daemon/src/main/java/org/bankturn/daemon/gateway/TargetConnectionPool.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/TargetConnectionPool.java
@@ -30,7 +30,7 @@
         while (!connections.isEmpty()) {
             TargetConnection connection = connections.pollLast();
             // other connections heard at the same time may have revealed that this one is dead
-            if (!connection.isUsable() || !connectionTrust.isReusable(connection.heardMillis())) {
+            if (!connection.isUsable() || !connectionTrust.isReusable(connection.lastReadMillis())) {
                 connection.close();
                 continue;
             }
--- a/daemon/src/main/java/org/bankturn/daemon/http/PooledHttpClient.java
+++ b/daemon/src/main/java/org/bankturn/daemon/http/PooledHttpClient.java
@@ -147,7 +147,7 @@
         Deque<TargetConnection> kept = resting.getOrDefault(address, new ArrayDeque<>());
         while (!kept.isEmpty()) {
             TargetConnection connection = kept.pollLast();
-            if (connection.isUsable() && trust.isReusable(connection.heardMillis())) {
+            if (connection.isUsable() && trust.isReusable(connection.lastReadMillis())) {
                 return connection;
             }
             connection.close();
@@ -197,7 +197,7 @@
             }
             observer.wentSilent(
                     new Address(address.getHostString(), address.getPort()),
-                    clock.millis() - connection.heardMillis(),
+                    clock.millis() - connection.lastReadMillis(),
                     true);
             trust.timedOut(sentMillis);
             connection.close();
--- a/daemon/src/main/java/org/bankturn/daemon/http/TargetConnection.java
+++ b/daemon/src/main/java/org/bankturn/daemon/http/TargetConnection.java
@@ -34,7 +34,7 @@
     private boolean ended;
     private final long openedMillis;
     private long restingSince;
-    private long heardMillis;
+    private long lastReadMillis;
     private long responseCount;
     private long mostRestMillis = UNKNOWN_REST_MILLIS;
 
@@ -54,7 +54,7 @@
         this.clock = clock;
         this.openedMillis = clock.millis();
         this.restingSince = openedMillis;
-        this.heardMillis = restingSince;
+        this.lastReadMillis = restingSince;
     }
 
     /** Returns true if a request may be sent now. */
@@ -73,8 +73,8 @@
     }
 
     /** Returns when something came on it last, or when it was opened. */
-    public long heardMillis() {
-        return heardMillis;
+    public long lastReadMillis() {
+        return lastReadMillis;
     }
 
     /** Returns true if it carried an answer before the request that is under way. */
@@ -136,7 +136,7 @@
                 endOfInput();
                 return;
             }
-            heardMillis = clock.millis();
+            lastReadMillis = clock.millis();
             received.add(bytes);
             takeAnswers();
             if (!ended) {
