--- a/daemon/src/main/java/org/bankturn/daemon/gateway/TargetConnectionPool.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/TargetConnectionPool.java
@@ -34,7 +34,7 @@
                 connection.close();
                 continue;
             }
-            if (nowMillis - connection.restingSince() <= maxIdleMillis) {
+            if (nowMillis - connection.idleSinceMillis() <= maxIdleMillis) {
                 return connection;
             }
             connections.addLast(connection);
--- a/daemon/src/main/java/org/bankturn/daemon/http/TargetConnection.java
+++ b/daemon/src/main/java/org/bankturn/daemon/http/TargetConnection.java
@@ -33,7 +33,7 @@
     private boolean spoilt;
     private boolean ended;
     private final long openedMillis;
-    private long restingSince;
+    private long idleSinceMillis;
     private long lastReadMillis;
     private long responseCount;
     private long mostRestMillis = UNKNOWN_REST_MILLIS;
@@ -53,18 +53,18 @@
         this.socket = socket;
         this.clock = clock;
         this.openedMillis = clock.millis();
-        this.restingSince = openedMillis;
-        this.lastReadMillis = restingSince;
+        this.idleSinceMillis = openedMillis;
+        this.lastReadMillis = idleSinceMillis;
     }
 
     /** Returns true if a request may be sent now. */
     public boolean isUsable() {
-        return !ended && !spoilt && listener == null && !writing && clock.millis() - restingSince < mostRestMillis;
+        return !ended && !spoilt && listener == null && !writing && clock.millis() - idleSinceMillis < mostRestMillis;
     }
 
     /** Returns since when no request was under way. */
-    public long restingSince() {
-        return restingSince;
+    public long idleSinceMillis() {
+        return idleSinceMillis;
     }
 
     /** Returns when it was opened. */
@@ -251,7 +251,7 @@
         }
         ResponseListener waiting = listener;
         listener = null;
-        restingSince = clock.millis();
+        idleSinceMillis = clock.millis();
         responseCount++;
         spoilt |= received.size() > 0 || writing;
         if (spoilt) {
