--- a/daemon/src/main/java/org/bankturn/daemon/http/TargetConnection.java
+++ b/daemon/src/main/java/org/bankturn/daemon/http/TargetConnection.java
@@ -88,7 +88,7 @@
     }
 
     /** Returns true if the connection is no longer open. */
-    public boolean hasEnded() {
+    public boolean isClosed() {
         return ended;
     }
 
