--- a/daemon/src/main/java/org/bankturn/daemon/gateway/Attempt.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/Attempt.java
@@ -303,7 +303,7 @@
         if (exchange.hasBegun()) {
             request.giveUp("resumed stream failed with status " + response.status());
         } else {
-            exchange.answer(responseHead.withoutConnectionFields(), content.toByteArray());
+            exchange.respond(responseHead.withoutConnectionFields(), content.toByteArray());
             request.onAnswered(response.status());
         }
     }
--- a/daemon/src/main/java/org/bankturn/daemon/gateway/ForwardedRequest.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/ForwardedRequest.java
@@ -168,7 +168,7 @@
     /** Refuses the request with a long retry delay. */
     private void refuseCondemned() {
         recordOutcome(RequestOutcome.REFUSED, TOO_MANY_REQUESTS, condemnedReason());
-        exchange.answer(
+        exchange.respond(
                 gateway.dialect().buildResponse(TOO_MANY_REQUESTS, metadata, RetryAfter.CONDEMNED_MILLIS), EMPTY_BODY);
     }
 
@@ -195,7 +195,7 @@
         boolean timeUp = gateway.policy().isDeadlineReached(progress);
         int status = !mayHaveRun ? 503 : timeUp ? 504 : 502;
         recordOutcome(mayHaveRun ? RequestOutcome.FAILED : RequestOutcome.REFUSED, status, reason);
-        exchange.answer(
+        exchange.respond(
                 gateway.dialect().buildResponse(status, metadata, mayHaveRun ? 0 : retryAfterMillis), EMPTY_BODY);
     }
 
--- a/daemon/src/main/java/org/bankturn/daemon/gateway/Gateway.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/Gateway.java
@@ -243,7 +243,7 @@
 
     private void answerReadiness(ServerExchange exchange) {
         boolean ready = !stopping && published.configuration() != null;
-        exchange.answer(HttpHead.answer(ready ? 200 : 503, List.of()), EMPTY_BODY);
+        exchange.respond(HttpHead.answer(ready ? 200 : 503, List.of()), EMPTY_BODY);
     }
 
     /** Handles a permit request from another gateway; returns the reply, not null. */
@@ -299,7 +299,7 @@
                 .write();
         RequestOutcome outcome = status == 503 ? RequestOutcome.REFUSED : RequestOutcome.DENIED;
         metrics.requestEnded(NO_SERVICE, outcome, clock.millis() - exchange.receivedMillis());
-        exchange.answer(dialect.buildResponse(status, metadata, status == 503 ? retryAfterMillis : 0), EMPTY_BODY);
+        exchange.respond(dialect.buildResponse(status, metadata, status == 503 ? retryAfterMillis : 0), EMPTY_BODY);
     }
 
     // ---- used by forwarded requests
--- a/daemon/src/main/java/org/bankturn/daemon/group/GroupNode.java
+++ b/daemon/src/main/java/org/bankturn/daemon/group/GroupNode.java
@@ -166,8 +166,7 @@
     private MemberState.Recovered openFolder() throws IOException {
         FileSystemDirectory device = FileSystemDirectory.open(Path.of(settings.dataFolder()));
         Optional<Long> storedIncarnation = RaftStorage.readIncarnation(device);
-        RaftStorage storage =
-                storedIncarnation.isPresent() ? RaftStorage.recover(device) : initializeFolder(device);
+        RaftStorage storage = storedIncarnation.isPresent() ? RaftStorage.recover(device) : initializeFolder(device);
         long incarnation = RaftStorage.readIncarnation(device).orElseThrow();
         RaftNode agreement = RaftNode.recover(
                 member(settings.nodeAddress(), incarnation),
@@ -226,7 +225,7 @@
             ControlAnswer sent =
                     failure == null ? answer : new ControlAnswer.Unavailable(String.valueOf(failure.getMessage()));
             record(call, sent, clock.millis() - exchange.receivedMillis());
-            exchange.answer(dialect.head(sent), dialect.body(sent));
+            exchange.respond(dialect.head(sent), dialect.body(sent));
         });
     }
 
--- a/daemon/src/main/java/org/bankturn/daemon/http/ServerExchange.java
+++ b/daemon/src/main/java/org/bankturn/daemon/http/ServerExchange.java
@@ -7,7 +7,7 @@
 /**
  * A request and the way back to its caller.
  *
- * <p>Answer with {@link #answer}, or with {@link #beginParts}, {@link #part} and {@link #endParts}. {@link #abort} closes
+ * <p>Answer with {@link #respond}, or with {@link #beginParts}, {@link #part} and {@link #endParts}. {@link #abort} closes
  * the connection so that what was sent cannot look whole. ServerExchange is confined to its reactor's thread.
  */
 public final class ServerExchange {
@@ -62,7 +62,7 @@
     }
 
     /** Sends a whole answer; fields of framing are set here. */
-    public void answer(HttpHead answer, byte[] content) {
+    public void respond(HttpHead answer, byte[] content) {
         if (finished || begun) {
             return;
         }
