--- a/daemon/src/main/java/org/bankturn/daemon/gateway/Attempt.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/Attempt.java
@@ -207,7 +207,7 @@
         }
         recordFirstEvent();
         if (!exchange.hasBegun()) {
-            exchange.beginParts(responseHead.withoutConnectionFields());
+            exchange.startChunkedResponse(responseHead.withoutConnectionFields());
         }
         exchange.part(event.bytes());
         request.recordEvent(event.id());
@@ -310,7 +310,7 @@
 
     private void endStream() {
         if (!exchange.hasBegun()) {
-            exchange.beginParts(responseHead.withoutConnectionFields());
+            exchange.startChunkedResponse(responseHead.withoutConnectionFields());
         }
         exchange.endParts();
         request.onAnswered(response.status());
--- a/daemon/src/main/java/org/bankturn/daemon/http/ServerExchange.java
+++ b/daemon/src/main/java/org/bankturn/daemon/http/ServerExchange.java
@@ -7,7 +7,7 @@
 /**
  * A request and the way back to its caller.
  *
- * <p>Answer with {@link #respond}, or with {@link #beginParts}, {@link #part} and {@link #endParts}. {@link #abort} closes
+ * <p>Answer with {@link #respond}, or with {@link #startChunkedResponse}, {@link #part} and {@link #endParts}. {@link #abort} closes
  * the connection so that what was sent cannot look whole. ServerExchange is confined to its reactor's thread.
  */
 public final class ServerExchange {
@@ -81,7 +81,7 @@
     }
 
     /** Sends the head of an answer whose end is not known yet. */
-    public void beginParts(HttpHead answer) {
+    public void startChunkedResponse(HttpHead answer) {
         if (finished || begun) {
             return;
         }
