--- a/daemon/src/main/java/org/bankturn/daemon/gateway/Attempt.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/Attempt.java
@@ -209,7 +209,7 @@
         if (!exchange.hasBegun()) {
             exchange.startChunkedResponse(responseHead.withoutConnectionFields());
         }
-        exchange.part(event.bytes());
+        exchange.writeChunk(event.bytes());
         request.recordEvent(event.id());
     }
 
--- a/daemon/src/main/java/org/bankturn/daemon/http/ServerExchange.java
+++ b/daemon/src/main/java/org/bankturn/daemon/http/ServerExchange.java
@@ -7,7 +7,7 @@
 /**
  * A request and the way back to its caller.
  *
- * <p>Answer with {@link #respond}, or with {@link #startChunkedResponse}, {@link #part} and {@link #endParts}. {@link #abort} closes
+ * <p>Answer with {@link #respond}, or with {@link #startChunkedResponse}, {@link #writeChunk} and {@link #endParts}. {@link #abort} closes
  * the connection so that what was sent cannot look whole. ServerExchange is confined to its reactor's thread.
  */
 public final class ServerExchange {
@@ -92,7 +92,7 @@
     }
 
     /** Sends a part of the answer. */
-    public void part(byte[] content) {
+    public void writeChunk(byte[] content) {
         if (finished || content.length == 0) {
             return;
         }
