--- a/daemon/src/main/java/org/bankturn/daemon/gateway/Attempt.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/Attempt.java
@@ -312,7 +312,7 @@
         if (!exchange.hasBegun()) {
             exchange.startChunkedResponse(responseHead.withoutConnectionFields());
         }
-        exchange.endParts();
+        exchange.endChunkedResponse();
         request.onAnswered(response.status());
     }
 
--- a/daemon/src/main/java/org/bankturn/daemon/http/ServerExchange.java
+++ b/daemon/src/main/java/org/bankturn/daemon/http/ServerExchange.java
@@ -7,7 +7,7 @@
 /**
  * A request and the way back to its caller.
  *
- * <p>Answer with {@link #respond}, or with {@link #startChunkedResponse}, {@link #writeChunk} and {@link #endParts}. {@link #abort} closes
+ * <p>Answer with {@link #respond}, or with {@link #startChunkedResponse}, {@link #writeChunk} and {@link #endChunkedResponse}. {@link #abort} closes
  * the connection so that what was sent cannot look whole. ServerExchange is confined to its reactor's thread.
  */
 public final class ServerExchange {
@@ -104,7 +104,7 @@
     }
 
     /** Ends the answer as whole. */
-    public void endParts() {
+    public void endChunkedResponse() {
         if (finished) {
             return;
         }
