--- a/daemon/src/main/java/org/bankturn/daemon/gateway/ForwardedRequest.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/ForwardedRequest.java
@@ -80,7 +80,7 @@
     private void startForwarding() {
         gateway.requestStarted(this);
         gateway.policy().arrived(progress);
-        exchange.whenGone(this::onCallerDisconnected);
+        exchange.onClientDisconnect(this::onCallerDisconnected);
         gateway.reactor().delayBackground(Math.max(1, endMillis - now()), this::onTimeout);
         sendToNext();
     }
--- a/daemon/src/main/java/org/bankturn/daemon/http/ServerExchange.java
+++ b/daemon/src/main/java/org/bankturn/daemon/http/ServerExchange.java
@@ -57,7 +57,7 @@
     }
 
     /** Sets what happens when the caller leaves before its answer is whole. */
-    public void whenGone(Runnable action) {
+    public void onClientDisconnect(Runnable action) {
         whenGone = action;
     }
 
