--- a/daemon/src/main/java/org/bankturn/daemon/gateway/Attempt.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/Attempt.java
@@ -206,7 +206,7 @@
             return;
         }
         recordFirstEvent();
-        if (!exchange.hasBegun()) {
+        if (!exchange.hasStartedResponse()) {
             exchange.startChunkedResponse(responseHead.withoutConnectionFields());
         }
         exchange.writeChunk(event.bytes());
@@ -300,7 +300,7 @@
 
     /** Forwards the response unchanged; gives up if part of a stream was already forwarded. */
     void forwardResponse() {
-        if (exchange.hasBegun()) {
+        if (exchange.hasStartedResponse()) {
             request.giveUp("resumed stream failed with status " + response.status());
         } else {
             exchange.respond(responseHead.withoutConnectionFields(), content.toByteArray());
@@ -309,7 +309,7 @@
     }
 
     private void endStream() {
-        if (!exchange.hasBegun()) {
+        if (!exchange.hasStartedResponse()) {
             exchange.startChunkedResponse(responseHead.withoutConnectionFields());
         }
         exchange.endChunkedResponse();
--- a/daemon/src/main/java/org/bankturn/daemon/gateway/ForwardedRequest.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/ForwardedRequest.java
@@ -157,7 +157,7 @@
             return;
         }
         gateway.metrics().suspected(ServingMetrics.SUSPECT_STOPPED);
-        if (exchange.hasBegun() || progress.mayHaveRun()) {
+        if (exchange.hasStartedResponse() || progress.mayHaveRun()) {
             giveUp(condemnedReason());
         } else {
             cancelAttempt();
@@ -186,7 +186,7 @@
         if (exchange.isFinished()) {
             return;
         }
-        if (exchange.hasBegun()) {
+        if (exchange.hasStartedResponse()) {
             recordOutcome(RequestOutcome.FAILED, 0, reason);
             exchange.abort();
             return;
@@ -351,8 +351,9 @@
 
     /** Handles a 5xx response: retries at another target if allowed, otherwise forwards the response. */
     void onFailureResponse(Attempt failed) {
-        Optional<NextStep.Send> alternative =
-                exchange.hasBegun() ? Optional.empty() : gateway.policy().retryAfterFailure(progress);
+        Optional<NextStep.Send> alternative = exchange.hasStartedResponse()
+                ? Optional.empty()
+                : gateway.policy().retryAfterFailure(progress);
         if (alternative.isEmpty()) {
             failed.forwardResponse();
             return;
--- a/daemon/src/main/java/org/bankturn/daemon/http/ServerExchange.java
+++ b/daemon/src/main/java/org/bankturn/daemon/http/ServerExchange.java
@@ -47,7 +47,7 @@
     }
 
     /** Returns true if a part of the answer was sent. */
-    public boolean hasBegun() {
+    public boolean hasStartedResponse() {
         return begun;
     }
 
