--- a/daemon/src/main/java/org/bankturn/daemon/http/ServerConnection.java
+++ b/daemon/src/main/java/org/bankturn/daemon/http/ServerConnection.java
@@ -94,7 +94,7 @@
         ServerExchange waiting = exchange;
         exchange = null;
         if (waiting != null) {
-            waiting.callerGone();
+            waiting.clientDisconnected();
         }
     }
 
--- a/daemon/src/main/java/org/bankturn/daemon/http/ServerExchange.java
+++ b/daemon/src/main/java/org/bankturn/daemon/http/ServerExchange.java
@@ -122,7 +122,7 @@
         connection.close();
     }
 
-    void callerGone() {
+    void clientDisconnected() {
         if (!finished) {
             finished = true;
             whenGone.run();
