--- a/daemon/src/main/java/org/bankturn/daemon/http/ServerConnection.java
+++ b/daemon/src/main/java/org/bankturn/daemon/http/ServerConnection.java
@@ -54,7 +54,7 @@
         return exchange != null || head != null || sending;
     }
 
-    boolean isClosing() {
+    boolean isDraining() {
         return listener.isDraining();
     }
 
--- a/daemon/src/main/java/org/bankturn/daemon/http/ServerExchange.java
+++ b/daemon/src/main/java/org/bankturn/daemon/http/ServerExchange.java
@@ -110,7 +110,7 @@
         }
         finished = true;
         connection.send(LAST_CHUNK);
-        connection.finish(this, keep && !connection.isClosing());
+        connection.finish(this, keep && !connection.isDraining());
     }
 
     /** Closes the connection, so that the answer cannot look whole. */
@@ -130,7 +130,7 @@
     }
 
     private boolean keepsConnection() {
-        return !connection.isClosing()
+        return !connection.isDraining()
                 && !head.fieldHolds("connection", "close")
                 && !head.third().equals("HTTP/1.0");
     }
