--- a/daemon/src/main/java/org/bankturn/daemon/http/HttpListener.java
+++ b/daemon/src/main/java/org/bankturn/daemon/http/HttpListener.java
@@ -72,7 +72,7 @@
 
     /** Closes connections that carry no request. */
     public void closeResting() {
-        Set.copyOf(connections).forEach(ServerConnection::closeIfResting);
+        Set.copyOf(connections).forEach(ServerConnection::closeIfIdle);
     }
 
     /** Returns the number of requests under way. */
--- a/daemon/src/main/java/org/bankturn/daemon/http/ServerConnection.java
+++ b/daemon/src/main/java/org/bankturn/daemon/http/ServerConnection.java
@@ -59,7 +59,7 @@
     }
 
     /** Closes a connection that has carried nothing for a moment; one that was just made may be about to. */
-    void closeIfResting() {
+    void closeIfIdle() {
         boolean rests = clock.millis() - quietSince >= REST_MILLIS;
         if (rests && !isBusy() && received.size() == 0) {
             close();
