--- a/daemon/src/main/java/org/bankturn/daemon/http/HttpListener.java
+++ b/daemon/src/main/java/org/bankturn/daemon/http/HttpListener.java
@@ -103,7 +103,7 @@
     private void sweepLater() {
         reactor.delayBackground(SWEEP_MILLIS, () -> {
             long now = clock.millis();
-            Set.copyOf(connections).forEach(connection -> connection.closeIfOverdue(now));
+            Set.copyOf(connections).forEach(connection -> connection.closeIfTimedOut(now));
             sweepLater();
         });
     }
--- a/daemon/src/main/java/org/bankturn/daemon/http/ServerConnection.java
+++ b/daemon/src/main/java/org/bankturn/daemon/http/ServerConnection.java
@@ -66,7 +66,7 @@
         }
     }
 
-    void closeIfOverdue(long now) {
+    void closeIfTimedOut(long now) {
         // an answer that is not taken would hold its memory, and a planned stop, for good
         if (sending && now - writingSince > limits.get().idleTimeoutMillis()) {
             close();
