--- a/daemon/src/main/java/org/bankturn/daemon/gateway/Gateway.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/Gateway.java
@@ -215,7 +215,7 @@
         boolean removedFromRotation = ShutdownSchedule.isTrafficDrained(waited);
         if (removedFromRotation) {
             outOfRotation = true;
-            callers.closeResting();
+            callers.closeIdle();
         }
         boolean done = removedFromRotation && callers.underWay() == 0;
         if (done || ShutdownSchedule.mustExit(waited, settings.stopTimeoutMillis())) {
--- a/daemon/src/main/java/org/bankturn/daemon/http/HttpListener.java
+++ b/daemon/src/main/java/org/bankturn/daemon/http/HttpListener.java
@@ -71,7 +71,7 @@
     }
 
     /** Closes connections that carry no request. */
-    public void closeResting() {
+    public void closeIdle() {
         Set.copyOf(connections).forEach(ServerConnection::closeIfIdle);
     }
 
