--- a/daemon/src/main/java/org/bankturn/daemon/gateway/Gateway.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/Gateway.java
@@ -217,11 +217,11 @@
             outOfRotation = true;
             callers.closeIdle();
         }
-        boolean done = removedFromRotation && callers.underWay() == 0;
+        boolean done = removedFromRotation && callers.activeRequests() == 0;
         if (done || ShutdownSchedule.mustExit(waited, settings.stopTimeoutMillis())) {
             log.line(DecisionKind.STOP)
                     .with(DecisionField.WAITED_MS, waited)
-                    .with(DecisionField.UNDER_WAY, callers.underWay())
+                    .with(DecisionField.UNDER_WAY, callers.activeRequests())
                     .write();
             callers.close();
             readiness.close();
--- a/daemon/src/main/java/org/bankturn/daemon/http/HttpListener.java
+++ b/daemon/src/main/java/org/bankturn/daemon/http/HttpListener.java
@@ -76,7 +76,7 @@
     }
 
     /** Returns the number of requests under way. */
-    public int underWay() {
+    public int activeRequests() {
         return (int) connections.stream().filter(ServerConnection::isBusy).count();
     }
 
--- a/daemon/src/test/java/org/bankturn/daemon/http/HttpListenerTest.java
+++ b/daemon/src/test/java/org/bankturn/daemon/http/HttpListenerTest.java
@@ -60,6 +60,6 @@
     }
 
     private static int underWay(Eventloop reactor, HttpListener listener) {
-        return reactor.submit(() -> Promise.of(listener.underWay())).join();
+        return reactor.submit(() -> Promise.of(listener.activeRequests())).join();
     }
 }
