--- a/daemon/src/main/java/org/bankturn/daemon/http/HttpListener.java
+++ b/daemon/src/main/java/org/bankturn/daemon/http/HttpListener.java
@@ -90,7 +90,7 @@
         return draining;
     }
 
-    void ended(ServerConnection connection) {
+    void connectionClosed(ServerConnection connection) {
         connections.remove(connection);
     }
 
--- a/daemon/src/main/java/org/bankturn/daemon/http/ServerConnection.java
+++ b/daemon/src/main/java/org/bankturn/daemon/http/ServerConnection.java
@@ -90,7 +90,7 @@
     }
 
     private void finishEnd() {
-        listener.ended(this);
+        listener.connectionClosed(this);
         ServerExchange waiting = exchange;
         exchange = null;
         if (waiting != null) {
