--- a/daemon/src/main/java/org/bankturn/daemon/http/ServerConnection.java
+++ b/daemon/src/main/java/org/bankturn/daemon/http/ServerConnection.java
@@ -148,7 +148,7 @@
     }
 
     private boolean takeHead() throws HttpFormatException {
-        head = HttpHeadParser.take(received, limits.get().mostHeadBytes());
+        head = HttpHeadParser.take(received, limits.get().maxHeadBytes());
         if (head == null) {
             return false;
         }
