--- a/daemon/src/main/java/org/bankturn/daemon/http/ServerConnection.java
+++ b/daemon/src/main/java/org/bankturn/daemon/http/ServerConnection.java
@@ -135,7 +135,7 @@
                 return;
             }
             bodyBytes.writeBytes(body.take(received));
-            if (bodyBytes.size() > limits.get().mostBodyBytes()) {
+            if (bodyBytes.size() > limits.get().maxBodyBytes()) {
                 refuse(413);
                 return;
             }
@@ -153,7 +153,7 @@
             return false;
         }
         body = BodyDecoder.ofRequest(head);
-        if (body.lengthLeft() > limits.get().mostBodyBytes()) {
+        if (body.lengthLeft() > limits.get().maxBodyBytes()) {
             refuse(413);
             return false;
         }
