--- a/daemon/src/main/java/org/bankturn/daemon/gateway/Gateway.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/Gateway.java
@@ -243,7 +243,7 @@
 
     private void answerReadiness(ServerExchange exchange) {
         boolean ready = !stopping && published.configuration() != null;
-        exchange.respond(HttpHead.answer(ready ? 200 : 503, List.of()), EMPTY_BODY);
+        exchange.respond(HttpHead.response(ready ? 200 : 503, List.of()), EMPTY_BODY);
     }
 
     /** Handles a permit request from another gateway; returns the reply, not null. */
--- a/daemon/src/main/java/org/bankturn/daemon/http/HttpHead.java
+++ b/daemon/src/main/java/org/bankturn/daemon/http/HttpHead.java
@@ -33,7 +33,7 @@
     }
 
     /** Returns the head of an answer, not null. */
-    public static HttpHead answer(int status, List<HttpField> fields) {
+    public static HttpHead response(int status, List<HttpField> fields) {
         return new HttpHead(VERSION, Integer.toString(status), reason(status), fields);
     }
 
--- a/daemon/src/main/java/org/bankturn/daemon/http/ServerConnection.java
+++ b/daemon/src/main/java/org/bankturn/daemon/http/ServerConnection.java
@@ -177,7 +177,7 @@
     private void refuse(int status) {
         head = null;
         closeWhenSent = true;
-        send(HttpHead.answer(
+        send(HttpHead.response(
                         status, List.of(new HttpField("Content-Length", "0"), new HttpField("Connection", "close")))
                 .encode());
     }
--- a/daemon/src/test/java/org/bankturn/daemon/gateway/PlainDialect.java
+++ b/daemon/src/test/java/org/bankturn/daemon/gateway/PlainDialect.java
@@ -55,7 +55,7 @@
 
     @Override
     public HttpHead buildResponse(int status, RequestMetadata metadata, long retryAfterMillis) {
-        return HttpHead.answer(
+        return HttpHead.response(
                 status,
                 retryAfterMillis > 0
                         ? List.of(new HttpField("Come-Back", Long.toString(retryAfterMillis)))
--- a/daemon/src/test/java/org/bankturn/daemon/group/PlainControlDialect.java
+++ b/daemon/src/test/java/org/bankturn/daemon/group/PlainControlDialect.java
@@ -34,7 +34,7 @@
     public HttpHead head(ControlAnswer answer) {
         int status =
                 answer instanceof ControlAnswer.Refused ? 400 : answer instanceof ControlAnswer.Unavailable ? 503 : 200;
-        return HttpHead.answer(status, List.of());
+        return HttpHead.response(status, List.of());
     }
 
     @Override
--- a/daemon/src/test/java/org/bankturn/daemon/http/HttpListenerTest.java
+++ b/daemon/src/test/java/org/bankturn/daemon/http/HttpListenerTest.java
@@ -34,7 +34,7 @@
         CountDownLatch answered = new CountDownLatch(1);
         HttpListener listener =
                 HttpListener.create(reactor, clock, address.toSocketAddress(), () -> ServerLimits.CONTROL, exchange -> {
-                    exchange.respond(HttpHead.answer(200, List.of()), new byte[MORE_THAN_LINKS_HOLD]);
+                    exchange.respond(HttpHead.response(200, List.of()), new byte[MORE_THAN_LINKS_HOLD]);
                     answered.countDown();
                 });
         reactor.keepAlive(true);
--- a/daemon/src/test/java/org/bankturn/daemon/weights/FetchSchedulerTest.java
+++ b/daemon/src/test/java/org/bankturn/daemon/weights/FetchSchedulerTest.java
@@ -92,7 +92,7 @@
 
     private void answer(int count) {
         for (int answered = 0; answered < count && !pendingCalls.isEmpty(); answered++) {
-            pendingCalls.poll().set(new PooledHttpClient.Response(HttpHead.answer(200, List.of()), new byte[] {1}));
+            pendingCalls.poll().set(new PooledHttpClient.Response(HttpHead.response(200, List.of()), new byte[] {1}));
         }
     }
 
--- a/daemon/src/test/java/org/bankturn/daemon/weights/ScriptedBox.java
+++ b/daemon/src/test/java/org/bankturn/daemon/weights/ScriptedBox.java
@@ -120,7 +120,7 @@
         } else {
             orders.add(new String(body, StandardCharsets.UTF_8));
         }
-        return Promise.of(new PooledHttpClient.Response(HttpHead.answer(200, List.of()), answer));
+        return Promise.of(new PooledHttpClient.Response(HttpHead.response(200, List.of()), answer));
     }
 
     @Override
--- a/daemon/src/test/java/org/bankturn/daemon/weights/ScriptedOrigin.java
+++ b/daemon/src/test/java/org/bankturn/daemon/weights/ScriptedOrigin.java
@@ -43,7 +43,7 @@
         }
         requests.add(head.second());
         byte[] body = head.second().equals("manifest") ? manifest() : pieceOrCorrupt(numberOf(head));
-        return Promise.of(new PooledHttpClient.Response(HttpHead.answer(200, List.of()), body));
+        return Promise.of(new PooledHttpClient.Response(HttpHead.response(200, List.of()), body));
     }
 
     static int numberOf(HttpHead head) {
