--- a/daemon/src/main/java/org/bankturn/daemon/http/HttpHead.java
+++ b/daemon/src/main/java/org/bankturn/daemon/http/HttpHead.java
@@ -82,7 +82,7 @@
     }
 
     /** Returns true if a field holds the word among its values, in any case. */
-    public boolean fieldHolds(String name, String word) {
+    public boolean fieldContains(String name, String word) {
         for (HttpField field : fields) {
             if (field.is(name) && field.value().toLowerCase(Locale.ROOT).contains(word)) {
                 return true;
--- a/daemon/src/main/java/org/bankturn/daemon/http/ServerConnection.java
+++ b/daemon/src/main/java/org/bankturn/daemon/http/ServerConnection.java
@@ -158,7 +158,7 @@
             return false;
         }
         bodyBytes = new ByteArrayOutputStream((int) Math.max(32, body.lengthLeft()));
-        if (head.fieldHolds("expect", "100-continue")) {
+        if (head.fieldContains("expect", "100-continue")) {
             send(CONTINUE);
         }
         return true;
--- a/daemon/src/main/java/org/bankturn/daemon/http/ServerExchange.java
+++ b/daemon/src/main/java/org/bankturn/daemon/http/ServerExchange.java
@@ -131,7 +131,7 @@
 
     private boolean keepsConnection() {
         return !connection.isDraining()
-                && !head.fieldHolds("connection", "close")
+                && !head.fieldContains("connection", "close")
                 && !head.third().equals("HTTP/1.0");
     }
 
--- a/daemon/src/main/java/org/bankturn/daemon/http/TargetConnection.java
+++ b/daemon/src/main/java/org/bankturn/daemon/http/TargetConnection.java
@@ -206,7 +206,7 @@
         }
         body = BodyDecoder.ofAnswer(head, bodiless);
         wanted = listener.onHead(head);
-        spoilt |= !wanted || head.fieldHolds("connection", "close");
+        spoilt |= !wanted || head.fieldContains("connection", "close");
         readKeepAlive(head.field("keep-alive"));
         if (body.isDone() && !ended) {
             answerEnded();
