--- a/daemon/src/main/java/org/bankturn/daemon/http/HttpHeadParser.java
+++ b/daemon/src/main/java/org/bankturn/daemon/http/HttpHeadParser.java
@@ -15,7 +15,7 @@
      * @return the head, null if it is not whole yet
      * @throws HttpFormatException if the bytes begin no head, or a larger one
      */
-    static HttpHead take(ByteQueue received, int mostBytes) throws HttpFormatException {
+    static HttpHead parseNext(ByteQueue received, int mostBytes) throws HttpFormatException {
         List<String> lines = new ArrayList<>();
         int position = 0;
         while (true) {
--- a/daemon/src/main/java/org/bankturn/daemon/http/ServerConnection.java
+++ b/daemon/src/main/java/org/bankturn/daemon/http/ServerConnection.java
@@ -148,7 +148,7 @@
     }
 
     private boolean takeHead() throws HttpFormatException {
-        head = HttpHeadParser.take(received, limits.get().maxHeadBytes());
+        head = HttpHeadParser.parseNext(received, limits.get().maxHeadBytes());
         if (head == null) {
             return false;
         }
--- a/daemon/src/main/java/org/bankturn/daemon/http/TargetConnection.java
+++ b/daemon/src/main/java/org/bankturn/daemon/http/TargetConnection.java
@@ -193,7 +193,7 @@
 
     /** Takes the next head; returns false if it is not whole yet. */
     private boolean takeHead() throws HttpFormatException {
-        HttpHead head = HttpHeadParser.take(received, MOST_HEAD_BYTES);
+        HttpHead head = HttpHeadParser.parseNext(received, MOST_HEAD_BYTES);
         if (head == null) {
             return false;
         }
