--- a/daemon/src/main/java/org/bankturn/daemon/http/BodyDecoder.java
+++ b/daemon/src/main/java/org/bankturn/daemon/http/BodyDecoder.java
@@ -27,7 +27,7 @@
     }
 
     /** Returns the decoder of an answer's body. */
-    static BodyDecoder ofAnswer(HttpHead head, boolean bodiless) throws HttpFormatException {
+    static BodyDecoder ofResponse(HttpHead head, boolean bodiless) throws HttpFormatException {
         int status = head.status();
         if (bodiless || status == 204 || status == 304) {
             return new BodyDecoder(State.DONE, 0);
--- a/daemon/src/main/java/org/bankturn/daemon/http/TargetConnection.java
+++ b/daemon/src/main/java/org/bankturn/daemon/http/TargetConnection.java
@@ -204,7 +204,7 @@
         if (status < 200) {
             return true;
         }
-        body = BodyDecoder.ofAnswer(head, bodiless);
+        body = BodyDecoder.ofResponse(head, bodiless);
         wanted = listener.onHead(head);
         spoilt |= !wanted || head.fieldContains("connection", "close");
         readKeepAlive(head.field("keep-alive"));
