--- a/daemon/src/main/java/org/bankturn/daemon/http/BodyDecoder.java
+++ b/daemon/src/main/java/org/bankturn/daemon/http/BodyDecoder.java
@@ -74,7 +74,7 @@
     }
 
     /** Returns true if a length was told, or chunks are, so that the end can be seen. */
-    long lengthLeft() {
+    long remainingLength() {
         return state == State.COUNTED ? left : -1;
     }
 
--- a/daemon/src/main/java/org/bankturn/daemon/http/ServerConnection.java
+++ b/daemon/src/main/java/org/bankturn/daemon/http/ServerConnection.java
@@ -153,11 +153,11 @@
             return false;
         }
         body = BodyDecoder.ofRequest(head);
-        if (body.lengthLeft() > limits.get().maxBodyBytes()) {
+        if (body.remainingLength() > limits.get().maxBodyBytes()) {
             refuse(413);
             return false;
         }
-        bodyBytes = new ByteArrayOutputStream((int) Math.max(32, body.lengthLeft()));
+        bodyBytes = new ByteArrayOutputStream((int) Math.max(32, body.remainingLength()));
         if (head.fieldContains("expect", "100-continue")) {
             send(CONTINUE);
         }
