--- a/daemon/src/main/java/org/bankturn/daemon/http/BodyDecoder.java
+++ b/daemon/src/main/java/org/bankturn/daemon/http/BodyDecoder.java
@@ -69,7 +69,7 @@
     }
 
     /** Returns true if the body ends with its connection. */
-    boolean endsWithConnection() {
+    boolean endsAtClose() {
         return state == State.UNTIL_CLOSE;
     }
 
--- a/daemon/src/main/java/org/bankturn/daemon/http/TargetConnection.java
+++ b/daemon/src/main/java/org/bankturn/daemon/http/TargetConnection.java
@@ -146,7 +146,7 @@
     }
 
     private void endOfInput() {
-        boolean whole = body != null && body.endsWithConnection();
+        boolean whole = body != null && body.endsAtClose();
         if (!whole) {
             end(TransportFailure.CLOSED);
             return;
