--- a/daemon/src/main/java/org/bankturn/daemon/http/BodyDecoder.java
+++ b/daemon/src/main/java/org/bankturn/daemon/http/BodyDecoder.java
@@ -79,7 +79,7 @@
     }
 
     /** Takes what there is of the body. */
-    byte[] take(ByteQueue received) throws HttpFormatException {
+    byte[] decode(ByteQueue received) throws HttpFormatException {
         if (state == State.UNTIL_CLOSE) {
             return received.take(received.size());
         }
--- a/daemon/src/main/java/org/bankturn/daemon/http/ServerConnection.java
+++ b/daemon/src/main/java/org/bankturn/daemon/http/ServerConnection.java
@@ -134,7 +134,7 @@
             if (head == null && !takeHead()) {
                 return;
             }
-            bodyBytes.writeBytes(body.take(received));
+            bodyBytes.writeBytes(body.decode(received));
             if (bodyBytes.size() > limits.get().maxBodyBytes()) {
                 refuse(413);
                 return;
--- a/daemon/src/main/java/org/bankturn/daemon/http/TargetConnection.java
+++ b/daemon/src/main/java/org/bankturn/daemon/http/TargetConnection.java
@@ -216,7 +216,7 @@
 
     /** Takes what there is of the body; returns false if more must come first. */
     private boolean takeBody() throws HttpFormatException {
-        byte[] part = body.take(received);
+        byte[] part = body.decode(received);
         boolean whole = body.isDone();
         if (wanted && part.length > 0) {
             listener.onBodyPart(part);
