--- a/daemon/src/main/java/org/bankturn/daemon/http/BodyDecoder.java
+++ b/daemon/src/main/java/org/bankturn/daemon/http/BodyDecoder.java
@@ -105,7 +105,7 @@
                 state = left == 0 ? State.CHUNK_END : state;
                 continue;
             }
-            int size = received.lineSize(0);
+            int size = received.endOfLine(0);
             if (size < 0) {
                 if (received.size() > MOST_LINE_BYTES) {
                     throw new HttpFormatException("chunk line too long");
--- a/daemon/src/main/java/org/bankturn/daemon/http/ByteQueue.java
+++ b/daemon/src/main/java/org/bankturn/daemon/http/ByteQueue.java
@@ -55,7 +55,7 @@
     }
 
     /** Returns the size up to and with the first line end, -1 if there is none yet. */
-    int lineSize(int from) {
+    int endOfLine(int from) {
         for (int position = start + from; position < end; position++) {
             if (bytes[position] == '\n') {
                 return position + 1 - start;
--- a/daemon/src/main/java/org/bankturn/daemon/http/HttpHeadParser.java
+++ b/daemon/src/main/java/org/bankturn/daemon/http/HttpHeadParser.java
@@ -19,7 +19,7 @@
         List<String> lines = new ArrayList<>();
         int position = 0;
         while (true) {
-            int size = received.lineSize(position);
+            int size = received.endOfLine(position);
             if (size < 0) {
                 if (received.size() > mostBytes) {
                     throw new HttpFormatException("head of more than " + mostBytes + " bytes");
