--- a/daemon/src/main/java/org/bankturn/daemon/http/BodyDecoder.java
+++ b/daemon/src/main/java/org/bankturn/daemon/http/BodyDecoder.java
@@ -5,11 +5,11 @@
 
 /** Takes one message's body out of received bytes, whatever its framing; mutable, confined to one thread. */
 final class BodyDecoder {
-    private static final int MOST_LINE_BYTES = 4_096;
-    private static final byte[] NOTHING = new byte[0];
+    private static final int MAX_LINE_BYTES = 4_096;
+    private static final byte[] EMPTY = new byte[0];
 
     private enum State {
-        COUNTED,
+        FIXED_LENGTH,
         CHUNK_SIZE,
         CHUNK_DATA,
         CHUNK_END,
@@ -19,7 +19,7 @@
     }
 
     private State state;
-    private long left;
+    private long remaining;
 
     /** Returns the decoder of a request's body. */
     static BodyDecoder ofRequest(HttpHead head) throws HttpFormatException {
@@ -45,7 +45,7 @@
             return new BodyDecoder(State.CHUNK_SIZE, 0);
         }
         if (head.field("content-length").isPresent()) {
-            long length = number(head.field("content-length").get(), 10);
+            long length = parseLength(head.field("content-length").get(), 10);
             long different = head.fields().stream()
                     .filter(field -> field.is("content-length"))
                     .map(HttpField::value)
@@ -54,14 +54,14 @@
             if (different > 1) {
                 throw new HttpFormatException("two lengths");
             }
-            return new BodyDecoder(length == 0 ? State.DONE : State.COUNTED, length);
+            return new BodyDecoder(length == 0 ? State.DONE : State.FIXED_LENGTH, length);
         }
         return new BodyDecoder(answer ? State.UNTIL_CLOSE : State.DONE, 0);
     }
 
     private BodyDecoder(State state, long left) {
         this.state = state;
-        this.left = left;
+        this.remaining = left;
     }
 
     boolean isDone() {
@@ -75,7 +75,7 @@
 
     /** Returns true if a length was told, or chunks are, so that the end can be seen. */
     long remainingLength() {
-        return state == State.COUNTED ? left : -1;
+        return state == State.FIXED_LENGTH ? remaining : -1;
     }
 
     /** Takes what there is of the body. */
@@ -83,47 +83,47 @@
         if (state == State.UNTIL_CLOSE) {
             return received.take(received.size());
         }
-        if (state == State.COUNTED) {
-            byte[] part = received.take((int) Math.min(left, received.size()));
-            left -= part.length;
-            state = left == 0 ? State.DONE : state;
+        if (state == State.FIXED_LENGTH) {
+            byte[] part = received.take((int) Math.min(remaining, received.size()));
+            remaining -= part.length;
+            state = remaining == 0 ? State.DONE : state;
             return part;
         }
-        return state == State.DONE ? NOTHING : takeChunks(received);
+        return state == State.DONE ? EMPTY : decodeChunks(received);
     }
 
-    private byte[] takeChunks(ByteQueue received) throws HttpFormatException {
+    private byte[] decodeChunks(ByteQueue received) throws HttpFormatException {
         ByteArrayOutputStream taken = new ByteArrayOutputStream();
         while (state != State.DONE) {
             if (state == State.CHUNK_DATA) {
                 if (received.size() == 0) {
                     break;
                 }
-                byte[] part = received.take((int) Math.min(left, received.size()));
+                byte[] part = received.take((int) Math.min(remaining, received.size()));
                 taken.writeBytes(part);
-                left -= part.length;
-                state = left == 0 ? State.CHUNK_END : state;
+                remaining -= part.length;
+                state = remaining == 0 ? State.CHUNK_END : state;
                 continue;
             }
             int size = received.endOfLine(0);
             if (size < 0) {
-                if (received.size() > MOST_LINE_BYTES) {
+                if (received.size() > MAX_LINE_BYTES) {
                     throw new HttpFormatException("chunk line too long");
                 }
                 break;
             }
             String line = received.text(0, size).trim();
             received.skip(size);
-            takeLine(line);
+            decodeLine(line);
         }
         return taken.toByteArray();
     }
 
-    private void takeLine(String line) throws HttpFormatException {
+    private void decodeLine(String line) throws HttpFormatException {
         if (state == State.CHUNK_SIZE) {
             int end = line.indexOf(';');
-            left = number((end < 0 ? line : line.substring(0, end)).trim(), 16);
-            state = left == 0 ? State.TRAILER : State.CHUNK_DATA;
+            remaining = parseLength((end < 0 ? line : line.substring(0, end)).trim(), 16);
+            state = remaining == 0 ? State.TRAILER : State.CHUNK_DATA;
         } else if (state == State.CHUNK_END) {
             if (!line.isEmpty()) {
                 throw new HttpFormatException("chunk longer than said");
@@ -134,7 +134,7 @@
         }
     }
 
-    private static long number(String text, int radix) throws HttpFormatException {
+    private static long parseLength(String text, int radix) throws HttpFormatException {
         try {
             if (text.isEmpty() || text.startsWith("+") || text.startsWith("-")) {
                 throw new HttpFormatException("no length: " + text);
--- a/daemon/src/main/java/org/bankturn/daemon/http/ByteQueue.java
+++ b/daemon/src/main/java/org/bankturn/daemon/http/ByteQueue.java
@@ -15,13 +15,13 @@
     /** Adds the buffer's bytes and recycles it. */
     void add(ByteBuf buffer) {
         int size = buffer.readRemaining();
-        makeRoom(size);
+        ensureCapacity(size);
         System.arraycopy(buffer.array(), buffer.head(), bytes, end, size);
         end += size;
         buffer.recycle();
     }
 
-    private void makeRoom(int size) {
+    private void ensureCapacity(int size) {
         if (bytes.length - end >= size) {
             return;
         }
--- a/daemon/src/main/java/org/bankturn/daemon/http/HttpHeadParser.java
+++ b/daemon/src/main/java/org/bankturn/daemon/http/HttpHeadParser.java
@@ -38,10 +38,10 @@
             lines.add(line);
         }
         received.skip(position);
-        return parse(lines);
+        return parseLines(lines);
     }
 
-    private static HttpHead parse(List<String> lines) throws HttpFormatException {
+    private static HttpHead parseLines(List<String> lines) throws HttpFormatException {
         String start = lines.get(0);
         int one = start.indexOf(' ');
         int two = one < 0 ? -1 : start.indexOf(' ', one + 1);
--- a/daemon/src/main/java/org/bankturn/daemon/http/HttpListener.java
+++ b/daemon/src/main/java/org/bankturn/daemon/http/HttpListener.java
@@ -16,7 +16,7 @@
  * <p>HttpListener is confined to its reactor's thread.
  */
 public final class HttpListener {
-    private static final long SWEEP_MILLIS = 500;
+    private static final long SWEEP_INTERVAL_MILLIS = 500;
 
     private final NioReactor reactor;
     private final Clock clock;
@@ -62,7 +62,7 @@
     /** Begins to listen. */
     public void listen() throws IOException {
         server.listen();
-        sweepLater();
+        scheduleSweep();
     }
 
     /** Ends every connection with the answer to the request that it carries, if any; new ones are still taken. */
@@ -100,11 +100,11 @@
         connection.start();
     }
 
-    private void sweepLater() {
-        reactor.delayBackground(SWEEP_MILLIS, () -> {
+    private void scheduleSweep() {
+        reactor.delayBackground(SWEEP_INTERVAL_MILLIS, () -> {
             long now = clock.millis();
             Set.copyOf(connections).forEach(connection -> connection.closeIfTimedOut(now));
-            sweepLater();
+            scheduleSweep();
         });
     }
 }
--- a/daemon/src/main/java/org/bankturn/daemon/http/PooledHttpClient.java
+++ b/daemon/src/main/java/org/bankturn/daemon/http/PooledHttpClient.java
@@ -21,18 +21,18 @@
  * <p>HttpCalls is confined to its reactor's thread.
  */
 public final class PooledHttpClient {
-    private static final long REST_MILLIS = 1_000;
+    private static final long MAX_IDLE_MILLIS = 1_000;
 
     /** A question to a process on the same box takes 1 to 20 ms; one that is asked twice does no harm. */
-    private static final long KEPT_SILENT_MILLIS = 250;
+    private static final long SILENCE_TIMEOUT_MILLIS = 250;
 
-    private static final byte[] NOTHING = new byte[0];
+    private static final byte[] EMPTY_BODY = new byte[0];
 
     private final NioReactor reactor;
     private final Clock clock;
     private final ConnectionObserver observer;
-    private final ConnectionReusePolicy trust;
-    private final Map<InetSocketAddress, Deque<TargetConnection>> resting = new HashMap<>();
+    private final ConnectionReusePolicy reusePolicy;
+    private final Map<InetSocketAddress, Deque<TargetConnection>> idleConnections = new HashMap<>();
 
     /**
      * A whole answer.
@@ -67,7 +67,7 @@
         this.reactor = reactor;
         this.clock = clock;
         this.observer = observer;
-        this.trust = ConnectionReusePolicy.of(clock, REST_MILLIS);
+        this.reusePolicy = ConnectionReusePolicy.of(clock, MAX_IDLE_MILLIS);
     }
 
     /**
@@ -95,9 +95,9 @@
      */
     public Promise<Response> call(
             InetSocketAddress address, HttpHead head, byte[] body, long connectMillis, long timeoutMillis) {
-        Call call = new Call(address, bytesOf(head, body));
+        Call call = new Call(address, encode(head, body));
         reactor.delayBackground(timeoutMillis, call::timeOut);
-        call.begin(takeRested(address), connectMillis);
+        call.start(takeIdle(address), connectMillis);
         return call.result;
     }
 
@@ -110,18 +110,18 @@
      * @return the answer; fails if there is no whole one in time
      */
     public Promise<Response> callIdempotent(InetSocketAddress address, HttpHead head, long timeoutMillis) {
-        Call call = new Call(address, bytesOf(head, NOTHING));
+        Call call = new Call(address, encode(head, EMPTY_BODY));
         reactor.delayBackground(timeoutMillis, call::timeOut);
-        TargetConnection rested = takeRested(address);
-        call.begin(rested, timeoutMillis);
+        TargetConnection rested = takeIdle(address);
+        call.start(rested, timeoutMillis);
         if (rested != null) {
             // without it an engine's load is not known until the call's time is over
-            reactor.delayBackground(KEPT_SILENT_MILLIS, () -> call.beginAgainIfSilent(timeoutMillis));
+            reactor.delayBackground(SILENCE_TIMEOUT_MILLIS, () -> call.retryIfSilent(timeoutMillis));
         }
         return call.result;
     }
 
-    private static byte[] bytesOf(HttpHead head, byte[] body) {
+    private static byte[] encode(HttpHead head, byte[] body) {
         HttpHead framed = head.with("Content-Length", Integer.toString(body.length));
         ByteArrayOutputStream bytes = new ByteArrayOutputStream(body.length + 256);
         bytes.writeBytes(framed.encode());
@@ -130,12 +130,12 @@
     }
 
     /** Keeps a connection for the next call, but not for long: a callee may take few, and counts those it lost as well. */
-    private void rest(InetSocketAddress address, TargetConnection connection) {
-        Deque<TargetConnection> kept = resting.computeIfAbsent(address, key -> new ArrayDeque<>());
+    private void keepIdle(InetSocketAddress address, TargetConnection connection) {
+        Deque<TargetConnection> kept = idleConnections.computeIfAbsent(address, key -> new ArrayDeque<>());
         kept.add(connection);
         long calls = connection.responseCount();
         // the timer may fire a millisecond early by the clock, and the connection would then stay open for good
-        reactor.delayBackground(REST_MILLIS, () -> {
+        reactor.delayBackground(MAX_IDLE_MILLIS, () -> {
             boolean unused = connection.responseCount() == calls;
             if (unused && kept.remove(connection)) {
                 connection.close();
@@ -143,11 +143,11 @@
         });
     }
 
-    private TargetConnection takeRested(InetSocketAddress address) {
-        Deque<TargetConnection> kept = resting.getOrDefault(address, new ArrayDeque<>());
+    private TargetConnection takeIdle(InetSocketAddress address) {
+        Deque<TargetConnection> kept = idleConnections.getOrDefault(address, new ArrayDeque<>());
         while (!kept.isEmpty()) {
             TargetConnection connection = kept.pollLast();
-            if (connection.isUsable() && trust.isReusable(connection.lastReadMillis())) {
+            if (connection.isUsable() && reusePolicy.isReusable(connection.lastReadMillis())) {
                 return connection;
             }
             connection.close();
@@ -161,7 +161,7 @@
         private final SettablePromise<Response> result = new SettablePromise<>();
         private final ByteArrayOutputStream content = new ByteArrayOutputStream();
         private TargetConnection connection;
-        private HttpHead answer;
+        private HttpHead responseHead;
         private long sentMillis;
 
         Call(InetSocketAddress address, byte[] request) {
@@ -170,7 +170,7 @@
         }
 
         /** Sends the request on a connection that rested, or on a new one if that is null. */
-        void begin(TargetConnection rested, long connectMillis) {
+        void start(TargetConnection rested, long connectMillis) {
             Promise<TargetConnection> connected = rested != null
                     ? Promise.of(rested)
                     : TargetConnection.connect(reactor, clock, address, connectMillis);
@@ -191,17 +191,17 @@
             opened.send(request, false, this);
         }
 
-        void beginAgainIfSilent(long connectMillis) {
-            if (result.isComplete() || answer != null) {
+        void retryIfSilent(long connectMillis) {
+            if (result.isComplete() || responseHead != null) {
                 return;
             }
             observer.wentSilent(
                     new Address(address.getHostString(), address.getPort()),
                     clock.millis() - connection.lastReadMillis(),
                     true);
-            trust.timedOut(sentMillis);
+            reusePolicy.timedOut(sentMillis);
             connection.close();
-            begin(null, connectMillis);
+            start(null, connectMillis);
         }
 
         void timeOut() {
@@ -212,7 +212,7 @@
 
         @Override
         public boolean onHead(HttpHead head) {
-            answer = head;
+            responseHead = head;
             return true;
         }
 
@@ -224,9 +224,9 @@
         @Override
         public void onComplete() {
             if (connection.isUsable()) {
-                rest(address, connection);
+                keepIdle(address, connection);
             }
-            result.trySet(new Response(answer, content.toByteArray()));
+            result.trySet(new Response(responseHead, content.toByteArray()));
         }
 
         @Override
--- a/daemon/src/main/java/org/bankturn/daemon/http/ServerConnection.java
+++ b/daemon/src/main/java/org/bankturn/daemon/http/ServerConnection.java
@@ -13,9 +13,9 @@
 
 /** One caller's connection: reads a request whole, waits for its answer, then takes the next; confined to one thread. */
 final class ServerConnection {
-    private static final long REST_MILLIS = 300;
+    private static final long MIN_IDLE_MILLIS = 300;
     private static final byte[] CONTINUE = "HTTP/1.1 100 Continue\r\n\r\n".getBytes(StandardCharsets.ISO_8859_1);
-    private static final int MOST_BYTES_AHEAD = 64 << 10;
+    private static final int MAX_PIPELINED_BYTES = 64 << 10;
 
     private final HttpListener listener;
     private final ITcpSocket socket;
@@ -23,18 +23,18 @@
     private final Supplier<ServerLimits> limits;
     private final HttpHandler handler;
     private final ByteQueue received = new ByteQueue();
-    private final Deque<byte[]> unsent = new ArrayDeque<>();
+    private final Deque<byte[]> sendQueue = new ArrayDeque<>();
     private HttpHead head;
     private BodyDecoder body;
     private ByteArrayOutputStream bodyBytes;
     private ServerExchange exchange;
-    private long quietSince;
-    private long requestSince;
-    private long writingSince;
+    private long idleSinceMillis;
+    private long requestStartMillis;
+    private long writeStartMillis;
     private boolean reading;
     private boolean sending;
     private boolean closeWhenSent;
-    private boolean ended;
+    private boolean closed;
 
     ServerConnection(
             HttpListener listener, ITcpSocket socket, Clock clock, Supplier<ServerLimits> limits, HttpHandler handler) {
@@ -43,7 +43,7 @@
         this.clock = clock;
         this.limits = limits;
         this.handler = handler;
-        this.quietSince = clock.millis();
+        this.idleSinceMillis = clock.millis();
     }
 
     void start() {
@@ -60,7 +60,7 @@
 
     /** Closes a connection that has carried nothing for a moment; one that was just made may be about to. */
     void closeIfIdle() {
-        boolean rests = clock.millis() - quietSince >= REST_MILLIS;
+        boolean rests = clock.millis() - idleSinceMillis >= MIN_IDLE_MILLIS;
         if (rests && !isBusy() && received.size() == 0) {
             close();
         }
@@ -68,28 +68,28 @@
 
     void closeIfTimedOut(long now) {
         // an answer that is not taken would hold its memory, and a planned stop, for good
-        if (sending && now - writingSince > limits.get().idleTimeoutMillis()) {
+        if (sending && now - writeStartMillis > limits.get().idleTimeoutMillis()) {
             close();
             return;
         }
         boolean waitsForRequest = exchange == null && !sending;
         boolean begun = head != null || received.size() > 0;
         long bound = begun ? 4 * limits.get().headTimeoutMillis() : limits.get().idleTimeoutMillis();
-        if (waitsForRequest && now - (begun ? requestSince : quietSince) > bound) {
+        if (waitsForRequest && now - (begun ? requestStartMillis : idleSinceMillis) > bound) {
             close();
         }
     }
 
     void close() {
-        if (ended) {
+        if (closed) {
             return;
         }
-        ended = true;
+        closed = true;
         socket.closeEx(new IOException("closed here"));
-        finishEnd();
+        notifyClosed();
     }
 
-    private void finishEnd() {
+    private void notifyClosed() {
         listener.connectionClosed(this);
         ServerExchange waiting = exchange;
         exchange = null;
@@ -101,13 +101,13 @@
     // ---- receiving
 
     private void readMore() {
-        if (reading || ended || (received.size() > MOST_BYTES_AHEAD && exchange != null)) {
+        if (reading || closed || (received.size() > MAX_PIPELINED_BYTES && exchange != null)) {
             return;
         }
         reading = true;
         socket.read().whenComplete((bytes, failure) -> {
             reading = false;
-            if (ended) {
+            if (closed) {
                 if (bytes != null) {
                     bytes.recycle();
                 }
@@ -118,43 +118,43 @@
                 return;
             }
             if (received.size() == 0 && head == null) {
-                requestSince = clock.millis();
+                requestStartMillis = clock.millis();
             }
             received.add(bytes);
-            takeRequest();
+            parseRequest();
             readMore();
         });
     }
 
-    private void takeRequest() {
-        if (exchange != null || ended || closeWhenSent) {
+    private void parseRequest() {
+        if (exchange != null || closed || closeWhenSent) {
             return;
         }
         try {
-            if (head == null && !takeHead()) {
+            if (head == null && !parseHead()) {
                 return;
             }
             bodyBytes.writeBytes(body.decode(received));
             if (bodyBytes.size() > limits.get().maxBodyBytes()) {
-                refuse(413);
+                reject(413);
                 return;
             }
             if (body.isDone()) {
-                handOver();
+                dispatch();
             }
         } catch (HttpFormatException e) {
-            refuse(400);
+            reject(400);
         }
     }
 
-    private boolean takeHead() throws HttpFormatException {
+    private boolean parseHead() throws HttpFormatException {
         head = HttpHeadParser.parseNext(received, limits.get().maxHeadBytes());
         if (head == null) {
             return false;
         }
         body = BodyDecoder.ofRequest(head);
         if (body.remainingLength() > limits.get().maxBodyBytes()) {
-            refuse(413);
+            reject(413);
             return false;
         }
         bodyBytes = new ByteArrayOutputStream((int) Math.max(32, body.remainingLength()));
@@ -164,7 +164,7 @@
         return true;
     }
 
-    private void handOver() {
+    private void dispatch() {
         HttpHead taken = head;
         byte[] content = bodyBytes.toByteArray();
         head = null;
@@ -174,7 +174,7 @@
         handler.handle(exchange);
     }
 
-    private void refuse(int status) {
+    private void reject(int status) {
         head = null;
         closeWhenSent = true;
         send(HttpHead.response(
@@ -185,11 +185,11 @@
     // ---- sending, for the exchange
 
     void send(byte[] bytes) {
-        if (ended) {
+        if (closed) {
             return;
         }
-        unsent.add(bytes);
-        sendMore();
+        sendQueue.add(bytes);
+        flush();
     }
 
     /** Ends the exchange; with {@code keep} false the connection closes once all is sent. */
@@ -198,36 +198,36 @@
             return;
         }
         exchange = null;
-        quietSince = clock.millis();
-        requestSince = quietSince;
+        idleSinceMillis = clock.millis();
+        requestStartMillis = idleSinceMillis;
         closeWhenSent = !keep;
-        sendMore();
-        if (keep && !ended) {
-            takeRequest();
+        flush();
+        if (keep && !closed) {
+            parseRequest();
             readMore();
         }
     }
 
-    private void sendMore() {
-        if (sending || ended) {
+    private void flush() {
+        if (sending || closed) {
             return;
         }
-        if (unsent.isEmpty()) {
+        if (sendQueue.isEmpty()) {
             if (closeWhenSent) {
                 socket.close();
-                ended = true;
-                finishEnd();
+                closed = true;
+                notifyClosed();
             }
             return;
         }
         sending = true;
-        writingSince = clock.millis();
-        socket.write(ByteBuf.wrapForReading(unsent.poll())).whenComplete((nothing, failure) -> {
+        writeStartMillis = clock.millis();
+        socket.write(ByteBuf.wrapForReading(sendQueue.poll())).whenComplete((nothing, failure) -> {
             sending = false;
             if (failure != null) {
                 close();
             } else {
-                sendMore();
+                flush();
             }
         });
     }
--- a/daemon/src/main/java/org/bankturn/daemon/http/ServerExchange.java
+++ b/daemon/src/main/java/org/bankturn/daemon/http/ServerExchange.java
@@ -11,7 +11,7 @@
  * the connection so that what was sent cannot look whole. ServerExchange is confined to its reactor's thread.
  */
 public final class ServerExchange {
-    private static final Set<String> FRAMING = Set.of("content-length", "transfer-encoding", "connection");
+    private static final Set<String> FRAMING_FIELDS = Set.of("content-length", "transfer-encoding", "connection");
     private static final byte[] LAST_CHUNK = "0\r\n\r\n".getBytes(StandardCharsets.ISO_8859_1);
     private static final byte[] LINE_END = {'\r', '\n'};
 
@@ -19,9 +19,9 @@
     private final HttpHead head;
     private final byte[] body;
     private final long receivedMillis;
-    private Runnable whenGone = () -> {};
-    private boolean begun;
-    private boolean keep;
+    private Runnable disconnectAction = () -> {};
+    private boolean started;
+    private boolean keepAlive;
     private boolean finished;
 
     ServerExchange(ServerConnection connection, HttpHead head, byte[] body, long receivedMillis) {
@@ -48,7 +48,7 @@
 
     /** Returns true if a part of the answer was sent. */
     public boolean hasStartedResponse() {
-        return begun;
+        return started;
     }
 
     /** Returns true if the answer was sent whole, was aborted, or the caller left. */
@@ -58,18 +58,18 @@
 
     /** Sets what happens when the caller leaves before its answer is whole. */
     public void onClientDisconnect(Runnable action) {
-        whenGone = action;
+        disconnectAction = action;
     }
 
     /** Sends a whole answer; fields of framing are set here. */
     public void respond(HttpHead answer, byte[] content) {
-        if (finished || begun) {
+        if (finished || started) {
             return;
         }
-        begun = true;
+        started = true;
         finished = true;
-        boolean keeps = keepsConnection();
-        HttpHead framed = framed(answer, keeps).with("Content-Length", Integer.toString(content.length));
+        boolean keeps = shouldKeepAlive();
+        HttpHead framed = withConnectionField(answer, keeps).with("Content-Length", Integer.toString(content.length));
         boolean bodiless = head.first().equals("HEAD");
         ByteArrayOutputStream bytes = new ByteArrayOutputStream(content.length + 256);
         bytes.writeBytes(framed.encode());
@@ -82,13 +82,14 @@
 
     /** Sends the head of an answer whose end is not known yet. */
     public void startChunkedResponse(HttpHead answer) {
-        if (finished || begun) {
+        if (finished || started) {
             return;
         }
-        begun = true;
-        keep = keepsConnection();
-        connection.send(
-                framed(answer, keep).with("Transfer-Encoding", "chunked").encode());
+        started = true;
+        keepAlive = shouldKeepAlive();
+        connection.send(withConnectionField(answer, keepAlive)
+                .with("Transfer-Encoding", "chunked")
+                .encode());
     }
 
     /** Sends a part of the answer. */
@@ -110,7 +111,7 @@
         }
         finished = true;
         connection.send(LAST_CHUNK);
-        connection.finish(this, keep && !connection.isDraining());
+        connection.finish(this, keepAlive && !connection.isDraining());
     }
 
     /** Closes the connection, so that the answer cannot look whole. */
@@ -125,18 +126,18 @@
     void clientDisconnected() {
         if (!finished) {
             finished = true;
-            whenGone.run();
+            disconnectAction.run();
         }
     }
 
-    private boolean keepsConnection() {
+    private boolean shouldKeepAlive() {
         return !connection.isDraining()
                 && !head.fieldContains("connection", "close")
                 && !head.third().equals("HTTP/1.0");
     }
 
-    private static HttpHead framed(HttpHead answer, boolean keeps) {
-        HttpHead plain = answer.without(FRAMING);
+    private static HttpHead withConnectionField(HttpHead answer, boolean keeps) {
+        HttpHead plain = answer.without(FRAMING_FIELDS);
         return keeps ? plain : plain.with("Connection", "close");
     }
 }
--- a/daemon/src/main/java/org/bankturn/daemon/http/TargetConnection.java
+++ b/daemon/src/main/java/org/bankturn/daemon/http/TargetConnection.java
@@ -18,25 +18,25 @@
  * TargetConnection is confined to its reactor's thread.
  */
 public final class TargetConnection {
-    private static final int MOST_HEAD_BYTES = 32 << 10;
-    private static final long UNKNOWN_REST_MILLIS = 4_000;
-    private static final long REST_MARGIN_MILLIS = 700;
+    private static final int MAX_HEAD_BYTES = 32 << 10;
+    private static final long DEFAULT_MAX_IDLE_MILLIS = 4_000;
+    private static final long IDLE_MARGIN_MILLIS = 700;
 
     private final ITcpSocket socket;
     private final Clock clock;
     private final ByteQueue received = new ByteQueue();
     private ResponseListener listener;
     private BodyDecoder body;
-    private boolean wanted;
-    private boolean bodiless;
+    private boolean accepted;
+    private boolean noResponseBody;
     private boolean writing;
-    private boolean spoilt;
-    private boolean ended;
+    private boolean notReusable;
+    private boolean closed;
     private final long openedMillis;
     private long idleSinceMillis;
     private long lastReadMillis;
     private long responseCount;
-    private long mostRestMillis = UNKNOWN_REST_MILLIS;
+    private long maxIdleMillis = DEFAULT_MAX_IDLE_MILLIS;
 
     /** Connects; the promise fails if that takes longer than {@code timeoutMillis}. */
     public static Promise<TargetConnection> connect(
@@ -59,7 +59,11 @@
 
     /** Returns true if a request may be sent now. */
     public boolean isUsable() {
-        return !ended && !spoilt && listener == null && !writing && clock.millis() - idleSinceMillis < mostRestMillis;
+        return !closed
+                && !notReusable
+                && listener == null
+                && !writing
+                && clock.millis() - idleSinceMillis < maxIdleMillis;
     }
 
     /** Returns since when no request was under way. */
@@ -89,7 +93,7 @@
 
     /** Returns true if the connection is no longer open. */
     public boolean isClosed() {
-        return ended;
+        return closed;
     }
 
     /**
@@ -101,12 +105,12 @@
      */
     public void send(byte[] request, boolean expectsNoBody, ResponseListener answers) {
         listener = answers;
-        bodiless = expectsNoBody;
+        noResponseBody = expectsNoBody;
         writing = true;
         socket.write(ByteBuf.wrapForReading(request)).whenComplete((nothing, failure) -> {
             writing = false;
             if (failure != null) {
-                end(TransportFailure.RESET);
+                fail(TransportFailure.RESET);
             }
         });
     }
@@ -114,22 +118,22 @@
     /** Closes the connection; the listener hears nothing more. */
     public void close() {
         listener = null;
-        if (!ended) {
-            ended = true;
+        if (!closed) {
+            closed = true;
             socket.closeEx(new IOException("closed here"));
         }
     }
 
     private void readMore() {
         socket.read().whenComplete((bytes, failure) -> {
-            if (ended) {
+            if (closed) {
                 if (bytes != null) {
                     bytes.recycle();
                 }
                 return;
             }
             if (failure != null) {
-                end(TransportFailure.RESET);
+                fail(TransportFailure.RESET);
                 return;
             }
             if (bytes == null) {
@@ -138,8 +142,8 @@
             }
             lastReadMillis = clock.millis();
             received.add(bytes);
-            takeAnswers();
-            if (!ended) {
+            parseResponses();
+            if (!closed) {
                 readMore();
             }
         });
@@ -148,11 +152,11 @@
     private void endOfInput() {
         boolean whole = body != null && body.endsAtClose();
         if (!whole) {
-            end(TransportFailure.CLOSED);
+            fail(TransportFailure.CLOSED);
             return;
         }
         ResponseListener waiting = listener;
-        boolean answered = wanted;
+        boolean answered = accepted;
         close();
         if (waiting == null) {
             return;
@@ -164,7 +168,7 @@
         }
     }
 
-    private void end(TransportFailure failure) {
+    private void fail(TransportFailure failure) {
         ResponseListener waiting = listener;
         close();
         if (waiting != null) {
@@ -172,28 +176,28 @@
         }
     }
 
-    private void takeAnswers() {
+    private void parseResponses() {
         try {
-            while (!ended && received.size() > 0) {
+            while (!closed && received.size() > 0) {
                 if (listener == null) {
                     close();
                     return;
                 }
-                if (body == null && !takeHead()) {
+                if (body == null && !parseHead()) {
                     return;
                 }
-                if (body != null && !ended && !takeBody()) {
+                if (body != null && !closed && !decodeBody()) {
                     return;
                 }
             }
         } catch (HttpFormatException e) {
-            end(TransportFailure.MALFORMED);
+            fail(TransportFailure.MALFORMED);
         }
     }
 
     /** Takes the next head; returns false if it is not whole yet. */
-    private boolean takeHead() throws HttpFormatException {
-        HttpHead head = HttpHeadParser.parseNext(received, MOST_HEAD_BYTES);
+    private boolean parseHead() throws HttpFormatException {
+        HttpHead head = HttpHeadParser.parseNext(received, MAX_HEAD_BYTES);
         if (head == null) {
             return false;
         }
@@ -204,25 +208,25 @@
         if (status < 200) {
             return true;
         }
-        body = BodyDecoder.ofResponse(head, bodiless);
-        wanted = listener.onHead(head);
-        spoilt |= !wanted || head.fieldContains("connection", "close");
+        body = BodyDecoder.ofResponse(head, noResponseBody);
+        accepted = listener.onHead(head);
+        notReusable |= !accepted || head.fieldContains("connection", "close");
         readKeepAlive(head.field("keep-alive"));
-        if (body.isDone() && !ended) {
-            answerEnded();
+        if (body.isDone() && !closed) {
+            responseComplete();
         }
         return true;
     }
 
     /** Takes what there is of the body; returns false if more must come first. */
-    private boolean takeBody() throws HttpFormatException {
+    private boolean decodeBody() throws HttpFormatException {
         byte[] part = body.decode(received);
         boolean whole = body.isDone();
-        if (wanted && part.length > 0) {
+        if (accepted && part.length > 0) {
             listener.onBodyPart(part);
         }
-        if (whole && !ended) {
-            answerEnded();
+        if (whole && !closed) {
+            responseComplete();
         }
         return whole;
     }
@@ -235,26 +239,25 @@
             String trimmed = part.trim();
             if (trimmed.startsWith("timeout=")) {
                 try {
-                    mostRestMillis =
-                            Long.parseLong(trimmed.substring("timeout=".length())) * 1_000 - REST_MARGIN_MILLIS;
+                    maxIdleMillis = Long.parseLong(trimmed.substring("timeout=".length())) * 1_000 - IDLE_MARGIN_MILLIS;
                 } catch (NumberFormatException e) {
-                    spoilt = true;
+                    notReusable = true;
                 }
             }
         }
     }
 
-    private void answerEnded() {
+    private void responseComplete() {
         body = null;
-        if (!wanted) {
+        if (!accepted) {
             return;
         }
         ResponseListener waiting = listener;
         listener = null;
         idleSinceMillis = clock.millis();
         responseCount++;
-        spoilt |= received.size() > 0 || writing;
-        if (spoilt) {
+        notReusable |= received.size() > 0 || writing;
+        if (notReusable) {
             close();
         }
         waiting.onComplete();
--- a/daemon/src/main/java/org/bankturn/daemon/http/TransportFailure.java
+++ b/daemon/src/main/java/org/bankturn/daemon/http/TransportFailure.java
@@ -11,14 +11,14 @@
     /** What came back is no answer. */
     MALFORMED(false);
 
-    private final boolean surelyNotSent;
+    private final boolean definitelyUnsent;
 
     TransportFailure(boolean surelyNotSent) {
-        this.surelyNotSent = surelyNotSent;
+        this.definitelyUnsent = surelyNotSent;
     }
 
     /** Returns true if no byte of the request left. */
     public boolean isDefinitelyUnsent() {
-        return surelyNotSent;
+        return definitelyUnsent;
     }
 }
