--- a/daemon/src/test/java/org/bankturn/daemon/http/HttpCallsTest.java
+++ b/daemon/src/test/java/org/bankturn/daemon/http/PooledHttpClientTest.java
@@ -20,7 +20,7 @@
 import org.junit.jupiter.api.Timeout;
 
 @Timeout(30)
-class HttpCallsTest {
+class PooledHttpClientTest {
     private static final int LONGER_THAN_ANY_REST_MILLIS = 10_000;
 
     /** A callee that takes few connections counts those that rest; after a loss of power they crowd out new ones. */
