--- a/daemon/src/test/java/org/bankturn/daemon/http/HttpListenerTest.java
+++ b/daemon/src/test/java/org/bankturn/daemon/http/HttpListenerTest.java
@@ -17,9 +17,9 @@
 
 @Timeout(20)
 class HttpListenerTest {
-    private static final int WAITS = 100;
-    private static final long WAIT_MILLIS = 50;
-    private static final int MORE_THAN_LINKS_HOLD = 64 << 20;
+    private static final int MAX_POLLS = 100;
+    private static final long POLL_MILLIS = 50;
+    private static final int LARGER_THAN_SOCKET_BUFFERS = 64 << 20;
 
     /**
      * A caller whose connection went silent takes nothing any more, and its end never comes. The connection counted as busy
@@ -27,14 +27,14 @@
      * it until its time was up.
      */
     @Test
-    void a_caller_that_takes_nothing_of_its_answer_any_more_is_given_up() throws Exception {
+    void a_connection_whose_client_stops_reading_is_closed() throws Exception {
         Eventloop reactor = Eventloop.builder().withThreadName("listener-test").build();
         ManualClock clock = ManualClock.startingAt(1_000_000);
         Address address = FreeAddresses.next();
         CountDownLatch answered = new CountDownLatch(1);
         HttpListener listener =
                 HttpListener.create(reactor, clock, address.toSocketAddress(), () -> ServerLimits.CONTROL, exchange -> {
-                    exchange.respond(HttpHead.response(200, List.of()), new byte[MORE_THAN_LINKS_HOLD]);
+                    exchange.respond(HttpHead.response(200, List.of()), new byte[LARGER_THAN_SOCKET_BUFFERS]);
                     answered.countDown();
                 });
         reactor.keepAlive(true);
@@ -47,19 +47,19 @@
         try (Socket silent = new Socket(address.host(), address.port())) {
             silent.getOutputStream().write("GET /x HTTP/1.1\r\nHost: h\r\n\r\n".getBytes(StandardCharsets.ISO_8859_1));
             assertThat(answered.await(10, TimeUnit.SECONDS)).isTrue();
-            assertThat(underWay(reactor, listener)).isEqualTo(1);
-            for (int wait = 0; wait < WAITS && underWay(reactor, listener) > 0; wait++) {
+            assertThat(activeRequests(reactor, listener)).isEqualTo(1);
+            for (int wait = 0; wait < MAX_POLLS && activeRequests(reactor, listener) > 0; wait++) {
                 clock.advance(ServerLimits.CONTROL.idleTimeoutMillis());
-                Thread.sleep(WAIT_MILLIS);
+                Thread.sleep(POLL_MILLIS);
             }
-            assertThat(underWay(reactor, listener)).isZero();
+            assertThat(activeRequests(reactor, listener)).isZero();
         } finally {
             reactor.keepAlive(false);
             reactor.breakEventloop();
         }
     }
 
-    private static int underWay(Eventloop reactor, HttpListener listener) {
+    private static int activeRequests(Eventloop reactor, HttpListener listener) {
         return reactor.submit(() -> Promise.of(listener.activeRequests())).join();
     }
 }
--- a/daemon/src/test/java/org/bankturn/daemon/http/PooledHttpClientTest.java
+++ b/daemon/src/test/java/org/bankturn/daemon/http/PooledHttpClientTest.java
@@ -21,12 +21,12 @@
 
 @Timeout(30)
 class PooledHttpClientTest {
-    private static final int LONGER_THAN_ANY_REST_MILLIS = 10_000;
+    private static final int READ_TIMEOUT_MILLIS = 10_000;
 
     /** A callee that takes few connections counts those that rest; after a loss of power they crowd out new ones. */
     @Test
-    void a_connection_that_is_not_used_again_soon_is_closed() throws Exception {
-        assertThat(isClosedAfterRest(Clock.system())).isTrue();
+    void an_idle_connection_is_closed() throws Exception {
+        assertThat(isClosedWhenIdle(Clock.system())).isTrue();
     }
 
     /**
@@ -35,12 +35,12 @@
      * passed and the connection stayed open for good; the test above once waited for its end for three minutes.
      */
     @Test
-    void a_connection_is_closed_after_its_rest_although_the_clock_is_behind_the_timer() throws Exception {
-        assertThat(isClosedAfterRest(ManualClock.startingAt(1_000_000))).isTrue();
+    void an_idle_connection_is_closed_when_the_clock_lags_the_timer() throws Exception {
+        assertThat(isClosedWhenIdle(ManualClock.startingAt(1_000_000))).isTrue();
     }
 
     /** Makes a call, and tells whether its connection ends within a time that is far longer than its rest. */
-    private static boolean isClosedAfterRest(Clock clock) throws Exception {
+    private static boolean isClosedWhenIdle(Clock clock) throws Exception {
         Eventloop reactor = Eventloop.builder().withThreadName("calls-test").build();
         reactor.keepAlive(true);
         new Thread(reactor, "calls-test").start();
@@ -52,14 +52,14 @@
                     new byte[0],
                     5_000));
             try (Socket socket = server.accept()) {
-                socket.setSoTimeout(LONGER_THAN_ANY_REST_MILLIS);
+                socket.setSoTimeout(READ_TIMEOUT_MILLIS);
                 BufferedReader input =
                         new BufferedReader(new InputStreamReader(socket.getInputStream(), StandardCharsets.ISO_8859_1));
                 readHead(input);
                 socket.getOutputStream()
                         .write("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok".getBytes(StandardCharsets.ISO_8859_1));
                 assertThat(answer.join().body()).asString().isEqualTo("ok");
-                return endsWithoutMore(input);
+                return reachesEndOfStream(input);
             }
         } finally {
             reactor.keepAlive(false);
@@ -75,7 +75,7 @@
     }
 
     /** Reads until the other side closes, by an end or a reset. */
-    private static boolean endsWithoutMore(BufferedReader input) {
+    private static boolean reachesEndOfStream(BufferedReader input) {
         try {
             return input.read() < 0;
         } catch (SocketTimeoutException e) {
