--- a/daemon/src/main/java/org/bankturn/daemon/http/PooledHttpClient.java
+++ b/daemon/src/main/java/org/bankturn/daemon/http/PooledHttpClient.java
@@ -195,7 +195,7 @@
             if (result.isComplete() || responseHead != null) {
                 return;
             }
-            observer.wentSilent(
+            observer.onSilentConnection(
                     new Address(address.getHostString(), address.getPort()),
                     clock.millis() - connection.lastReadMillis(),
                     true);
--- a/daemon/src/main/java/org/bankturn/daemon/observe/SilentConnections.java
+++ b/daemon/src/main/java/org/bankturn/daemon/observe/SilentConnections.java
@@ -30,7 +30,7 @@
     }
 
     @Override
-    public void wentSilent(Address address, long silentMillis, boolean kept) {
+    public void onSilentConnection(Address address, long silentMillis, boolean kept) {
         metrics.connectionSilent(peer);
         log.line(DecisionKind.LOST)
                 .with(DecisionField.DEPENDENCY, "connection")
--- a/daemon/src/main/java/org/bankturn/daemon/wire/ConnectionObserver.java
+++ b/daemon/src/main/java/org/bankturn/daemon/wire/ConnectionObserver.java
@@ -15,5 +15,5 @@
      * @param silentMillis for how long nothing came on it, in milliseconds
      * @param kept true if something had come on it before, so that it was open and well once
      */
-    void wentSilent(Address address, long silentMillis, boolean kept);
+    void onSilentConnection(Address address, long silentMillis, boolean kept);
 }
--- a/daemon/src/main/java/org/bankturn/daemon/wire/NodeClient.java
+++ b/daemon/src/main/java/org/bankturn/daemon/wire/NodeClient.java
@@ -102,7 +102,7 @@
             return;
         }
         boolean kept = used.reads() > 0;
-        observer.wentSilent(address, silentMillis, kept);
+        observer.onSilentConnection(address, silentMillis, kept);
         if (kept) {
             // found out one by one, silent connections to control processes would cost their time-outs in turn
             trust.timedOut(clock.millis() - timeoutMillis / 2);
