--- a/daemon/src/main/java/org/bankturn/daemon/wire/FrameChannel.java
+++ b/daemon/src/main/java/org/bankturn/daemon/wire/FrameChannel.java
@@ -25,7 +25,7 @@
     private final ByteBufs received = new ByteBufs();
     private final Deque<ByteBuf> unsent = new ArrayDeque<>();
     private final Clock clock;
-    private long reads;
+    private long readCount;
     private long heardMillis;
     private boolean sending;
     private boolean ended;
@@ -56,8 +56,8 @@
     }
 
     /** Returns how often bytes were read. */
-    long reads() {
-        return reads;
+    long readCount() {
+        return readCount;
     }
 
     /** Returns when bytes were read last, or when the connection was opened. */
@@ -106,7 +106,7 @@
                 bytes.recycle();
                 return;
             }
-            reads++;
+            readCount++;
             heardMillis = clock.millis();
             received.add(bytes);
             takeFrames();
--- a/daemon/src/main/java/org/bankturn/daemon/wire/NodeClient.java
+++ b/daemon/src/main/java/org/bankturn/daemon/wire/NodeClient.java
@@ -101,7 +101,7 @@
         if (silentMillis < timeoutMillis / 2) {
             return;
         }
-        boolean kept = used.reads() > 0;
+        boolean kept = used.readCount() > 0;
         observer.onSilentConnection(address, silentMillis, kept);
         if (kept) {
             // found out one by one, silent connections to control processes would cost their time-outs in turn
