--- a/daemon/src/main/java/org/bankturn/daemon/wire/FrameChannel.java
+++ b/daemon/src/main/java/org/bankturn/daemon/wire/FrameChannel.java
@@ -26,14 +26,14 @@
     private final Deque<ByteBuf> unsent = new ArrayDeque<>();
     private final Clock clock;
     private long readCount;
-    private long heardMillis;
+    private long lastReadMillis;
     private boolean sending;
     private boolean ended;
 
     FrameChannel(ITcpSocket socket, Clock clock, Consumer<Frame> receiver, Consumer<Exception> closed) {
         this.socket = socket;
         this.clock = clock;
-        this.heardMillis = clock.millis();
+        this.lastReadMillis = clock.millis();
         this.receiver = receiver;
         this.closed = closed;
     }
@@ -61,8 +61,8 @@
     }
 
     /** Returns when bytes were read last, or when the connection was opened. */
-    long heardMillis() {
-        return heardMillis;
+    long lastReadMillis() {
+        return lastReadMillis;
     }
 
     /** Returns true if it is no longer open. */
@@ -107,7 +107,7 @@
                 return;
             }
             readCount++;
-            heardMillis = clock.millis();
+            lastReadMillis = clock.millis();
             received.add(bytes);
             takeFrames();
             if (!ended) {
--- a/daemon/src/main/java/org/bankturn/daemon/wire/NodeClient.java
+++ b/daemon/src/main/java/org/bankturn/daemon/wire/NodeClient.java
@@ -97,7 +97,7 @@
             return;
         }
         retire(used);
-        long silentMillis = clock.millis() - used.heardMillis();
+        long silentMillis = clock.millis() - used.lastReadMillis();
         if (silentMillis < timeoutMillis / 2) {
             return;
         }
@@ -122,7 +122,7 @@
     }
 
     private Promise<FrameChannel> connected() {
-        if (channel != null && !trust.isReusable(channel.heardMillis())) {
+        if (channel != null && !trust.isReusable(channel.lastReadMillis())) {
             retire(channel);
         }
         if (channel != null) {
--- a/daemon/src/main/java/org/bankturn/daemon/wire/NodeServer.java
+++ b/daemon/src/main/java/org/bankturn/daemon/wire/NodeServer.java
@@ -89,7 +89,7 @@
         reactor.delayBackground(SWEEP_MILLIS, () -> {
             long longAgo = clock.millis() - MOST_SILENT_MILLIS;
             List<FrameChannel> silent = channels.stream()
-                    .filter(channel -> channel.heardMillis() < longAgo)
+                    .filter(channel -> channel.lastReadMillis() < longAgo)
                     .toList();
             silent.forEach(channel -> channel.close(new IOException("silent for long")));
             sweepLater();
