--- a/daemon/src/main/java/org/bankturn/daemon/wire/FrameChannel.java
+++ b/daemon/src/main/java/org/bankturn/daemon/wire/FrameChannel.java
@@ -66,7 +66,7 @@
     }
 
     /** Returns true if it is no longer open. */
-    boolean hasEnded() {
+    boolean isClosed() {
         return ended;
     }
 
--- a/daemon/src/main/java/org/bankturn/daemon/wire/NodeClient.java
+++ b/daemon/src/main/java/org/bankturn/daemon/wire/NodeClient.java
@@ -93,7 +93,7 @@
 
     private void ranOutOfTime(Question question, long timeoutMillis) {
         FrameChannel used = question.sentOn;
-        if (used == null || used.hasEnded()) {
+        if (used == null || used.isClosed()) {
             return;
         }
         retire(used);
