--- a/daemon/src/main/java/org/bankturn/daemon/gateway/Gateway.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/Gateway.java
@@ -121,7 +121,7 @@
         this.log = log;
         this.metrics = metrics;
         this.startedMillis = clock.millis();
-        this.connectionTrust = clients.trust();
+        this.connectionTrust = clients.reusePolicy();
         this.connections = new TargetConnectionPool(connectionTrust);
         UniformRandomProvider random = RandomSource.XO_RO_SHI_RO_128_PP.create();
         this.targets = TargetTable.of(clock, settings.dataHall(), PlacementSettings.DEFAULT, random);
--- a/daemon/src/main/java/org/bankturn/daemon/group/GroupNode.java
+++ b/daemon/src/main/java/org/bankturn/daemon/group/GroupNode.java
@@ -213,7 +213,7 @@
     }
 
     private void replaceSilentConnections(long heardMillis) {
-        reactor.execute(() -> clients.trust().timedOut(heardMillis));
+        reactor.execute(() -> clients.reusePolicy().timedOut(heardMillis));
     }
 
     // ---- requests of operators and targets
--- a/daemon/src/main/java/org/bankturn/daemon/wire/NodeClients.java
+++ b/daemon/src/main/java/org/bankturn/daemon/wire/NodeClients.java
@@ -23,7 +23,7 @@
     private final NioReactor reactor;
     private final Clock clock;
     private final ConnectionObserver observer;
-    private final ConnectionReusePolicy trust;
+    private final ConnectionReusePolicy reusePolicy;
     private final Map<Address, NodeClient> clients = new HashMap<>();
 
     /**
@@ -52,7 +52,7 @@
         this.reactor = reactor;
         this.clock = clock;
         this.observer = observer;
-        this.trust = ConnectionReusePolicy.of(clock, MOST_REST_MILLIS);
+        this.reusePolicy = ConnectionReusePolicy.of(clock, MOST_REST_MILLIS);
     }
 
     /**
@@ -64,7 +64,7 @@
      * @return the reply; fails if none came
      */
     public Promise<NodeReply> ask(Address address, NodeRequest request, long timeoutMillis) {
-        return clients.computeIfAbsent(address, key -> new NodeClient(reactor, key, clock, trust, observer))
+        return clients.computeIfAbsent(address, key -> new NodeClient(reactor, key, clock, reusePolicy, observer))
                 .ask(request, timeoutMillis);
     }
 
@@ -102,8 +102,8 @@
      * Returns which of the process's kept connections may be used, by what was seen on others, not null; its times are
      * those of the clock that these clients were given.
      */
-    public ConnectionReusePolicy trust() {
-        return trust;
+    public ConnectionReusePolicy reusePolicy() {
+        return reusePolicy;
     }
 
     /** Closes every connection. */
