--- a/daemon/src/main/java/org/bankturn/daemon/control/ControlRole.java
+++ b/daemon/src/main/java/org/bankturn/daemon/control/ControlRole.java
@@ -147,7 +147,7 @@
     public Optional<Promise<NodeReply>> handle(NodeRequest request) {
         if (request instanceof NodeRequest.Agree agree) {
             member.receive(agree.message());
-            return Optional.of(Promise.of(new NodeReply.Received()));
+            return Optional.of(Promise.of(new NodeReply.Acknowledged()));
         }
         if (request instanceof NodeRequest.Submit submit) {
             return Optional.of(Promise.<CommandResult>ofFuture(member.submit(submit.command()))
@@ -155,7 +155,7 @@
         }
         if (request instanceof NodeRequest.ForwardReports forward) {
             reports.receive(forward.reports());
-            return Optional.of(Promise.of(new NodeReply.Received()));
+            return Optional.of(Promise.of(new NodeReply.Acknowledged()));
         }
         if (request instanceof NodeRequest.GetStatus || request instanceof NodeRequest.GetHistory) {
             return Optional.of(answerQuery(request));
--- a/daemon/src/main/java/org/bankturn/daemon/group/GroupNode.java
+++ b/daemon/src/main/java/org/bankturn/daemon/group/GroupNode.java
@@ -321,7 +321,7 @@
     private Promise<NodeReply> answer(NodeRequest request) {
         if (request instanceof NodeRequest.Agree agree) {
             member.receive(agree.message());
-            return Promise.of(new NodeReply.Received());
+            return Promise.of(new NodeReply.Acknowledged());
         }
         if (request instanceof NodeRequest.SubmitPublication submitted) {
             return ask(member.submit(submitted.command())).map(NodeReply.PublicationOutcome::new);
@@ -340,14 +340,14 @@
         }
         if (request instanceof NodeRequest.NoteHeartbeats noted) {
             targetWatch.recordRemoteHeartbeats(noted.targets());
-            return Promise.of(new NodeReply.Received());
+            return Promise.of(new NodeReply.Acknowledged());
         }
         return Promise.of(new NodeReply.Failed("not supported by a control process"));
     }
 
     private static NodeReply replyTo(ControlAnswer answer) {
         return answer instanceof ControlAnswer.Accepted
-                ? new NodeReply.Received()
+                ? new NodeReply.Acknowledged()
                 : new NodeReply.Failed(answer.toString());
     }
 
--- a/daemon/src/main/java/org/bankturn/daemon/publication/Announcer.java
+++ b/daemon/src/main/java/org/bankturn/daemon/publication/Announcer.java
@@ -81,7 +81,7 @@
         sequence++;
         NodeRequest.Announce request = new NodeRequest.Announce(sighting.apply(sequence));
         clients.ask(controlProcess.get(), request, REQUEST_TIMEOUT_MILLIS).whenComplete((reply, failure) -> {
-            boolean acknowledged = failure == null && reply instanceof NodeReply.Received;
+            boolean acknowledged = failure == null && reply instanceof NodeReply.Acknowledged;
             logFirstAcceptance(acknowledged, controlProcess.get());
             announceAfter(acknowledged ? heartbeatMillis : RETRY_MILLIS);
         });
--- a/daemon/src/main/java/org/bankturn/daemon/publication/ChangeSubmitter.java
+++ b/daemon/src/main/java/org/bankturn/daemon/publication/ChangeSubmitter.java
@@ -85,7 +85,7 @@
         }
         clients.ask(address.get(), new NodeRequest.ProposePublication(command), REQUEST_TIMEOUT_MILLIS)
                 .whenComplete((reply, failure) -> {
-                    if (failure == null && reply instanceof NodeReply.Received) {
+                    if (failure == null && reply instanceof NodeReply.Acknowledged) {
                         queue.remove(command);
                         sendNext();
                     } else {
--- a/daemon/src/main/java/org/bankturn/daemon/wire/NodeReply.java
+++ b/daemon/src/main/java/org/bankturn/daemon/wire/NodeReply.java
@@ -15,7 +15,7 @@
 /** What a process answers to a {@link NodeRequest}. */
 @JsonTypeInfo(use = JsonTypeInfo.Id.NAME, property = "answer")
 @JsonSubTypes({
-    @JsonSubTypes.Type(value = NodeReply.Received.class, name = "received"),
+    @JsonSubTypes.Type(value = NodeReply.Acknowledged.class, name = "received"),
     @JsonSubTypes.Type(value = NodeReply.Failed.class, name = "failed"),
     @JsonSubTypes.Type(value = NodeReply.Submitted.class, name = "submitted"),
     @JsonSubTypes.Type(value = NodeReply.Fetched.class, name = "fetched"),
@@ -35,7 +35,7 @@
 })
 public sealed interface NodeReply {
     /** The message was taken in. */
-    record Received() implements NodeReply {}
+    record Acknowledged() implements NodeReply {}
 
     /** The request could not be answered; nothing is known of its effect. */
     record Failed(String reason) implements NodeReply {}
--- a/daemon/src/test/java/org/bankturn/daemon/wire/NodeClientTest.java
+++ b/daemon/src/test/java/org/bankturn/daemon/wire/NodeClientTest.java
@@ -39,7 +39,7 @@
         reactor.keepAlive(true);
         new Thread(reactor, "node-client-test").start();
         reactor.submit(() -> {
-                    NodeServer.create(reactor, server, request -> Promise.of(new NodeReply.Received()))
+                    NodeServer.create(reactor, server, request -> Promise.of(new NodeReply.Acknowledged()))
                             .listen();
                     return Promise.complete();
                 })
@@ -63,7 +63,7 @@
     @Test
     void a_connection_that_went_silent_is_replaced_by_a_new_one() {
         assertThatThrownBy(() -> ask(SHORT_MILLIS)).hasRootCauseMessage("Promise timeout");
-        assertThat(ask(LONG_MILLIS)).isInstanceOf(NodeReply.Received.class);
+        assertThat(ask(LONG_MILLIS)).isInstanceOf(NodeReply.Acknowledged.class);
         assertThat(connections).hasValue(2);
     }
 
@@ -72,7 +72,7 @@
         clients = NodeClients.on(reactor);
         connections.set(1);
         for (int count = 0; count < 3; count++) {
-            assertThat(ask(LONG_MILLIS)).isInstanceOf(NodeReply.Received.class);
+            assertThat(ask(LONG_MILLIS)).isInstanceOf(NodeReply.Acknowledged.class);
         }
         assertThat(connections).hasValue(2);
     }
--- a/daemon/src/test/java/org/bankturn/daemon/wire/NodeServerTest.java
+++ b/daemon/src/test/java/org/bankturn/daemon/wire/NodeServerTest.java
@@ -30,7 +30,7 @@
         reactor.keepAlive(true);
         new Thread(reactor, "node-server-test").start();
         reactor.submit(() -> {
-                    NodeServer.create(reactor, clock, address, request -> Promise.of(new NodeReply.Received()))
+                    NodeServer.create(reactor, clock, address, request -> Promise.of(new NodeReply.Acknowledged()))
                             .listen();
                     return Promise.complete();
                 })
@@ -39,7 +39,7 @@
             NodeReply reply = NodeClients.on(reactor)
                     .askFromAnyThread(address, new NodeRequest.GetLoad(), 10_000)
                     .join();
-            assertThat(reply).isInstanceOf(NodeReply.Received.class);
+            assertThat(reply).isInstanceOf(NodeReply.Acknowledged.class);
             silent.setSoTimeout(ANY_SWEEP_MILLIS);
             clock.advance(LONGER_THAN_ANY_PEER_RESTS_MILLIS);
             assertThat(silent.getInputStream().read()).isNegative();
--- a/daemon/src/test/java/org/bankturn/daemon/wire/SilentPeersTest.java
+++ b/daemon/src/test/java/org/bankturn/daemon/wire/SilentPeersTest.java
@@ -106,7 +106,7 @@
 
     private void askAll() {
         for (int peer = 0; peer < PEERS; peer++) {
-            assertThat(ask(peer, LONG_MILLIS)).isInstanceOf(NodeReply.Received.class);
+            assertThat(ask(peer, LONG_MILLIS)).isInstanceOf(NodeReply.Acknowledged.class);
         }
     }
 
@@ -122,6 +122,6 @@
     private static Promise<NodeReply> answer(NodeRequest request) {
         return request instanceof NodeRequest.GetManifest
                 ? new SettablePromise<>()
-                : Promise.of(new NodeReply.Received());
+                : Promise.of(new NodeReply.Acknowledged());
     }
 }
