--- a/daemon/src/main/java/org/bankturn/daemon/control/ControlClient.java
+++ b/daemon/src/main/java/org/bankturn/daemon/control/ControlClient.java
@@ -59,7 +59,7 @@
      */
     public CompletableFuture<CommandResult> submit(Command command, long timeoutMillis) {
         return ask(new NodeRequest.Submit(command), timeoutMillis)
-                .thenApply(reply -> reply instanceof NodeReply.Submitted submitted
+                .thenApply(reply -> reply instanceof NodeReply.CommandOutcome submitted
                         ? submitted.result()
                         : new CommandResult.NotExecuted(ResultCode.NO_QUORUM, null));
     }
@@ -96,14 +96,14 @@
     }
 
     private static boolean isFinal(NodeReply reply) {
-        boolean notDone = reply instanceof NodeReply.Submitted submitted
+        boolean notDone = reply instanceof NodeReply.CommandOutcome submitted
                 && submitted.result() instanceof CommandResult.NotExecuted;
         return !notDone && !(reply instanceof NodeReply.Failed);
     }
 
     /** Turns to the leader that a reply names, or else to the next box; returns true if one was named. */
     private boolean followHint(Address asked, NodeReply reply) {
-        if (reply instanceof NodeReply.Submitted submitted
+        if (reply instanceof NodeReply.CommandOutcome submitted
                 && submitted.result() instanceof CommandResult.NotExecuted notDone
                 && notDone.leaderAddress() != null) {
             likelyLeader.set(Address.parse(notDone.leaderAddress()));
--- a/daemon/src/main/java/org/bankturn/daemon/control/ControlRole.java
+++ b/daemon/src/main/java/org/bankturn/daemon/control/ControlRole.java
@@ -151,7 +151,7 @@
         }
         if (request instanceof NodeRequest.Submit submit) {
             return Optional.of(Promise.<CommandResult>ofFuture(member.submit(submit.command()))
-                    .map(NodeReply.Submitted::new));
+                    .map(NodeReply.CommandOutcome::new));
         }
         if (request instanceof NodeRequest.ForwardReports forward) {
             reports.receive(forward.reports());
@@ -169,7 +169,7 @@
             String leader =
                     view.leader() == null ? null : addressOf(view.leader()).toString();
             CommandResult elsewhere = new CommandResult.NotExecuted(ResultCode.NOT_LEADER, leader);
-            return Promise.of(new NodeReply.Submitted(elsewhere));
+            return Promise.of(new NodeReply.CommandOutcome(elsewhere));
         }
         return request instanceof NodeRequest.GetStatus
                 ? Promise.ofFuture(member.query(statusQuery::status)).map(NodeReply.Status::new)
--- a/daemon/src/main/java/org/bankturn/daemon/wire/NodeReply.java
+++ b/daemon/src/main/java/org/bankturn/daemon/wire/NodeReply.java
@@ -17,7 +17,7 @@
 @JsonSubTypes({
     @JsonSubTypes.Type(value = NodeReply.Acknowledged.class, name = "received"),
     @JsonSubTypes.Type(value = NodeReply.Failed.class, name = "failed"),
-    @JsonSubTypes.Type(value = NodeReply.Submitted.class, name = "submitted"),
+    @JsonSubTypes.Type(value = NodeReply.CommandOutcome.class, name = "submitted"),
     @JsonSubTypes.Type(value = NodeReply.Fetched.class, name = "fetched"),
     @JsonSubTypes.Type(value = NodeReply.Status.class, name = "status"),
     @JsonSubTypes.Type(value = NodeReply.History.class, name = "history"),
@@ -41,7 +41,7 @@
     record Failed(String reason) implements NodeReply {}
 
     /** What came of a command. */
-    record Submitted(CommandResult result) implements NodeReply {}
+    record CommandOutcome(CommandResult result) implements NodeReply {}
 
     /** The newest configuration index here, with the step to it if the asker's is older. */
     record Fetched(long index, ConfigurationUpdate update) implements NodeReply {}
