--- a/daemon/src/main/java/org/bankturn/daemon/follow/ConfigurationFollower.java
+++ b/daemon/src/main/java/org/bankturn/daemon/follow/ConfigurationFollower.java
@@ -112,7 +112,7 @@
             NodeRequest request = new NodeRequest.FetchConfiguration(Long.MAX_VALUE, 0, reports.get());
             answers.add(clients.ask(source, request, FIRST_TIMEOUT_MILLIS)
                     .map(
-                            reply -> reply instanceof NodeReply.Fetched fetched
+                            reply -> reply instanceof NodeReply.FetchedConfiguration fetched
                                     ? Optional.of(new SourceIndex(source, fetched.index()))
                                     : Optional.empty(),
                             failure -> Optional.empty()));
@@ -152,7 +152,7 @@
         Configuration held = holder.get();
         NodeRequest request = new NodeRequest.FetchConfiguration(held.index(), waitMillis, reports.get());
         return clients.ask(source, request, timeoutMillis).then(reply -> {
-            if (!(reply instanceof NodeReply.Fetched fetched)) {
+            if (!(reply instanceof NodeReply.FetchedConfiguration fetched)) {
                 return Promise.ofException(new IllegalStateException("no configuration from " + source));
             }
             if (fetched.update() == null) {
@@ -185,7 +185,7 @@
     private Promise<Long> fetchWhole(Address source, long timeoutMillis) {
         NodeRequest request = new NodeRequest.FetchConfiguration(0, 0, List.of());
         return clients.ask(source, request, timeoutMillis)
-                .then(reply -> reply instanceof NodeReply.Fetched fetched
+                .then(reply -> reply instanceof NodeReply.FetchedConfiguration fetched
                                 && fetched.update() != null
                                 && fetched.update().baseIndex() == 0
                         ? take(source, fetched.update(), timeoutMillis)
--- a/daemon/src/main/java/org/bankturn/daemon/follow/ConfigurationPublisher.java
+++ b/daemon/src/main/java/org/bankturn/daemon/follow/ConfigurationPublisher.java
@@ -76,6 +76,6 @@
     private NodeReply replyTo(NodeRequest.FetchConfiguration request) {
         Configuration held = holder.get();
         ConfigurationUpdate update = isNewsFor(request) ? ConfigurationUpdate.between(request.haveIndex(), held) : null;
-        return new NodeReply.Fetched(held.index(), update);
+        return new NodeReply.FetchedConfiguration(held.index(), update);
     }
 }
--- a/daemon/src/main/java/org/bankturn/daemon/wire/NodeReply.java
+++ b/daemon/src/main/java/org/bankturn/daemon/wire/NodeReply.java
@@ -18,7 +18,7 @@
     @JsonSubTypes.Type(value = NodeReply.Acknowledged.class, name = "received"),
     @JsonSubTypes.Type(value = NodeReply.Failed.class, name = "failed"),
     @JsonSubTypes.Type(value = NodeReply.CommandOutcome.class, name = "submitted"),
-    @JsonSubTypes.Type(value = NodeReply.Fetched.class, name = "fetched"),
+    @JsonSubTypes.Type(value = NodeReply.FetchedConfiguration.class, name = "fetched"),
     @JsonSubTypes.Type(value = NodeReply.Status.class, name = "status"),
     @JsonSubTypes.Type(value = NodeReply.History.class, name = "history"),
     @JsonSubTypes.Type(value = NodeReply.Target.class, name = "target"),
@@ -44,7 +44,7 @@
     record CommandOutcome(CommandResult result) implements NodeReply {}
 
     /** The newest configuration index here, with the step to it if the asker's is older. */
-    record Fetched(long index, ConfigurationUpdate update) implements NodeReply {}
+    record FetchedConfiguration(long index, ConfigurationUpdate update) implements NodeReply {}
 
     /** How all processes are. */
     record Status(StatusReply status) implements NodeReply {}
