--- a/daemon/src/main/java/org/bankturn/daemon/target/ChunkServer.java
+++ b/daemon/src/main/java/org/bankturn/daemon/target/ChunkServer.java
@@ -92,6 +92,6 @@
     private NodeReply holdsReply(String manifest) {
         ChunkFile file = served.get(manifest);
         BitSet kept = file == null ? new BitSet() : file.storedChunks();
-        return new NodeReply.Holds(kept.toLongArray(), kept.cardinality());
+        return new NodeReply.HeldChunks(kept.toLongArray(), kept.cardinality());
     }
 }
--- a/daemon/src/main/java/org/bankturn/daemon/target/VersionCopy.java
+++ b/daemon/src/main/java/org/bankturn/daemon/target/VersionCopy.java
@@ -184,7 +184,7 @@
         context.clients()
                 .ask(nodeAddress(neighbour), request, HOLDS_TIMEOUT_MILLIS)
                 .whenComplete((reply, failure) -> {
-                    if (reply instanceof NodeReply.Holds holds) {
+                    if (reply instanceof NodeReply.HeldChunks holds) {
                         planner.updateNeighbour(neighbour.name(), BitSet.valueOf(holds.chunks()));
                         pump();
                         followHolds(neighbour, holds.count());
--- a/daemon/src/main/java/org/bankturn/daemon/wire/NodeReply.java
+++ b/daemon/src/main/java/org/bankturn/daemon/wire/NodeReply.java
@@ -23,7 +23,7 @@
     @JsonSubTypes.Type(value = NodeReply.History.class, name = "history"),
     @JsonSubTypes.Type(value = NodeReply.Target.class, name = "target"),
     @JsonSubTypes.Type(value = NodeReply.ManifestText.class, name = "manifestText"),
-    @JsonSubTypes.Type(value = NodeReply.Holds.class, name = "holds"),
+    @JsonSubTypes.Type(value = NodeReply.HeldChunks.class, name = "holds"),
     @JsonSubTypes.Type(value = NodeReply.Chunk.class, name = "chunk"),
     @JsonSubTypes.Type(value = NodeReply.PublicationOutcome.class, name = "outcome"),
     @JsonSubTypes.Type(value = NodeReply.Document.class, name = "document"),
@@ -59,7 +59,7 @@
     record ManifestText(String text) implements NodeReply {}
 
     /** The chunks held here, as a bit set of little-endian longs. */
-    record Holds(long[] chunks, int count) implements NodeReply {}
+    record HeldChunks(long[] chunks, int count) implements NodeReply {}
 
     /** A chunk, null if it is not held here or {@code busy} tells that the link is taken. */
     record Chunk(byte[] bytes, boolean busy) implements NodeReply {}
