--- a/daemon/src/main/java/org/bankturn/daemon/group/GroupNode.java
+++ b/daemon/src/main/java/org/bankturn/daemon/group/GroupNode.java
@@ -375,7 +375,7 @@
 
     private NodeReply reply(PublicationUpdate update, boolean waited) {
         GroupView view = member.view();
-        return new NodeReply.Watched(
+        return new NodeReply.WatchedPublication(
                 update,
                 isFresh(),
                 waited,
--- a/daemon/src/main/java/org/bankturn/daemon/publication/PublicationFollower.java
+++ b/daemon/src/main/java/org/bankturn/daemon/publication/PublicationFollower.java
@@ -148,7 +148,7 @@
                         new NodeRequest.WatchPublication(published.index(), WAIT_MILLIS),
                         WAIT_MILLIS + REPLY_TIMEOUT_MILLIS)
                 .whenComplete((reply, failure) -> {
-                    if (failure == null && reply instanceof NodeReply.Watched watched) {
+                    if (failure == null && reply instanceof NodeReply.WatchedPublication watched) {
                         onReply(polled, watched, sentMillis);
                     } else {
                         onFailure(polled, failure == null ? "unexpected reply" : failure.toString());
@@ -156,7 +156,7 @@
                 });
     }
 
-    private void onReply(Address from, NodeReply.Watched watched, long sentMillis) {
+    private void onReply(Address from, NodeReply.WatchedPublication watched, long sentMillis) {
         dataHalls.put(from, watched.dataHall());
         if (!watched.members().isEmpty()) {
             members.clear();
--- a/daemon/src/main/java/org/bankturn/daemon/wire/NodeReply.java
+++ b/daemon/src/main/java/org/bankturn/daemon/wire/NodeReply.java
@@ -27,7 +27,7 @@
     @JsonSubTypes.Type(value = NodeReply.Chunk.class, name = "chunk"),
     @JsonSubTypes.Type(value = NodeReply.PublicationOutcome.class, name = "outcome"),
     @JsonSubTypes.Type(value = NodeReply.Document.class, name = "document"),
-    @JsonSubTypes.Type(value = NodeReply.Watched.class, name = "watched"),
+    @JsonSubTypes.Type(value = NodeReply.WatchedPublication.class, name = "watched"),
     @JsonSubTypes.Type(value = NodeReply.Piece.class, name = "piece"),
     @JsonSubTypes.Type(value = NodeReply.Load.class, name = "load"),
     @JsonSubTypes.Type(value = NodeReply.PieceThere.class, name = "there"),
@@ -74,7 +74,7 @@
      * What is published; {@code update} is null if nothing is newer, {@code fresh} tells whether the sender is in touch
      * with a majority, {@code waited} that it was so when it was asked, and that nothing was newer then.
      */
-    record Watched(
+    record WatchedPublication(
             PublicationUpdate update,
             boolean fresh,
             boolean waited,
--- a/daemon/src/test/java/org/bankturn/daemon/publication/PublicationFollowerTest.java
+++ b/daemon/src/test/java/org/bankturn/daemon/publication/PublicationFollowerTest.java
@@ -109,11 +109,13 @@
     }
 
     private void answer(SettablePromise<NodeReply> request, PublicationUpdate update, boolean waited) {
-        reactor.execute(() -> request.set(new NodeReply.Watched(update, true, waited, "north", List.of(), 0)));
+        reactor.execute(
+                () -> request.set(new NodeReply.WatchedPublication(update, true, waited, "north", List.of(), 0)));
     }
 
     private void answerWithoutMajority(SettablePromise<NodeReply> request, PublicationUpdate update) {
-        reactor.execute(() -> request.set(new NodeReply.Watched(update, false, false, "north", List.of(), 0)));
+        reactor.execute(
+                () -> request.set(new NodeReply.WatchedPublication(update, false, false, "north", List.of(), 0)));
     }
 
     private static PublicationUpdate update(long index) {
