--- a/daemon/src/main/java/org/bankturn/daemon/weights/ProcessCopyContext.java
+++ b/daemon/src/main/java/org/bankturn/daemon/weights/ProcessCopyContext.java
@@ -167,6 +167,6 @@
         return dependencies
                 .clients()
                 .ask(Address.parse(box), request, request.waitMillis() + NEIGHBOUR_MARGIN_MILLIS)
-                .map(reply -> reply instanceof NodeReply.PieceThere answer && answer.there());
+                .map(reply -> reply instanceof NodeReply.PieceAvailability answer && answer.there());
     }
 }
--- a/daemon/src/main/java/org/bankturn/daemon/weights/WeightsAgent.java
+++ b/daemon/src/main/java/org/bankturn/daemon/weights/WeightsAgent.java
@@ -276,7 +276,7 @@
         Promise<Boolean> available = copyOf(request.version())
                 .map(pending -> pending.awaitPiece(request.piece(), request.waitMillis()))
                 .orElseGet(() -> availableAfterDelay(request));
-        return available.map(NodeReply.PieceThere::new);
+        return available.map(NodeReply.PieceAvailability::new);
     }
 
     /** Answers after a delay, since the copy may start at any time. */
--- a/daemon/src/main/java/org/bankturn/daemon/weights/WeightsRelay.java
+++ b/daemon/src/main/java/org/bankturn/daemon/weights/WeightsRelay.java
@@ -95,7 +95,7 @@
         copy.ifPresent(each -> each.request(request.piece()));
         return copy.map(each -> each.awaitPiece(request.piece(), request.waitMillis()))
                 .orElseGet(this::unavailableAfterDelay)
-                .map(NodeReply.PieceThere::new);
+                .map(NodeReply.PieceAvailability::new);
     }
 
     /** Answers after a delay, since a relay that has just started may learn of the version at any time. */
--- a/daemon/src/main/java/org/bankturn/daemon/wire/NodeReply.java
+++ b/daemon/src/main/java/org/bankturn/daemon/wire/NodeReply.java
@@ -30,7 +30,7 @@
     @JsonSubTypes.Type(value = NodeReply.WatchedPublication.class, name = "watched"),
     @JsonSubTypes.Type(value = NodeReply.Piece.class, name = "piece"),
     @JsonSubTypes.Type(value = NodeReply.Load.class, name = "load"),
-    @JsonSubTypes.Type(value = NodeReply.PieceThere.class, name = "there"),
+    @JsonSubTypes.Type(value = NodeReply.PieceAvailability.class, name = "there"),
     @JsonSubTypes.Type(value = NodeReply.Permit.class, name = "permit")
 })
 public sealed interface NodeReply {
@@ -99,7 +99,7 @@
     record Piece(byte[] bytes) implements NodeReply {}
 
     /** Whether a piece that was waited for is there now. */
-    record PieceThere(boolean there) implements NodeReply {}
+    record PieceAvailability(boolean there) implements NodeReply {}
 
     /**
      * What is known of an engine beside the process that is asked.
--- a/daemon/src/test/java/org/bankturn/daemon/weights/WeightsRelayTest.java
+++ b/daemon/src/test/java/org/bankturn/daemon/weights/WeightsRelayTest.java
@@ -1,5 +1,7 @@
 package org.bankturn.daemon.weights;
 
+import static org.assertj.core.api.Assertions.assertThat;
+
 import io.activej.eventloop.Eventloop;
 import io.activej.promise.Promise;
 import java.io.OutputStream;
@@ -23,7 +25,6 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
-import static org.assertj.core.api.Assertions.assertThat;
 
 /** Tests a relay without a reachable origin. */
 @Timeout(60)
@@ -62,7 +63,7 @@
     void poll_for_unknown_version_is_answered_after_delay() {
         boolean answeredImmediately = run(() -> Promise.of(await(1).isComplete()));
         assertThat(answeredImmediately).isFalse();
-        assertThat(run(() -> await(1))).isEqualTo(new NodeReply.PieceThere(false));
+        assertThat(run(() -> await(1))).isEqualTo(new NodeReply.PieceAvailability(false));
     }
 
     @Test
