--- a/daemon/src/main/java/org/bankturn/daemon/control/ControlRole.java
+++ b/daemon/src/main/java/org/bankturn/daemon/control/ControlRole.java
@@ -145,7 +145,7 @@
      * @return the reply, or empty if the request is for another role
      */
     public Optional<Promise<NodeReply>> handle(NodeRequest request) {
-        if (request instanceof NodeRequest.Agree agree) {
+        if (request instanceof NodeRequest.DeliverRaftMessage agree) {
             member.receive(agree.message());
             return Optional.of(Promise.of(new NodeReply.Acknowledged()));
         }
@@ -211,7 +211,7 @@
     }
 
     private void send(Member to, RaftMessage message) {
-        clients.tell(addressOf(to), new NodeRequest.Agree(message));
+        clients.tell(addressOf(to), new NodeRequest.DeliverRaftMessage(message));
     }
 
     /** A box is reached as this process's settings say; what others call it may not work from here. */
--- a/daemon/src/main/java/org/bankturn/daemon/group/GroupNode.java
+++ b/daemon/src/main/java/org/bankturn/daemon/group/GroupNode.java
@@ -127,7 +127,8 @@
         this.member = GroupMember.of(
                 new GroupMember.Wiring(
                         this::openFolder,
-                        (to, message) -> clients.tell(Address.parse(to.address()), new NodeRequest.Agree(message)),
+                        (to, message) ->
+                                clients.tell(Address.parse(to.address()), new NodeRequest.DeliverRaftMessage(message)),
                         this::contacts,
                         this::applied,
                         contactMonitor::observe,
@@ -319,7 +320,7 @@
     // ---- requests of other processes
 
     private Promise<NodeReply> answer(NodeRequest request) {
-        if (request instanceof NodeRequest.Agree agree) {
+        if (request instanceof NodeRequest.DeliverRaftMessage agree) {
             member.receive(agree.message());
             return Promise.of(new NodeReply.Acknowledged());
         }
--- a/daemon/src/main/java/org/bankturn/daemon/wire/NodeRequest.java
+++ b/daemon/src/main/java/org/bankturn/daemon/wire/NodeRequest.java
@@ -12,7 +12,7 @@
 /** What one process asks of another. */
 @JsonTypeInfo(use = JsonTypeInfo.Id.NAME, property = "ask")
 @JsonSubTypes({
-    @JsonSubTypes.Type(value = NodeRequest.Agree.class, name = "agree"),
+    @JsonSubTypes.Type(value = NodeRequest.DeliverRaftMessage.class, name = "agree"),
     @JsonSubTypes.Type(value = NodeRequest.Submit.class, name = "submit"),
     @JsonSubTypes.Type(value = NodeRequest.FetchConfiguration.class, name = "fetchConfiguration"),
     @JsonSubTypes.Type(value = NodeRequest.ForwardReports.class, name = "forwardReports"),
@@ -35,7 +35,7 @@
 })
 public sealed interface NodeRequest {
     /** Carries a message of the agreement group; the reply says nothing. */
-    record Agree(RaftMessage message) implements NodeRequest {}
+    record DeliverRaftMessage(RaftMessage message) implements NodeRequest {}
 
     /** Submits a command to the leader; times in it are relative, the leader makes them absolute. */
     record Submit(Command command) implements NodeRequest {}
