--- a/daemon/src/main/java/org/bankturn/daemon/target/ChunkServer.java
+++ b/daemon/src/main/java/org/bankturn/daemon/target/ChunkServer.java
@@ -53,7 +53,7 @@
                 new NodeReply.ManifestText(file == null ? null : file.manifest().text()));
     }
 
-    Promise<NodeReply> holds(NodeRequest.GetHolds request) {
+    Promise<NodeReply> holds(NodeRequest.GetHeldChunks request) {
         if (countOf(request.manifest()) != request.knownCount() || request.waitMillis() <= 0) {
             return Promise.of(holdsReply(request.manifest()));
         }
--- a/daemon/src/main/java/org/bankturn/daemon/target/TargetRole.java
+++ b/daemon/src/main/java/org/bankturn/daemon/target/TargetRole.java
@@ -13,8 +13,8 @@
 import org.bankturn.daemon.BackendClient;
 import org.bankturn.daemon.control.ControlClient;
 import org.bankturn.daemon.observe.Telemetry;
-import org.bankturn.daemon.settings.DaemonSettings.TargetSettings;
 import org.bankturn.daemon.settings.DaemonSettings;
+import org.bankturn.daemon.settings.DaemonSettings.TargetSettings;
 import org.bankturn.daemon.wire.NodeClients;
 import org.bankturn.daemon.wire.NodeReply;
 import org.bankturn.daemon.wire.NodeRequest;
@@ -147,7 +147,7 @@
         if (request instanceof NodeRequest.GetManifest manifest) {
             return Optional.of(chunkServer.manifest(manifest));
         }
-        if (request instanceof NodeRequest.GetHolds holds) {
+        if (request instanceof NodeRequest.GetHeldChunks holds) {
             return Optional.of(chunkServer.holds(holds));
         }
         if (request instanceof NodeRequest.GetChunk chunk) {
--- a/daemon/src/main/java/org/bankturn/daemon/target/VersionCopy.java
+++ b/daemon/src/main/java/org/bankturn/daemon/target/VersionCopy.java
@@ -180,7 +180,7 @@
         if (stopped || whole.isComplete()) {
             return;
         }
-        NodeRequest request = new NodeRequest.GetHolds(version.manifest(), knownCount, HOLDS_WAIT_MILLIS);
+        NodeRequest request = new NodeRequest.GetHeldChunks(version.manifest(), knownCount, HOLDS_WAIT_MILLIS);
         context.clients()
                 .ask(nodeAddress(neighbour), request, HOLDS_TIMEOUT_MILLIS)
                 .whenComplete((reply, failure) -> {
--- a/daemon/src/main/java/org/bankturn/daemon/wire/NodeRequest.java
+++ b/daemon/src/main/java/org/bankturn/daemon/wire/NodeRequest.java
@@ -20,7 +20,7 @@
     @JsonSubTypes.Type(value = NodeRequest.GetHistory.class, name = "getHistory"),
     @JsonSubTypes.Type(value = NodeRequest.GetTargetStatus.class, name = "getTargetStatus"),
     @JsonSubTypes.Type(value = NodeRequest.GetManifest.class, name = "getManifest"),
-    @JsonSubTypes.Type(value = NodeRequest.GetHolds.class, name = "getHolds"),
+    @JsonSubTypes.Type(value = NodeRequest.GetHeldChunks.class, name = "getHolds"),
     @JsonSubTypes.Type(value = NodeRequest.GetChunk.class, name = "getChunk"),
     @JsonSubTypes.Type(value = NodeRequest.SubmitPublication.class, name = "publish"),
     @JsonSubTypes.Type(value = NodeRequest.ProposePublication.class, name = "propose"),
@@ -59,7 +59,7 @@
     record GetManifest(String manifest) implements NodeRequest {}
 
     /** Asks which chunks a box holds, waiting until there are more than {@code knownCount}. */
-    record GetHolds(String manifest, int knownCount, long waitMillis) implements NodeRequest {}
+    record GetHeldChunks(String manifest, int knownCount, long waitMillis) implements NodeRequest {}
 
     /** Asks for a chunk. */
     record GetChunk(String manifest, int chunk) implements NodeRequest {}
