--- a/daemon/src/main/java/org/bankturn/daemon/group/GroupNode.java
+++ b/daemon/src/main/java/org/bankturn/daemon/group/GroupNode.java
@@ -339,7 +339,7 @@
         if (request instanceof NodeRequest.Announce announced) {
             return targetCalls.heartbeat(announced.sighting()).map(GroupNode::replyTo);
         }
-        if (request instanceof NodeRequest.NoteHeartbeats noted) {
+        if (request instanceof NodeRequest.ReportHeartbeats noted) {
             targetWatch.recordRemoteHeartbeats(noted.targets());
             return Promise.of(new NodeReply.Acknowledged());
         }
--- a/daemon/src/main/java/org/bankturn/daemon/group/TargetLivenessMonitor.java
+++ b/daemon/src/main/java/org/bankturn/daemon/group/TargetLivenessMonitor.java
@@ -85,7 +85,7 @@
             heartbeats.record(heard);
             removeSilent();
         } else if (view.leader() != null && !heard.isEmpty()) {
-            clients.tell(Address.parse(view.leader().address()), new NodeRequest.NoteHeartbeats(heard));
+            clients.tell(Address.parse(view.leader().address()), new NodeRequest.ReportHeartbeats(heard));
         }
         wasLeader = view.leads();
     }
--- a/daemon/src/main/java/org/bankturn/daemon/wire/NodeRequest.java
+++ b/daemon/src/main/java/org/bankturn/daemon/wire/NodeRequest.java
@@ -26,7 +26,7 @@
     @JsonSubTypes.Type(value = NodeRequest.ProposePublication.class, name = "propose"),
     @JsonSubTypes.Type(value = NodeRequest.ReadDocument.class, name = "document"),
     @JsonSubTypes.Type(value = NodeRequest.WatchPublication.class, name = "watch"),
-    @JsonSubTypes.Type(value = NodeRequest.NoteHeartbeats.class, name = "beats"),
+    @JsonSubTypes.Type(value = NodeRequest.ReportHeartbeats.class, name = "beats"),
     @JsonSubTypes.Type(value = NodeRequest.GetPiece.class, name = "piece"),
     @JsonSubTypes.Type(value = NodeRequest.GetLoad.class, name = "load"),
     @JsonSubTypes.Type(value = NodeRequest.AwaitPiece.class, name = "await"),
@@ -77,7 +77,7 @@
     record WatchPublication(long haveIndex, long waitMillis) implements NodeRequest {}
 
     /** Tells the leader which targets were heard from. */
-    record NoteHeartbeats(List<String> targets) implements NodeRequest {}
+    record ReportHeartbeats(List<String> targets) implements NodeRequest {}
 
     /** Asks for a piece of a version of a model's weights. */
     record GetPiece(String model, int version, int piece) implements NodeRequest {}
