--- a/daemon/src/main/java/org/bankturn/daemon/gateway/Gateway.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/Gateway.java
@@ -247,7 +247,7 @@
     }
 
     /** Handles a permit request from another gateway; returns the reply, not null. */
-    public NodeReply handlePermitRequest(NodeRequest.AskPermit request) {
+    public NodeReply handlePermitRequest(NodeRequest.RequestPermit request) {
         return permits.handleRequest(request);
     }
 
--- a/daemon/src/main/java/org/bankturn/daemon/gateway/PermitExchange.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/PermitExchange.java
@@ -184,7 +184,7 @@
         if (coordinatorAddress.get().equals(selfAddress)) {
             return Promise.of(coordinator.ask(id, selfAddress, limit, wantsPermit));
         }
-        NodeRequest.AskPermit request = new NodeRequest.AskPermit(
+        NodeRequest.RequestPermit request = new NodeRequest.RequestPermit(
                 id, selfAddress, limit.inForce(), limit.perSecond(), clock.millis() - limit.asOfMillis(), wantsPermit);
         return clients.ask(Address.parse(coordinatorAddress.get()), request, RESPONSE_TIMEOUT_MILLIS)
                 .then(reply -> reply instanceof NodeReply.Permit permit
@@ -199,7 +199,7 @@
     }
 
     /** Handles a permit request from another gateway. */
-    NodeReply handleRequest(NodeRequest.AskPermit request) {
+    NodeReply handleRequest(NodeRequest.RequestPermit request) {
         RateLimit reported = toRateLimit(request.limited(), request.perSecond(), request.ageMillis());
         PermitCoordinator.Answer answer =
                 coordinator.ask(request.target(), request.gateway(), reported, request.wants());
--- a/daemon/src/main/java/org/bankturn/daemon/serving/ServingProcess.java
+++ b/daemon/src/main/java/org/bankturn/daemon/serving/ServingProcess.java
@@ -192,7 +192,7 @@
     }
 
     private Promise<NodeReply> answer(WeightsRelay relay, NodeRequest request) {
-        if (request instanceof NodeRequest.AskPermit asked) {
+        if (request instanceof NodeRequest.RequestPermit asked) {
             return Promise.of(gateway.handlePermitRequest(asked));
         }
         if (request instanceof NodeRequest.GetPiece asked) {
--- a/daemon/src/main/java/org/bankturn/daemon/wire/NodeRequest.java
+++ b/daemon/src/main/java/org/bankturn/daemon/wire/NodeRequest.java
@@ -30,7 +30,7 @@
     @JsonSubTypes.Type(value = NodeRequest.GetPiece.class, name = "piece"),
     @JsonSubTypes.Type(value = NodeRequest.GetLoad.class, name = "load"),
     @JsonSubTypes.Type(value = NodeRequest.AwaitPiece.class, name = "await"),
-    @JsonSubTypes.Type(value = NodeRequest.AskPermit.class, name = "permit"),
+    @JsonSubTypes.Type(value = NodeRequest.RequestPermit.class, name = "permit"),
     @JsonSubTypes.Type(value = NodeRequest.Announce.class, name = "announce")
 })
 public sealed interface NodeRequest {
@@ -98,7 +98,8 @@
      * @param ageMillis how long ago it said so
      * @param wants true if the gateway wants a permit
      */
-    record AskPermit(String target, String gateway, boolean limited, double perSecond, long ageMillis, boolean wants)
+    record RequestPermit(
+            String target, String gateway, boolean limited, double perSecond, long ageMillis, boolean wants)
             implements NodeRequest {}
 
     /** Asks a target process for its engine's load. */
--- a/daemon/src/test/java/org/bankturn/daemon/gateway/GatewayGroup.java
+++ b/daemon/src/test/java/org/bankturn/daemon/gateway/GatewayGroup.java
@@ -82,7 +82,8 @@
                     NodeServer.create(
                                     reactor,
                                     node,
-                                    request -> Promise.of(gateway.handlePermitRequest((NodeRequest.AskPermit) request)))
+                                    request -> Promise.of(
+                                            gateway.handlePermitRequest((NodeRequest.RequestPermit) request)))
                             .listen();
                     return Promise.complete();
                 })
