--- a/daemon/src/main/java/org/bankturn/daemon/wire/FrameChannel.java
+++ b/daemon/src/main/java/org/bankturn/daemon/wire/FrameChannel.java
@@ -17,25 +17,25 @@
  * <p>FrameChannel is confined to its reactor's thread.
  */
 final class FrameChannel {
-    private static final int MAXIMUM_FRAME_BYTES = 128 << 20;
+    private static final int MAX_FRAME_BYTES = 128 << 20;
 
     private final ITcpSocket socket;
     private final Consumer<Frame> receiver;
-    private final Consumer<Exception> closed;
+    private final Consumer<Exception> closeListener;
     private final ByteBufs received = new ByteBufs();
-    private final Deque<ByteBuf> unsent = new ArrayDeque<>();
+    private final Deque<ByteBuf> sendQueue = new ArrayDeque<>();
     private final Clock clock;
     private long readCount;
     private long lastReadMillis;
     private boolean sending;
-    private boolean ended;
+    private boolean closed;
 
     FrameChannel(ITcpSocket socket, Clock clock, Consumer<Frame> receiver, Consumer<Exception> closed) {
         this.socket = socket;
         this.clock = clock;
         this.lastReadMillis = clock.millis();
         this.receiver = receiver;
-        this.closed = closed;
+        this.closeListener = closed;
     }
 
     void start() {
@@ -43,7 +43,7 @@
     }
 
     void send(Frame frame) {
-        if (ended) {
+        if (closed) {
             return;
         }
         byte[] payload = MessagePackCodec.instance().encode(frame);
@@ -51,8 +51,8 @@
                 .putInt(payload.length)
                 .put(payload)
                 .array();
-        unsent.add(ByteBuf.wrapForReading(framed));
-        sendMore();
+        sendQueue.add(ByteBuf.wrapForReading(framed));
+        flush();
     }
 
     /** Returns how often bytes were read. */
@@ -67,31 +67,31 @@
 
     /** Returns true if it is no longer open. */
     boolean isClosed() {
-        return ended;
+        return closed;
     }
 
     void close(Exception reason) {
-        if (ended) {
+        if (closed) {
             return;
         }
-        ended = true;
+        closed = true;
         socket.closeEx(reason);
         received.recycle();
-        unsent.clear();
-        closed.accept(reason);
+        sendQueue.clear();
+        closeListener.accept(reason);
     }
 
-    private void sendMore() {
-        if (sending || ended || unsent.isEmpty()) {
+    private void flush() {
+        if (sending || closed || sendQueue.isEmpty()) {
             return;
         }
         sending = true;
-        socket.write(unsent.poll()).whenComplete((nothing, failure) -> {
+        socket.write(sendQueue.poll()).whenComplete((nothing, failure) -> {
             sending = false;
             if (failure != null) {
                 close(failure);
             } else {
-                sendMore();
+                flush();
             }
         });
     }
@@ -102,26 +102,26 @@
                 close(failure != null ? failure : new IOException("the other side closed the connection"));
                 return;
             }
-            if (ended) {
+            if (closed) {
                 bytes.recycle();
                 return;
             }
             readCount++;
             lastReadMillis = clock.millis();
             received.add(bytes);
-            takeFrames();
-            if (!ended) {
+            decodeFrames();
+            if (!closed) {
                 readMore();
             }
         });
     }
 
-    private void takeFrames() {
-        while (!ended && received.hasRemainingBytes(Integer.BYTES)) {
+    private void decodeFrames() {
+        while (!closed && received.hasRemainingBytes(Integer.BYTES)) {
             byte[] prefix = new byte[Integer.BYTES];
             received.peekTo(prefix, 0, Integer.BYTES);
             int length = ByteBuffer.wrap(prefix).getInt();
-            if (length < 0 || length > MAXIMUM_FRAME_BYTES) {
+            if (length < 0 || length > MAX_FRAME_BYTES) {
                 close(new IOException("frame of " + length + " bytes"));
                 return;
             }
--- a/daemon/src/main/java/org/bankturn/daemon/wire/NodeClient.java
+++ b/daemon/src/main/java/org/bankturn/daemon/wire/NodeClient.java
@@ -30,15 +30,15 @@
     private final NioReactor reactor;
     private final Address address;
     private final Clock clock;
-    private final ConnectionReusePolicy trust;
+    private final ConnectionReusePolicy reusePolicy;
     private final ConnectionObserver observer;
-    private final Map<Long, Question> waiting = new HashMap<>();
+    private final Map<Long, PendingRequest> pending = new HashMap<>();
     private FrameChannel channel;
     private Promise<FrameChannel> connecting;
     private long lastCorrelation;
 
     /** A request whose reply is waited for, and the connection that it went out on, null before that. */
-    private static final class Question {
+    private static final class PendingRequest {
         private final SettablePromise<NodeReply> reply = new SettablePromise<>();
         private FrameChannel sentOn;
     }
@@ -52,7 +52,7 @@
         this.reactor = reactor;
         this.address = address;
         this.clock = clock;
-        this.trust = trust;
+        this.reusePolicy = trust;
         this.observer = observer;
     }
 
@@ -65,19 +65,19 @@
      */
     public Promise<NodeReply> ask(NodeRequest request, long timeoutMillis) {
         long correlation = ++lastCorrelation;
-        Question question = new Question();
-        waiting.put(correlation, question);
-        connected().whenComplete((open, failure) -> {
+        PendingRequest question = new PendingRequest();
+        pending.put(correlation, question);
+        connect().whenComplete((open, failure) -> {
             if (failure != null) {
                 question.reply.trySetException(failure);
-            } else if (waiting.containsKey(correlation)) {
+            } else if (pending.containsKey(correlation)) {
                 question.sentOn = open;
                 open.send(new Frame(correlation, request, null));
             }
         });
         return Promises.timeout(timeoutMillis, question.reply)
-                .whenComplete(() -> waiting.remove(correlation))
-                .whenException(AsyncTimeoutException.class, timedOut -> ranOutOfTime(question, timeoutMillis));
+                .whenComplete(() -> pending.remove(correlation))
+                .whenException(AsyncTimeoutException.class, timedOut -> requestTimedOut(question, timeoutMillis));
     }
 
     /** Closes every connection; what waits fails. */
@@ -86,12 +86,12 @@
         if (channel != null) {
             channel.close(reason);
         }
-        List.copyOf(waiting.values()).stream()
+        List.copyOf(pending.values()).stream()
                 .filter(question -> question.sentOn != null)
                 .forEach(question -> question.sentOn.close(reason));
     }
 
-    private void ranOutOfTime(Question question, long timeoutMillis) {
+    private void requestTimedOut(PendingRequest question, long timeoutMillis) {
         FrameChannel used = question.sentOn;
         if (used == null || used.isClosed()) {
             return;
@@ -105,7 +105,7 @@
         observer.onSilentConnection(address, silentMillis, kept);
         if (kept) {
             // found out one by one, silent connections to control processes would cost their time-outs in turn
-            trust.timedOut(clock.millis() - timeoutMillis / 2);
+            reusePolicy.timedOut(clock.millis() - timeoutMillis / 2);
         }
         used.close(new IOException("silent for " + silentMillis + " ms"));
     }
@@ -115,14 +115,14 @@
         if (channel == retired) {
             channel = null;
         }
-        boolean awaited = waiting.values().stream().anyMatch(question -> question.sentOn == retired);
+        boolean awaited = pending.values().stream().anyMatch(question -> question.sentOn == retired);
         if (!awaited) {
             retired.close(new IOException("replaced"));
         }
     }
 
-    private Promise<FrameChannel> connected() {
-        if (channel != null && !trust.isReusable(channel.lastReadMillis())) {
+    private Promise<FrameChannel> connect() {
+        if (channel != null && !reusePolicy.isReusable(channel.lastReadMillis())) {
             retire(channel);
         }
         if (channel != null) {
@@ -141,14 +141,14 @@
 
     private FrameChannel open(TcpSocket socket) {
         FrameChannel[] opened = new FrameChannel[1];
-        opened[0] = new FrameChannel(socket, clock, this::received, reason -> lost(opened[0], reason));
+        opened[0] = new FrameChannel(socket, clock, this::replyReceived, reason -> connectionLost(opened[0], reason));
         channel = opened[0];
         channel.start();
         return opened[0];
     }
 
-    private void received(Frame frame) {
-        Question question = waiting.remove(frame.correlation());
+    private void replyReceived(Frame frame) {
+        PendingRequest question = pending.remove(frame.correlation());
         if (question == null || frame.reply() == null) {
             return;
         }
@@ -158,15 +158,15 @@
         }
     }
 
-    private void lost(FrameChannel ended, Exception reason) {
+    private void connectionLost(FrameChannel ended, Exception reason) {
         if (channel == ended) {
             channel = null;
         }
         IOException wrapped = new IOException("lost the connection to " + address, reason);
-        List<Question> failed = waiting.values().stream()
+        List<PendingRequest> failed = pending.values().stream()
                 .filter(question -> question.sentOn == ended)
                 .toList();
-        waiting.values().removeAll(failed);
+        pending.values().removeAll(failed);
         failed.forEach(question -> question.reply.trySetException(wrapped));
     }
 }
--- a/daemon/src/main/java/org/bankturn/daemon/wire/NodeClients.java
+++ b/daemon/src/main/java/org/bankturn/daemon/wire/NodeClients.java
@@ -18,7 +18,7 @@
     private static final long TELL_TIMEOUT_MILLIS = 1_000;
 
     /** A connection that rested longer may have gone silent unnoticed; the slowest regular questions come each 4 s. */
-    private static final long MOST_REST_MILLIS = 5_000;
+    private static final long MAX_IDLE_MILLIS = 5_000;
 
     private final NioReactor reactor;
     private final Clock clock;
@@ -52,7 +52,7 @@
         this.reactor = reactor;
         this.clock = clock;
         this.observer = observer;
-        this.reusePolicy = ConnectionReusePolicy.of(clock, MOST_REST_MILLIS);
+        this.reusePolicy = ConnectionReusePolicy.of(clock, MAX_IDLE_MILLIS);
     }
 
     /**
--- a/daemon/src/main/java/org/bankturn/daemon/wire/NodeServer.java
+++ b/daemon/src/main/java/org/bankturn/daemon/wire/NodeServer.java
@@ -19,9 +19,9 @@
  */
 public final class NodeServer {
     /** Peers replace a connection that rested for 5 s before they use it, so one that is silent for longer is of no use. */
-    private static final long MOST_SILENT_MILLIS = 30_000;
+    private static final long MAX_SILENT_MILLIS = 30_000;
 
-    private static final long SWEEP_MILLIS = 5_000;
+    private static final long SWEEP_INTERVAL_MILLIS = 5_000;
 
     private final NioReactor reactor;
     private final Clock clock;
@@ -73,7 +73,7 @@
      */
     public void listen() throws IOException {
         server.listen();
-        sweepLater();
+        scheduleSweep();
     }
 
     /** Stops listening and closes every connection. */
@@ -85,25 +85,25 @@
     }
 
     /** Closes connections whose peers went away without an end that reached this process; descriptors are few. */
-    private void sweepLater() {
-        reactor.delayBackground(SWEEP_MILLIS, () -> {
-            long longAgo = clock.millis() - MOST_SILENT_MILLIS;
+    private void scheduleSweep() {
+        reactor.delayBackground(SWEEP_INTERVAL_MILLIS, () -> {
+            long longAgo = clock.millis() - MAX_SILENT_MILLIS;
             List<FrameChannel> silent = channels.stream()
                     .filter(channel -> channel.lastReadMillis() < longAgo)
                     .toList();
             silent.forEach(channel -> channel.close(new IOException("silent for long")));
-            sweepLater();
+            scheduleSweep();
         });
     }
 
     private void serve(ITcpSocket socket) {
         FrameChannel[] own = new FrameChannel[1];
-        own[0] = new FrameChannel(socket, clock, frame -> answer(own[0], frame), reason -> channels.remove(own[0]));
+        own[0] = new FrameChannel(socket, clock, frame -> respond(own[0], frame), reason -> channels.remove(own[0]));
         channels.add(own[0]);
         own[0].start();
     }
 
-    private void answer(FrameChannel channel, Frame frame) {
+    private void respond(FrameChannel channel, Frame frame) {
         if (frame.request() == null) {
             return;
         }
