--- a/daemon/src/test/java/org/bankturn/daemon/wire/EarlierFormatTest.java
+++ b/daemon/src/test/java/org/bankturn/daemon/wire/SerializationCompatibilityTest.java
@@ -24,7 +24,7 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 /** A record component that is renamed without keeping its outer name loses stored and received data silently. */
-class EarlierFormatTest {
+class SerializationCompatibilityTest {
     private record Samples(List<byte[]> messages) {}
 
     static Stream<Arguments> writtenTypes() {
@@ -57,7 +57,8 @@
     }
 
     private static byte[] read(String file) throws IOException {
-        try (InputStream stream = EarlierFormatTest.class.getResourceAsStream("/earlier-format/" + file + ".msgpack")) {
+        try (InputStream stream =
+                SerializationCompatibilityTest.class.getResourceAsStream("/earlier-format/" + file + ".msgpack")) {
             return stream.readAllBytes();
         }
     }
