--- a/daemon/src/test/java/org/bankturn/daemon/wire/SilentPeersTest.java
+++ b/daemon/src/test/java/org/bankturn/daemon/wire/NodeClientsTest.java
@@ -28,7 +28,7 @@
  * change of configuration that was accepted when the silence began was in force everywhere 4,074 ms later.
  */
 @Timeout(60)
-class SilentPeersTest {
+class NodeClientsTest {
     private static final int PEERS = 3;
     private static final long SHORT_MILLIS = 300;
 
@@ -52,7 +52,7 @@
         for (int peer = 0; peer < PEERS; peer++) {
             Address address = FreeAddresses.next();
             reactor.submit(() -> {
-                        NodeServer.create(reactor, address, SilentPeersTest::answer)
+                        NodeServer.create(reactor, address, NodeClientsTest::answer)
                                 .listen();
                         return Promise.complete();
                     })
