--- a/daemon/src/test/java/org/bankturn/daemon/group/SilentConnectionsTest.java
+++ b/daemon/src/test/java/org/bankturn/daemon/group/SilentConnectionsTest.java
@@ -66,7 +66,7 @@
         List<Address> listen = new ArrayList<>();
         for (int box = 0; box < BOXES; box++) {
             listen.add(FreeAddresses.next());
-            relays.add(SilencingRelay.before(listen.get(box)));
+            relays.add(SilencingRelay.inFrontOf(listen.get(box)));
             callAddresses.add(FreeAddresses.next());
         }
         for (int box = 0; box < BOXES; box++) {
--- a/daemon/src/test/java/org/bankturn/daemon/weights/SilentEngineTest.java
+++ b/daemon/src/test/java/org/bankturn/daemon/weights/SilentEngineTest.java
@@ -19,7 +19,7 @@
 
     @Override
     Address routeTo(Address engineAddress) throws IOException {
-        relay = SilencingRelay.before(engineAddress);
+        relay = SilencingRelay.inFrontOf(engineAddress);
         return relay.address();
     }
 
--- a/daemon/src/test/java/org/bankturn/daemon/wire/NodeClientsTest.java
+++ b/daemon/src/test/java/org/bankturn/daemon/wire/NodeClientsTest.java
@@ -57,7 +57,7 @@
                         return Promise.complete();
                     })
                     .join();
-            relays.add(SilencingRelay.before(address));
+            relays.add(SilencingRelay.inFrontOf(address));
         }
     }
 
--- a/daemon/src/test/java/org/bankturn/daemon/wire/SilencingRelay.java
+++ b/daemon/src/test/java/org/bankturn/daemon/wire/SilencingRelay.java
@@ -29,7 +29,7 @@
     private final AtomicInteger usedWhenSilent = new AtomicInteger();
 
     /** Opens a relay at an address of its own. */
-    public static SilencingRelay before(Address destination) throws IOException {
+    public static SilencingRelay inFrontOf(Address destination) throws IOException {
         return at(FreeAddresses.next(), destination);
     }
 
