--- a/daemon/src/test/java/org/bankturn/daemon/gateway/SilentTargetsTest.java
+++ b/daemon/src/test/java/org/bankturn/daemon/gateway/SilentTargetsTest.java
@@ -93,7 +93,9 @@
         System.out.printf(
                 "silent connections used: %d, connections opened: %d%n",
                 targetRelays.stream().mapToInt(SilencingRelay::usedWhenSilent).sum(),
-                targetRelays.stream().mapToInt(SilencingRelay::opened).sum());
+                targetRelays.stream()
+                        .mapToInt(SilencingRelay::openedConnections)
+                        .sum());
     }
 
     private List<ScriptedTarget> streamingTargets() throws IOException {
--- a/daemon/src/test/java/org/bankturn/daemon/weights/SilentEngineTest.java
+++ b/daemon/src/test/java/org/bankturn/daemon/weights/SilentEngineTest.java
@@ -43,6 +43,6 @@
         for (int report = 1; report <= 10; report++) {
             assertThat(requestLoad().active()).isEqualTo(report);
         }
-        assertThat(relay.opened()).isLessThan(10);
+        assertThat(relay.openedConnections()).isLessThan(10);
     }
 }
--- a/daemon/src/test/java/org/bankturn/daemon/wire/NodeClientsTest.java
+++ b/daemon/src/test/java/org/bankturn/daemon/wire/NodeClientsTest.java
@@ -88,7 +88,7 @@
             ask(1, LONG_MILLIS);
         }
         ask(1, LONG_MILLIS);
-        assertThat(relays.get(1).opened()).isEqualTo(1);
+        assertThat(relays.get(1).openedConnections()).isEqualTo(1);
     }
 
     @Test
--- a/daemon/src/test/java/org/bankturn/daemon/wire/SilencingRelay.java
+++ b/daemon/src/test/java/org/bankturn/daemon/wire/SilencingRelay.java
@@ -51,7 +51,7 @@
     }
 
     /** Returns how many connections were opened. */
-    public int opened() {
+    public int openedConnections() {
         return opened.get();
     }
 
