--- a/daemon/src/test/java/org/bankturn/daemon/gateway/SilentConnectionFixture.java
+++ b/daemon/src/test/java/org/bankturn/daemon/gateway/SilentConnectionFixture.java
@@ -57,7 +57,9 @@
     }
 
     int silentConnectionsUsed() {
-        return targetRelays.stream().mapToInt(SilencingRelay::usedWhenSilent).sum();
+        return targetRelays.stream()
+                .mapToInt(SilencingRelay::silentConnectionsUsed)
+                .sum();
     }
 
     private void publishTargets(RequestKind kind, Service service, List<ScriptedTarget> behind, int heldVersion)
--- a/daemon/src/test/java/org/bankturn/daemon/gateway/SilentTargetsTest.java
+++ b/daemon/src/test/java/org/bankturn/daemon/gateway/SilentTargetsTest.java
@@ -92,7 +92,9 @@
         }
         System.out.printf(
                 "silent connections used: %d, connections opened: %d%n",
-                targetRelays.stream().mapToInt(SilencingRelay::usedWhenSilent).sum(),
+                targetRelays.stream()
+                        .mapToInt(SilencingRelay::silentConnectionsUsed)
+                        .sum(),
                 targetRelays.stream()
                         .mapToInt(SilencingRelay::openedConnections)
                         .sum());
--- a/daemon/src/test/java/org/bankturn/daemon/group/SilentConnectionsTest.java
+++ b/daemon/src/test/java/org/bankturn/daemon/group/SilentConnectionsTest.java
@@ -259,7 +259,8 @@
                     "version %d accepted %d ms after the silence began, published to all followers %d ms after that%n",
                     version, accepted - silentMillis, latest - accepted);
         });
-        int used = relays.stream().mapToInt(SilencingRelay::usedWhenSilent).sum();
+        int used =
+                relays.stream().mapToInt(SilencingRelay::silentConnectionsUsed).sum();
         System.out.printf("silent connections that were used: %d%n", used);
     }
 }
--- a/daemon/src/test/java/org/bankturn/daemon/wire/NodeClientsTest.java
+++ b/daemon/src/test/java/org/bankturn/daemon/wire/NodeClientsTest.java
@@ -75,7 +75,9 @@
         relays.forEach(SilencingRelay::silence);
         assertThatThrownBy(() -> ask(0, SHORT_MILLIS)).isInstanceOf(CompletionException.class);
         askAll();
-        assertThat(relays.stream().mapToInt(SilencingRelay::usedWhenSilent).sum())
+        assertThat(relays.stream()
+                        .mapToInt(SilencingRelay::silentConnectionsUsed)
+                        .sum())
                 .isEqualTo(1);
     }
 
@@ -101,7 +103,7 @@
         relays.get(0).silence();
         assertThatThrownBy(unanswered::join).isInstanceOf(CompletionException.class);
         ask(0, LONG_MILLIS);
-        assertThat(relays.get(0).usedWhenSilent()).isZero();
+        assertThat(relays.get(0).silentConnectionsUsed()).isZero();
     }
 
     private void askAll() {
--- a/daemon/src/test/java/org/bankturn/daemon/wire/SilencingRelay.java
+++ b/daemon/src/test/java/org/bankturn/daemon/wire/SilencingRelay.java
@@ -56,7 +56,7 @@
     }
 
     /** Returns how many silent connections somebody still sent something on. */
-    public int usedWhenSilent() {
+    public int silentConnectionsUsed() {
         return usedWhenSilent.get();
     }
 
