--- a/daemon/src/test/java/org/bankturn/daemon/wire/NodeClientTest.java
+++ b/daemon/src/test/java/org/bankturn/daemon/wire/NodeClientTest.java
@@ -23,15 +23,15 @@
 
 @Timeout(30)
 class NodeClientTest {
-    private static final long SHORT_MILLIS = 200;
-    private static final long LONG_MILLIS = 10_000;
+    private static final long SHORT_TIMEOUT_MILLIS = 200;
+    private static final long LONG_TIMEOUT_MILLIS = 10_000;
 
     private final Eventloop reactor =
             Eventloop.builder().withThreadName("node-client-test").build();
-    private final List<Socket> open = new CopyOnWriteArrayList<>();
+    private final List<Socket> sockets = new CopyOnWriteArrayList<>();
     private final AtomicInteger connections = new AtomicInteger();
     private final Address server = FreeAddresses.next();
-    private ServerSocket entrance;
+    private ServerSocket proxy;
     private NodeClients clients;
 
     @BeforeEach
@@ -44,15 +44,15 @@
                     return Promise.complete();
                 })
                 .join();
-        entrance = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
+        proxy = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
         clients = NodeClients.on(reactor);
-        new Thread(this::admit, "entrance").start();
+        new Thread(this::acceptConnections, "entrance").start();
     }
 
     @AfterEach
     void stop() throws IOException {
-        entrance.close();
-        for (Socket socket : open) {
+        proxy.close();
+        for (Socket socket : sockets) {
             socket.close();
         }
         reactor.keepAlive(false);
@@ -62,8 +62,8 @@
     /** A link that was cut may leave connections that carry nothing any more, while new ones work. */
     @Test
     void a_connection_that_went_silent_is_replaced_by_a_new_one() {
-        assertThatThrownBy(() -> ask(SHORT_MILLIS)).hasRootCauseMessage("Promise timeout");
-        assertThat(ask(LONG_MILLIS)).isInstanceOf(NodeReply.Acknowledged.class);
+        assertThatThrownBy(() -> ask(SHORT_TIMEOUT_MILLIS)).hasRootCauseMessage("Promise timeout");
+        assertThat(ask(LONG_TIMEOUT_MILLIS)).isInstanceOf(NodeReply.Acknowledged.class);
         assertThat(connections).hasValue(2);
     }
 
@@ -72,26 +72,26 @@
         clients = NodeClients.on(reactor);
         connections.set(1);
         for (int count = 0; count < 3; count++) {
-            assertThat(ask(LONG_MILLIS)).isInstanceOf(NodeReply.Acknowledged.class);
+            assertThat(ask(LONG_TIMEOUT_MILLIS)).isInstanceOf(NodeReply.Acknowledged.class);
         }
         assertThat(connections).hasValue(2);
     }
 
     private NodeReply ask(long timeoutMillis) {
-        Address address = new Address("127.0.0.1", entrance.getLocalPort());
+        Address address = new Address("127.0.0.1", proxy.getLocalPort());
         return clients.askFromAnyThread(address, new NodeRequest.GetLoad(), timeoutMillis)
                 .join();
     }
 
     /** Takes the first connection and says nothing on it; passes the others on to the server. */
-    private void admit() {
+    private void acceptConnections() {
         try {
             while (true) {
-                Socket caller = entrance.accept();
-                open.add(caller);
+                Socket caller = proxy.accept();
+                sockets.add(caller);
                 if (connections.incrementAndGet() > 1) {
                     Socket inner = new Socket(server.host(), server.port());
-                    open.add(inner);
+                    sockets.add(inner);
                     pump(caller, inner);
                     pump(inner, caller);
                 }
--- a/daemon/src/test/java/org/bankturn/daemon/wire/NodeClientsTest.java
+++ b/daemon/src/test/java/org/bankturn/daemon/wire/NodeClientsTest.java
@@ -30,12 +30,12 @@
 @Timeout(60)
 class NodeClientsTest {
     private static final int PEERS = 3;
-    private static final long SHORT_MILLIS = 300;
+    private static final long SHORT_TIMEOUT_MILLIS = 300;
 
     /** Half of it is longer than a busy machine holds the other answers up. */
-    private static final long MIDDLING_MILLIS = 4_000;
+    private static final long MEDIUM_TIMEOUT_MILLIS = 4_000;
 
-    private static final long LONG_MILLIS = 20_000;
+    private static final long LONG_TIMEOUT_MILLIS = 20_000;
 
     private final Eventloop reactor =
             Eventloop.builder().withThreadName("silent-peers").build();
@@ -73,7 +73,7 @@
     void once_a_connection_is_found_silent_those_not_heard_since_are_not_used_again() {
         askAll();
         relays.forEach(SilencingRelay::silence);
-        assertThatThrownBy(() -> ask(0, SHORT_MILLIS)).isInstanceOf(CompletionException.class);
+        assertThatThrownBy(() -> ask(0, SHORT_TIMEOUT_MILLIS)).isInstanceOf(CompletionException.class);
         askAll();
         assertThat(relays.stream()
                         .mapToInt(SilencingRelay::silentConnectionsUsed)
@@ -85,38 +85,38 @@
     void a_connection_that_answered_while_another_was_silent_is_kept() {
         askAll();
         relays.get(0).silence();
-        CompletableFuture<NodeReply> lost = asked(0, MIDDLING_MILLIS);
+        CompletableFuture<NodeReply> lost = askAsync(0, MEDIUM_TIMEOUT_MILLIS);
         while (!lost.isDone()) {
-            ask(1, LONG_MILLIS);
+            ask(1, LONG_TIMEOUT_MILLIS);
         }
-        ask(1, LONG_MILLIS);
+        ask(1, LONG_TIMEOUT_MILLIS);
         assertThat(relays.get(1).openedConnections()).isEqualTo(1);
     }
 
     @Test
     void a_connection_that_went_silent_after_answers_to_later_questions_is_not_used_again() {
         // the connection is open first: while it is made, the second question goes out before the first
-        ask(0, LONG_MILLIS);
-        CompletableFuture<NodeReply> unanswered =
-                clients.askFromAnyThread(relays.get(0).address(), new NodeRequest.GetManifest("never"), SHORT_MILLIS);
-        ask(0, LONG_MILLIS);
+        ask(0, LONG_TIMEOUT_MILLIS);
+        CompletableFuture<NodeReply> unanswered = clients.askFromAnyThread(
+                relays.get(0).address(), new NodeRequest.GetManifest("never"), SHORT_TIMEOUT_MILLIS);
+        ask(0, LONG_TIMEOUT_MILLIS);
         relays.get(0).silence();
         assertThatThrownBy(unanswered::join).isInstanceOf(CompletionException.class);
-        ask(0, LONG_MILLIS);
+        ask(0, LONG_TIMEOUT_MILLIS);
         assertThat(relays.get(0).silentConnectionsUsed()).isZero();
     }
 
     private void askAll() {
         for (int peer = 0; peer < PEERS; peer++) {
-            assertThat(ask(peer, LONG_MILLIS)).isInstanceOf(NodeReply.Acknowledged.class);
+            assertThat(ask(peer, LONG_TIMEOUT_MILLIS)).isInstanceOf(NodeReply.Acknowledged.class);
         }
     }
 
     private NodeReply ask(int peer, long timeoutMillis) {
-        return asked(peer, timeoutMillis).join();
+        return askAsync(peer, timeoutMillis).join();
     }
 
-    private CompletableFuture<NodeReply> asked(int peer, long timeoutMillis) {
+    private CompletableFuture<NodeReply> askAsync(int peer, long timeoutMillis) {
         return clients.askFromAnyThread(relays.get(peer).address(), new NodeRequest.GetLoad(), timeoutMillis);
     }
 
--- a/daemon/src/test/java/org/bankturn/daemon/wire/NodeServerTest.java
+++ b/daemon/src/test/java/org/bankturn/daemon/wire/NodeServerTest.java
@@ -13,8 +13,8 @@
 
 @Timeout(30)
 class NodeServerTest {
-    private static final int ANY_SWEEP_MILLIS = 15_000;
-    private static final long LONGER_THAN_ANY_PEER_RESTS_MILLIS = 60_000;
+    private static final int READ_TIMEOUT_MILLIS = 15_000;
+    private static final long SILENT_MILLIS = 60_000;
 
     /**
      * Peers replace connections that went silent, and the end of the old ones never reaches the server, which kept each of
@@ -22,7 +22,7 @@
      * eight peers that use one each; descriptors are limited.
      */
     @Test
-    void a_connection_on_which_nothing_comes_any_more_is_closed() throws Exception {
+    void a_silent_connection_is_closed() throws Exception {
         Eventloop reactor =
                 Eventloop.builder().withThreadName("node-server-test").build();
         ManualClock clock = ManualClock.startingAt(1_000_000);
@@ -40,8 +40,8 @@
                     .askFromAnyThread(address, new NodeRequest.GetLoad(), 10_000)
                     .join();
             assertThat(reply).isInstanceOf(NodeReply.Acknowledged.class);
-            silent.setSoTimeout(ANY_SWEEP_MILLIS);
-            clock.advance(LONGER_THAN_ANY_PEER_RESTS_MILLIS);
+            silent.setSoTimeout(READ_TIMEOUT_MILLIS);
+            clock.advance(SILENT_MILLIS);
             assertThat(silent.getInputStream().read()).isNegative();
         } finally {
             reactor.keepAlive(false);
--- a/daemon/src/test/java/org/bankturn/daemon/wire/SerializationCompatibilityTest.java
+++ b/daemon/src/test/java/org/bankturn/daemon/wire/SerializationCompatibilityTest.java
@@ -27,7 +27,7 @@
 class SerializationCompatibilityTest {
     private record Samples(List<byte[]> messages) {}
 
-    static Stream<Arguments> writtenTypes() {
+    static Stream<Arguments> serializedTypes() {
         return Stream.of(
                 Arguments.of("agreement", RaftMessage.class),
                 Arguments.of("agreement-snapshot", Snapshot.class),
@@ -46,8 +46,8 @@
     }
 
     @ParameterizedTest(name = "{0}")
-    @MethodSource("writtenTypes")
-    void bytes_of_an_earlier_build_are_read_whole_and_written_the_same(String file, Class<?> type) throws IOException {
+    @MethodSource("serializedTypes")
+    void messages_of_an_earlier_build_survive_a_round_trip(String file, Class<?> type) throws IOException {
         MessagePackCodec codec = MessagePackCodec.instance();
         List<byte[]> messages = codec.decode(read(file), Samples.class).messages();
         assertThat(messages).isNotEmpty();
--- a/daemon/src/test/java/org/bankturn/daemon/wire/SilencingRelay.java
+++ b/daemon/src/test/java/org/bankturn/daemon/wire/SilencingRelay.java
@@ -25,8 +25,8 @@
     private final Address destination;
     private final ServerSocket listener;
     private final List<Link> links = new CopyOnWriteArrayList<>();
-    private final AtomicInteger opened = new AtomicInteger();
-    private final AtomicInteger usedWhenSilent = new AtomicInteger();
+    private final AtomicInteger openedConnections = new AtomicInteger();
+    private final AtomicInteger silentConnectionsUsed = new AtomicInteger();
 
     /** Opens a relay at an address of its own. */
     public static SilencingRelay inFrontOf(Address destination) throws IOException {
@@ -52,12 +52,12 @@
 
     /** Returns how many connections were opened. */
     public int openedConnections() {
-        return opened.get();
+        return openedConnections.get();
     }
 
     /** Returns how many silent connections somebody still sent something on. */
     public int silentConnectionsUsed() {
-        return usedWhenSilent.get();
+        return silentConnectionsUsed.get();
     }
 
     /** From now on the connections that are open carry nothing, and stay open. */
@@ -77,34 +77,34 @@
         while (!listener.isClosed()) {
             Socket near = listener.accept();
             Link link = new Link(near, new Socket(destination.host(), destination.port()));
-            opened.incrementAndGet();
+            openedConnections.incrementAndGet();
             links.add(link);
-            BackgroundThread.start(THREAD, () -> link.pass(link.near, link.far, true));
-            BackgroundThread.start(THREAD, () -> link.pass(link.far, link.near, false));
+            BackgroundThread.start(THREAD, () -> link.forward(link.client, link.server, true));
+            BackgroundThread.start(THREAD, () -> link.forward(link.server, link.client, false));
         }
     }
 
     private final class Link {
-        private final Socket near;
-        private final Socket far;
+        private final Socket client;
+        private final Socket server;
         private final AtomicBoolean silent = new AtomicBoolean();
         private final AtomicBoolean counted = new AtomicBoolean();
 
         Link(Socket near, Socket far) throws IOException {
-            this.near = near;
-            this.far = far;
+            this.client = near;
+            this.server = far;
             near.setTcpNoDelay(true);
             far.setTcpNoDelay(true);
         }
 
-        void pass(Socket from, Socket to, boolean outward) throws IOException {
+        void forward(Socket from, Socket to, boolean outward) throws IOException {
             byte[] buffer = new byte[BUFFER_BYTES];
             InputStream input = from.getInputStream();
             for (int count = input.read(buffer); count >= 0; count = input.read(buffer)) {
                 if (!silent.get()) {
                     to.getOutputStream().write(buffer, 0, count);
                 } else if (outward && counted.compareAndSet(false, true)) {
-                    usedWhenSilent.incrementAndGet();
+                    silentConnectionsUsed.incrementAndGet();
                 }
             }
             if (!silent.get()) {
@@ -113,8 +113,8 @@
         }
 
         void close() throws IOException {
-            near.close();
-            far.close();
+            client.close();
+            server.close();
         }
     }
 }
