--- a/daemon/src/main/java/org/bankturn/daemon/group/GroupNode.java
+++ b/daemon/src/main/java/org/bankturn/daemon/group/GroupNode.java
@@ -25,7 +25,7 @@
 import org.bankturn.daemon.observe.DecisionKind;
 import org.bankturn.daemon.observe.DecisionLog;
 import org.bankturn.daemon.observe.ServingMetrics;
-import org.bankturn.daemon.observe.SilentConnections;
+import org.bankturn.daemon.observe.SilentConnectionReporter;
 import org.bankturn.daemon.settings.Address;
 import org.bankturn.daemon.wire.NodeClients;
 import org.bankturn.daemon.wire.NodeReply;
@@ -118,7 +118,7 @@
         this.log = log;
         this.metrics = metrics;
         this.watchers = new Watchers(reactor);
-        this.clients = NodeClients.on(reactor, clock, SilentConnections.of(log, metrics));
+        this.clients = NodeClients.on(reactor, clock, SilentConnectionReporter.of(log, metrics));
         this.nodeServer = NodeServer.create(reactor, settings.listenAddress(), this::answer);
         this.listener = HttpListener.create(
                 reactor, clock, settings.callAddress().toSocketAddress(), () -> ServerLimits.CONTROL, this::handle);
--- a/daemon/src/main/java/org/bankturn/daemon/observe/SilentConnections.java
+++ b/daemon/src/main/java/org/bankturn/daemon/observe/SilentConnectionReporter.java
@@ -8,22 +8,22 @@
  *
  * <p>SilentConnections is thread-safe.
  */
-public final class SilentConnections implements ConnectionObserver {
+public final class SilentConnectionReporter implements ConnectionObserver {
     private final String peer;
     private final DecisionLog log;
     private final ServingMetrics metrics;
 
     /** Returns an observer of connections to other processes, not null. */
-    public static SilentConnections of(DecisionLog log, ServingMetrics metrics) {
+    public static SilentConnectionReporter of(DecisionLog log, ServingMetrics metrics) {
         return to(ServingMetrics.PEER_PROCESS, log, metrics);
     }
 
     /** Returns an observer of connections to one kind of peer, by its label in metrics, not null. */
-    public static SilentConnections to(String peer, DecisionLog log, ServingMetrics metrics) {
-        return new SilentConnections(peer, log, metrics);
+    public static SilentConnectionReporter to(String peer, DecisionLog log, ServingMetrics metrics) {
+        return new SilentConnectionReporter(peer, log, metrics);
     }
 
-    private SilentConnections(String peer, DecisionLog log, ServingMetrics metrics) {
+    private SilentConnectionReporter(String peer, DecisionLog log, ServingMetrics metrics) {
         this.peer = peer;
         this.log = log;
         this.metrics = metrics;
--- a/daemon/src/main/java/org/bankturn/daemon/serving/ServingProcess.java
+++ b/daemon/src/main/java/org/bankturn/daemon/serving/ServingProcess.java
@@ -14,7 +14,7 @@
 import org.bankturn.daemon.observe.DecisionKind;
 import org.bankturn.daemon.observe.DecisionLog;
 import org.bankturn.daemon.observe.ServingMetrics;
-import org.bankturn.daemon.observe.SilentConnections;
+import org.bankturn.daemon.observe.SilentConnectionReporter;
 import org.bankturn.daemon.observe.ThrownErrors;
 import org.bankturn.daemon.publication.Announcer;
 import org.bankturn.daemon.publication.ChangeSubmitter;
@@ -145,7 +145,7 @@
     }
 
     private NodeClients nodeClients() {
-        return NodeClients.on(reactor, clock, SilentConnections.of(log, metrics));
+        return NodeClients.on(reactor, clock, SilentConnectionReporter.of(log, metrics));
     }
 
     /** An entry box has a wide link, and so hands weights on as well. */
--- a/daemon/src/main/java/org/bankturn/daemon/weights/ProcessCopyContext.java
+++ b/daemon/src/main/java/org/bankturn/daemon/weights/ProcessCopyContext.java
@@ -10,7 +10,7 @@
 import org.bankturn.daemon.http.PooledHttpClient;
 import org.bankturn.daemon.observe.DecisionLog;
 import org.bankturn.daemon.observe.ServingMetrics;
-import org.bankturn.daemon.observe.SilentConnections;
+import org.bankturn.daemon.observe.SilentConnectionReporter;
 import org.bankturn.daemon.settings.Address;
 import org.bankturn.daemon.wire.NodeReply;
 import org.bankturn.daemon.wire.NodeRequest;
@@ -65,7 +65,7 @@
         this.calls = PooledHttpClient.on(
                 dependencies.reactor(),
                 dependencies.clock(),
-                SilentConnections.to(ServingMetrics.PEER_TARGET, dependencies.log(), dependencies.metrics()));
+                SilentConnectionReporter.to(ServingMetrics.PEER_TARGET, dependencies.log(), dependencies.metrics()));
     }
 
     @Override
--- a/daemon/src/test/java/org/bankturn/daemon/group/SilentConnectionsTest.java
+++ b/daemon/src/test/java/org/bankturn/daemon/group/SilentConnectionsTest.java
@@ -19,7 +19,7 @@
 import org.bankturn.daemon.observe.DecisionLog;
 import org.bankturn.daemon.observe.LogFile;
 import org.bankturn.daemon.observe.ServingMetrics;
-import org.bankturn.daemon.observe.SilentConnections;
+import org.bankturn.daemon.observe.SilentConnectionReporter;
 import org.bankturn.daemon.publication.PublicationFollower;
 import org.bankturn.daemon.publication.PublishedState;
 import org.bankturn.daemon.settings.Address;
@@ -179,7 +179,7 @@
 
         Follower(int number) {
             reactor = reactor("follower-" + number);
-            clients = NodeClients.on(reactor, clock, SilentConnections.of(log, metrics));
+            clients = NodeClients.on(reactor, clock, SilentConnectionReporter.of(log, metrics));
             PublicationFollower follower = PublicationFollower.of(
                     new PublicationFollower.Wiring(
                             reactor,
