--- a/daemon/src/main/java/org/bankturn/daemon/observe/ThrownErrors.java
+++ b/daemon/src/main/java/org/bankturn/daemon/observe/UnhandledErrorHandler.java
@@ -7,9 +7,9 @@
  * Writes a line for each error that was thrown on an event loop and that nothing handles, and counts them.
  *
  * <p>Such an error is a fault of this program: whatever was at work when it was thrown is not carried on, a request for
- * example, which then waits until its time is up. ThrownErrors is thread-safe.
+ * example, which then waits until its time is up. UnhandledErrorHandler is thread-safe.
  */
-public final class ThrownErrors implements FatalErrorHandler {
+public final class UnhandledErrorHandler implements FatalErrorHandler {
     private static final String OWN_PACKAGE = "org.bankturn.";
     private static final String UNKNOWN_PLACE = "unknown";
 
@@ -17,11 +17,11 @@
     private final ServingMetrics metrics;
 
     /** Returns a handler, not null. */
-    public static ThrownErrors of(DecisionLog log, ServingMetrics metrics) {
-        return new ThrownErrors(log, metrics);
+    public static UnhandledErrorHandler of(DecisionLog log, ServingMetrics metrics) {
+        return new UnhandledErrorHandler(log, metrics);
     }
 
-    private ThrownErrors(DecisionLog log, ServingMetrics metrics) {
+    private UnhandledErrorHandler(DecisionLog log, ServingMetrics metrics) {
         this.log = log;
         this.metrics = metrics;
     }
--- a/daemon/src/main/java/org/bankturn/daemon/serving/ServingProcess.java
+++ b/daemon/src/main/java/org/bankturn/daemon/serving/ServingProcess.java
@@ -15,7 +15,7 @@
 import org.bankturn.daemon.observe.DecisionLog;
 import org.bankturn.daemon.observe.ServingMetrics;
 import org.bankturn.daemon.observe.SilentConnectionReporter;
-import org.bankturn.daemon.observe.ThrownErrors;
+import org.bankturn.daemon.observe.UnhandledErrorHandler;
 import org.bankturn.daemon.publication.Announcer;
 import org.bankturn.daemon.publication.ChangeSubmitter;
 import org.bankturn.daemon.publication.PublicationFollower;
@@ -63,7 +63,7 @@
         this.metrics = ServingMetrics.of(log);
         this.reactor = Eventloop.builder()
                 .withThreadName("serving")
-                .withFatalErrorHandler(ThrownErrors.of(log, metrics))
+                .withFatalErrorHandler(UnhandledErrorHandler.of(log, metrics))
                 .build();
     }
 
--- a/daemon/src/test/java/org/bankturn/daemon/observe/ThrownErrorsTest.java
+++ b/daemon/src/test/java/org/bankturn/daemon/observe/ThrownErrorsTest.java
@@ -18,7 +18,7 @@
         ServingMetrics metrics = ServingMetrics.of(log);
         Eventloop reactor = Eventloop.builder()
                 .withThreadName("thrown")
-                .withFatalErrorHandler(ThrownErrors.of(log, metrics))
+                .withFatalErrorHandler(UnhandledErrorHandler.of(log, metrics))
                 .build();
         reactor.post(() -> {
             throw new IllegalStateException("for a test");
