--- a/daemon/src/main/java/org/bankturn/daemon/observe/SilentConnectionReporter.java
+++ b/daemon/src/main/java/org/bankturn/daemon/observe/SilentConnectionReporter.java
@@ -15,11 +15,11 @@
 
     /** Returns an observer of connections to other processes, not null. */
     public static SilentConnectionReporter of(DecisionLog log, ServingMetrics metrics) {
-        return to(ServingMetrics.PEER_PROCESS, log, metrics);
+        return forPeer(ServingMetrics.PEER_PROCESS, log, metrics);
     }
 
     /** Returns an observer of connections to one kind of peer, by its label in metrics, not null. */
-    public static SilentConnectionReporter to(String peer, DecisionLog log, ServingMetrics metrics) {
+    public static SilentConnectionReporter forPeer(String peer, DecisionLog log, ServingMetrics metrics) {
         return new SilentConnectionReporter(peer, log, metrics);
     }
 
--- a/daemon/src/main/java/org/bankturn/daemon/weights/ProcessCopyContext.java
+++ b/daemon/src/main/java/org/bankturn/daemon/weights/ProcessCopyContext.java
@@ -65,7 +65,8 @@
         this.calls = PooledHttpClient.on(
                 dependencies.reactor(),
                 dependencies.clock(),
-                SilentConnectionReporter.to(ServingMetrics.PEER_TARGET, dependencies.log(), dependencies.metrics()));
+                SilentConnectionReporter.forPeer(
+                        ServingMetrics.PEER_TARGET, dependencies.log(), dependencies.metrics()));
     }
 
     @Override
