--- a/daemon/src/main/java/org/bankturn/daemon/gateway/StallDetector.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/StallDetector.java
@@ -130,7 +130,7 @@
         if (!blamesTarget) {
             gateway.connectionTrust().timedOut(now() - silentMillis() / 2);
         }
-        gateway.metrics().connectionSilent(ServingMetrics.PEER_TARGET);
+        gateway.metrics().silentConnectionClosed(ServingMetrics.PEER_TARGET);
         gateway.log()
                 .line(DecisionKind.LOST)
                 .with(DecisionField.DEPENDENCY, "connection")
--- a/daemon/src/main/java/org/bankturn/daemon/observe/ServingMetrics.java
+++ b/daemon/src/main/java/org/bankturn/daemon/observe/ServingMetrics.java
@@ -174,7 +174,7 @@
     }
 
     /** Counts a connection that was given up because it was silent; {@code peer} is one of the labels above. */
-    public void connectionSilent(String peer) {
+    public void silentConnectionClosed(String peer) {
         silentConnections.labelValues(peer).inc();
     }
 
--- a/daemon/src/main/java/org/bankturn/daemon/observe/SilentConnectionReporter.java
+++ b/daemon/src/main/java/org/bankturn/daemon/observe/SilentConnectionReporter.java
@@ -31,7 +31,7 @@
 
     @Override
     public void onSilentConnection(Address address, long silentMillis, boolean kept) {
-        metrics.connectionSilent(peer);
+        metrics.silentConnectionClosed(peer);
         log.line(DecisionKind.LOST)
                 .with(DecisionField.DEPENDENCY, "connection")
                 .with(DecisionField.ADDRESS, address)
