--- a/daemon/src/main/java/org/bankturn/daemon/gateway/CrashDetector.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/CrashDetector.java
@@ -147,7 +147,7 @@
 
     private void refreshCondemned() {
         Set<RequestFingerprint> current = suspects.condemned();
-        metrics.condemned(current.size());
+        metrics.setBlockedRequests(current.size());
         Set<RequestFingerprint> previous = Set.copyOf(condemned);
         condemned.clear();
         condemned.addAll(current);
--- a/daemon/src/main/java/org/bankturn/daemon/observe/ServingMetrics.java
+++ b/daemon/src/main/java/org/bankturn/daemon/observe/ServingMetrics.java
@@ -229,7 +229,7 @@
     }
 
     /** Takes in how many requests are sent to no target because targets ended under them. */
-    public void condemned(int requests) {
+    public void setBlockedRequests(int requests) {
         condemned.set(requests);
     }
 
