--- a/daemon/src/main/java/org/bankturn/daemon/gateway/CrashDetector.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/CrashDetector.java
@@ -248,7 +248,7 @@
         List<RequestFingerprint> requests = interruptedRequests.recordCrash(target);
         for (RequestFingerprint request : requests) {
             suspects.recordCrash(target, request);
-            metrics.suspected(ServingMetrics.SUSPECT_BLAMED);
+            metrics.suspectEvent(ServingMetrics.SUSPECT_BLAMED);
             log.line(DecisionKind.SUSPECT)
                     .with(DecisionField.EVENT, "target ended")
                     .with(DecisionField.TARGET, target)
@@ -277,7 +277,7 @@
         }
         suspects.recordCompletion(fingerprint);
         refreshCondemned();
-        metrics.suspected(ServingMetrics.SUSPECT_CLEARED);
+        metrics.suspectEvent(ServingMetrics.SUSPECT_CLEARED);
         unreportedCompletions.add(fingerprint);
         scheduleReport();
     }
--- a/daemon/src/main/java/org/bankturn/daemon/gateway/ForwardedRequest.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/ForwardedRequest.java
@@ -72,7 +72,7 @@
         if (granted) {
             startForwarding();
         } else {
-            gateway.metrics().suspected(ServingMetrics.SUSPECT_REFUSED);
+            gateway.metrics().suspectEvent(ServingMetrics.SUSPECT_REFUSED);
             refuseCondemned();
         }
     }
@@ -156,7 +156,7 @@
         if (exchange.isFinished()) {
             return;
         }
-        gateway.metrics().suspected(ServingMetrics.SUSPECT_STOPPED);
+        gateway.metrics().suspectEvent(ServingMetrics.SUSPECT_STOPPED);
         if (exchange.hasStartedResponse() || progress.mayHaveRun()) {
             giveUp(condemnedReason());
         } else {
--- a/daemon/src/main/java/org/bankturn/daemon/observe/ServingMetrics.java
+++ b/daemon/src/main/java/org/bankturn/daemon/observe/ServingMetrics.java
@@ -224,7 +224,7 @@
     }
 
     /** Counts a request under which a target ended; {@code event} is one of the labels above. */
-    public void suspected(String event) {
+    public void suspectEvent(String event) {
         suspects.labelValues(event).inc();
     }
 
