--- a/daemon/src/main/java/org/bankturn/daemon/group/GroupNode.java
+++ b/daemon/src/main/java/org/bankturn/daemon/group/GroupNode.java
@@ -232,7 +232,7 @@
 
     private void record(ControlCall call, ControlAnswer answer, long tookMillis) {
         String name = call.getClass().getSimpleName();
-        metrics.leads(member.view().leads());
+        metrics.setLeader(member.view().leads());
         metrics.controlCall(name, answer.getClass().getSimpleName(), tookMillis);
         boolean unlogged = answer instanceof ControlAnswer.Accepted && call instanceof ControlCall.Heartbeat;
         if (!unlogged) {
--- a/daemon/src/main/java/org/bankturn/daemon/observe/ServingMetrics.java
+++ b/daemon/src/main/java/org/bankturn/daemon/observe/ServingMetrics.java
@@ -256,7 +256,7 @@
     }
 
     /** Takes in whether this process leads its group. */
-    public void leads(boolean leading) {
+    public void setLeader(boolean leading) {
         leads.set(leading ? 1 : 0);
     }
 
