--- a/daemon/src/main/java/org/bankturn/daemon/observe/ServingMetrics.java
+++ b/daemon/src/main/java/org/bankturn/daemon/observe/ServingMetrics.java
@@ -249,7 +249,7 @@
     }
 
     /** Takes in what is published here. */
-    public void published(long index, long version, int knownTargets) {
+    public void setPublication(long index, long version, int knownTargets) {
         publicationIndex.set((double) index);
         documentVersion.set((double) version);
         targets.set(knownTargets);
--- a/daemon/src/main/java/org/bankturn/daemon/publication/PublicationFollower.java
+++ b/daemon/src/main/java/org/bankturn/daemon/publication/PublicationFollower.java
@@ -208,7 +208,7 @@
                 .with(DecisionField.CONFIRMED, published.confirmed())
                 .with(DecisionField.FROM, from)
                 .write();
-        metrics.published(published.index(), version, published.targets().size());
+        metrics.setPublication(published.index(), version, published.targets().size());
         listener.published(published, changedSinceMillis);
     }
 
