--- a/daemon/src/main/java/org/bankturn/daemon/gateway/Gateway.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/Gateway.java
@@ -129,7 +129,7 @@
         this.loadPoller = LoadPoller.of(reactor, clock, clients, targets, settings, metrics);
         this.permits =
                 PermitExchange.of(settings.nodeAddress(), reactor, clock, clients, targets, random, log, metrics);
-        metrics.tellHeldBack(targets::heldBackCounts);
+        metrics.registerHeldBackGauge(targets::heldBackCounts);
         this.crashDetector = CrashDetector.of(
                 settings.process(), reactor, clock, log, metrics, connections, controlGroup, this::stopCondemned);
         this.callers = HttpListener.create(
--- a/daemon/src/main/java/org/bankturn/daemon/observe/ServingMetrics.java
+++ b/daemon/src/main/java/org/bankturn/daemon/observe/ServingMetrics.java
@@ -199,7 +199,7 @@
     }
 
     /** Has the targets that are held back told whenever metrics are read, by reason; to be called once. */
-    public void tellHeldBack(Supplier<Map<HoldReason, Integer>> counts) {
+    public void registerHeldBackGauge(Supplier<Map<HoldReason, Integer>> counts) {
         GaugeWithCallback.builder()
                 .name("bankturn_targets_held_back")
                 .help("Targets that get no request from this gateway now, by reason.")
