--- a/daemon/src/main/java/org/bankturn/daemon/gateway/ForwardedRequest.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/ForwardedRequest.java
@@ -334,7 +334,7 @@
 
     /** Handles a target that stopped accepting requests before this one was sent. */
     void onHeldBack(TargetSighting target, HoldReason reason) {
-        gateway.metrics().heldBack(reason.label());
+        gateway.metrics().requestHeldBack(reason.label());
         progress.targetHeldBack(target.id());
         sendToNext();
     }
--- a/daemon/src/main/java/org/bankturn/daemon/observe/ServingMetrics.java
+++ b/daemon/src/main/java/org/bankturn/daemon/observe/ServingMetrics.java
@@ -219,7 +219,7 @@
     }
 
     /** Counts a request that had a target and was not sent to it, because the target wanted none by then. */
-    public void heldBack(String reason) {
+    public void requestHeldBack(String reason) {
         heldBack.labelValues(reason).inc();
     }
 
