--- a/daemon/src/main/java/org/bankturn/daemon/gateway/PermitExchange.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/PermitExchange.java
@@ -127,7 +127,7 @@
     }
 
     private void recordUnanswered(TargetState target, Exception failure) {
-        metrics.permitAsked(ServingMetrics.PERMIT_UNANSWERED);
+        metrics.permitRequested(ServingMetrics.PERMIT_UNANSWERED);
         log.line(DecisionKind.NOTICE)
                 .with(DecisionField.EVENT, "permits_unanswered")
                 .with(DecisionField.TARGET, target.sighting().id())
@@ -141,7 +141,8 @@
         askCoordinator(target, true).whenComplete((answer, failure) -> {
             if (failure == null) {
                 applyAnswer(target, answer, askedMillis);
-                metrics.permitAsked(answer.granted() ? ServingMetrics.PERMIT_GRANTED : ServingMetrics.PERMIT_REFUSED);
+                metrics.permitRequested(
+                        answer.granted() ? ServingMetrics.PERMIT_GRANTED : ServingMetrics.PERMIT_REFUSED);
             } else {
                 target.permitUnanswered(clock.millis());
                 recordUnanswered(target, failure);
--- a/daemon/src/main/java/org/bankturn/daemon/observe/ServingMetrics.java
+++ b/daemon/src/main/java/org/bankturn/daemon/observe/ServingMetrics.java
@@ -214,7 +214,7 @@
     }
 
     /** Counts a question for a permit; {@code outcome} is one of the labels above. */
-    public void permitAsked(String outcome) {
+    public void permitRequested(String outcome) {
         permits.labelValues(outcome).inc();
     }
 
