--- a/daemon/src/main/java/org/bankturn/daemon/gateway/Attempt.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/Attempt.java
@@ -161,11 +161,11 @@
 
     private void applyNotice(ResponseMetadata parsed) {
         for (String field : parsed.unreadableFields()) {
-            gateway.metrics().targetNoticed(ServingMetrics.NOTICE_UNREADABLE);
+            gateway.metrics().targetNoticeChanged(ServingMetrics.NOTICE_UNREADABLE);
             noticeLine("unreadable").with(DecisionField.ERROR, field).write();
         }
         for (NoticeChange change : target.applyNotice(parsed.notice(), parsed.isSuccess(), sentMillis, now())) {
-            gateway.metrics().targetNoticed(change.label());
+            gateway.metrics().targetNoticeChanged(change.label());
             noticeLine(change.label())
                     .with(DecisionField.PER_SECOND, target.rateLimit().perSecond())
                     .with(DecisionField.BACK_OFF_MS, parsed.notice().backOffMillis())
--- a/daemon/src/main/java/org/bankturn/daemon/gateway/PermitExchange.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/PermitExchange.java
@@ -166,7 +166,7 @@
             return;
         }
         NoticeChange change = after.inForce() ? NoticeChange.LIMIT_CHANGED : NoticeChange.LIMIT_ENDED;
-        metrics.targetNoticed(change.label());
+        metrics.targetNoticeChanged(change.label());
         log.line(DecisionKind.NOTICE)
                 .with(DecisionField.EVENT, change.label())
                 .with(DecisionField.TARGET, target.sighting().id())
--- a/daemon/src/main/java/org/bankturn/daemon/observe/ServingMetrics.java
+++ b/daemon/src/main/java/org/bankturn/daemon/observe/ServingMetrics.java
@@ -194,7 +194,7 @@
     }
 
     /** Counts a change of what a target asks of its callers; {@code event} is its label. */
-    public void targetNoticed(String event) {
+    public void targetNoticeChanged(String event) {
         targetNotices.labelValues(event).inc();
     }
 
