--- a/daemon/src/main/java/org/bankturn/daemon/observe/ServingMetrics.java
+++ b/daemon/src/main/java/org/bankturn/daemon/observe/ServingMetrics.java
@@ -234,7 +234,7 @@
     }
 
     /** Takes in a good piece of weights. */
-    public void pieceTaken(String source, long bytes) {
+    public void pieceReceived(String source, long bytes) {
         pieceBytes.labelValues(source).inc(bytes);
     }
 
--- a/daemon/src/main/java/org/bankturn/daemon/weights/WeightsCopy.java
+++ b/daemon/src/main/java/org/bankturn/daemon/weights/WeightsCopy.java
@@ -192,7 +192,7 @@
         if (!matches(piece, bytes)) {
             return false;
         }
-        context.metrics().pieceTaken(source, bytes.length);
+        context.metrics().pieceReceived(source, bytes.length);
         store(piece, bytes);
         return true;
     }
