--- a/daemon/src/main/java/org/bankturn/daemon/gateway/LoadPoller.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/LoadPoller.java
@@ -173,7 +173,7 @@
                 .then((reply, failure) -> {
                     long elapsedMillis = clock.millis() - askedMillis;
                     boolean answered = failure == null && reply instanceof NodeReply.Load;
-                    metrics.loadQuestionEnded(answered);
+                    metrics.loadPollEnded(answered);
                     if (answered && reply instanceof NodeReply.Load report && report.load() != null) {
                         targets.loadReported(id, report.load(), report.ageMillis(), elapsedMillis);
                         targets.interruptionAnnounced(id, report.breaksOffInMillis());
--- a/daemon/src/main/java/org/bankturn/daemon/observe/ServingMetrics.java
+++ b/daemon/src/main/java/org/bankturn/daemon/observe/ServingMetrics.java
@@ -184,7 +184,7 @@
     }
 
     /** Counts a question for an engine's load, by whether its answer came. */
-    public void loadQuestionEnded(boolean answered) {
+    public void loadPollEnded(boolean answered) {
         loadQuestions.labelValues(answered ? "answered" : "unanswered").inc();
     }
 
