--- a/daemon/src/main/java/org/bankturn/daemon/observe/ServingMetrics.java
+++ b/daemon/src/main/java/org/bankturn/daemon/observe/ServingMetrics.java
@@ -261,7 +261,7 @@
     }
 
     /** Returns every metric in the Prometheus text format, not null. */
-    public byte[] text() {
+    public byte[] metricsText() {
         ByteArrayOutputStream text = new ByteArrayOutputStream();
         try {
             PrometheusTextFormatWriter.create().write(text, registry.scrape());
--- a/daemon/src/main/java/org/bankturn/daemon/serving/MetricsServer.java
+++ b/daemon/src/main/java/org/bankturn/daemon/serving/MetricsServer.java
@@ -35,6 +35,6 @@
     }
 
     private void answer(ServerExchange exchange) {
-        exchange.respond(HttpHead.response(200, List.of(CONTENT_TYPE)), metrics.text());
+        exchange.respond(HttpHead.response(200, List.of(CONTENT_TYPE)), metrics.metricsText());
     }
 }
--- a/daemon/src/test/java/org/bankturn/daemon/gateway/SilentTargetConnectionsTest.java
+++ b/daemon/src/test/java/org/bankturn/daemon/gateway/SilentTargetConnectionsTest.java
@@ -33,7 +33,7 @@
             assertThat(call("GET", "after" + number, "")).startsWith("HTTP/1.1 200");
         }
         assertThat(silentConnectionsUsed()).isEqualTo(1);
-        assertThat(new String(metrics.text(), StandardCharsets.UTF_8)).doesNotContain("target_failures_total{");
+        assertThat(new String(metrics.metricsText(), StandardCharsets.UTF_8)).doesNotContain("target_failures_total{");
     }
 
     /** Returns targets that respond only once all requests have arrived, so that each uses its own connection. */
--- a/daemon/src/test/java/org/bankturn/daemon/gateway/TargetBackOffTest.java
+++ b/daemon/src/test/java/org/bankturn/daemon/gateway/TargetBackOffTest.java
@@ -80,7 +80,8 @@
         assertThat(refused).startsWith("HTTP/1.1 503");
         assertThat(arrivals).hasSize(2);
         long retryAfterMillis = Long.parseLong(ScriptedTarget.field(refused, "come-back"));
-        assertThat(new String(reactor.submit(() -> Promise.of(metrics.text())).join(), StandardCharsets.UTF_8))
+        assertThat(new String(
+                        reactor.submit(() -> Promise.of(metrics.metricsText())).join(), StandardCharsets.UTF_8))
                 .contains("bankturn_targets_held_back{reason=\"backing_off\"} 2.0");
         assertThat(retryAfterMillis).isBetween(arrivals.get(0) + BACK_OFF_MILLIS - clock.millis(), 2 * BACK_OFF_MILLIS);
     }
--- a/daemon/src/test/java/org/bankturn/daemon/observe/ThrownErrorsTest.java
+++ b/daemon/src/test/java/org/bankturn/daemon/observe/ThrownErrorsTest.java
@@ -34,6 +34,6 @@
         assertThat(wentOn[0]).isTrue();
         assertThat(written.toString(StandardCharsets.UTF_8))
                 .contains("\"kind\":\"error\"", "for a test", "ThrownErrorsTest");
-        assertThat(new String(metrics.text(), StandardCharsets.UTF_8)).contains("bankturn_errors_total 1");
+        assertThat(new String(metrics.metricsText(), StandardCharsets.UTF_8)).contains("bankturn_errors_total 1");
     }
 }
