--- a/daemon/src/main/java/org/bankturn/daemon/entry/EntryServlet.java
+++ b/daemon/src/main/java/org/bankturn/daemon/entry/EntryServlet.java
@@ -113,7 +113,7 @@
             throw new RefusedException(refused.code(), "", refused.retryAfterMillis());
         }
         state.retryBudget().recordRequest();
-        Passage passage = new Passage(request, state.telemetry().startHop("entry", traceparent));
+        Passage passage = new Passage(request, state.telemetry().startServerSpan("entry", traceparent));
         return request.hasKey() ? claimThenRun(passage) : run(passage);
     }
 
--- a/daemon/src/main/java/org/bankturn/daemon/observe/Telemetry.java
+++ b/daemon/src/main/java/org/bankturn/daemon/observe/Telemetry.java
@@ -180,7 +180,7 @@
      * @param traceparent the caller's W3C trace context, null if it sent none
      * @return the span, to be ended by the caller, not null
      */
-    public Span startHop(String name, String traceparent) {
+    public Span startServerSpan(String name, String traceparent) {
         Map<String, String> carrier = new HashMap<>();
         if (traceparent != null) {
             carrier.put(TRACEPARENT, traceparent);
--- a/daemon/src/main/java/org/bankturn/daemon/target/TargetServlet.java
+++ b/daemon/src/main/java/org/bankturn/daemon/target/TargetServlet.java
@@ -87,7 +87,7 @@
     }
 
     private Promise<HttpResponse> pass(HttpRequest request, String version) {
-        Span span = telemetry.startHop("target", request.getHeader(BankturnHeaders.TRACEPARENT));
+        Span span = telemetry.startServerSpan("target", request.getHeader(BankturnHeaders.TRACEPARENT));
         begin(version);
         return request.loadBody().then(body -> {
             BackendClient.Exchange exchange = client.send(copy(request, body, version, telemetry.traceparentOf(span)));
