--- a/daemon/src/main/java/org/bankturn/daemon/observe/Telemetry.java
+++ b/daemon/src/main/java/org/bankturn/daemon/observe/Telemetry.java
@@ -160,7 +160,7 @@
      * @param source origin or peer, not null
      * @param bytes its size
      */
-    public void chunkKept(String source, long bytes) {
+    public void chunkVerified(String source, long bytes) {
         chunkBytes.labelValues(source).inc(bytes);
     }
 
--- a/daemon/src/main/java/org/bankturn/daemon/target/VersionCopy.java
+++ b/daemon/src/main/java/org/bankturn/daemon/target/VersionCopy.java
@@ -254,7 +254,7 @@
                 .then(nothing -> Promise.ofBlocking(context.files(), () -> file.store(chunk, bytes)))
                 .map(kept -> {
                     if (kept) {
-                        context.telemetry().chunkKept(source, bytes.length);
+                        context.telemetry().chunkVerified(source, bytes.length);
                         server.chunkKept();
                         return TransferOutcome.KEPT;
                     }
