--- a/daemon/src/main/java/org/bankturn/daemon/entry/EntryServlet.java
+++ b/daemon/src/main/java/org/bankturn/daemon/entry/EntryServlet.java
@@ -59,7 +59,7 @@
             ended = true;
             state.admission().ended(request.account().name(), state.clock().millis() - startMillis);
             state.telemetry().requestEnded(request.service().name(), result);
-            state.telemetry().inFlight(state.admission().running());
+            state.telemetry().setInFlight(state.admission().running());
             span.end();
         }
 
--- a/daemon/src/main/java/org/bankturn/daemon/observe/Telemetry.java
+++ b/daemon/src/main/java/org/bankturn/daemon/observe/Telemetry.java
@@ -141,7 +141,7 @@
      *
      * @param count the number
      */
-    public void inFlight(int count) {
+    public void setInFlight(int count) {
         inFlight.set(count);
     }
 
--- a/daemon/src/main/java/org/bankturn/daemon/target/TargetServlet.java
+++ b/daemon/src/main/java/org/bankturn/daemon/target/TargetServlet.java
@@ -139,13 +139,13 @@
     private void begin(String version) {
         running++;
         runningByVersion.merge(version, 1, Integer::sum);
-        telemetry.inFlight(running);
+        telemetry.setInFlight(running);
     }
 
     private void end(String version, Span span) {
         running--;
         runningByVersion.computeIfPresent(version, (key, count) -> count == 1 ? null : count - 1);
-        telemetry.inFlight(running);
+        telemetry.setInFlight(running);
         span.end();
     }
 
