--- a/daemon/src/main/java/org/bankturn/daemon/BankturnProcess.java
+++ b/daemon/src/main/java/org/bankturn/daemon/BankturnProcess.java
@@ -250,7 +250,7 @@
     // ---- reports
 
     private void configurationAdvanced(Configuration configuration) {
-        telemetry.configurationIndex(configuration.index());
+        telemetry.setConfigurationIndex(configuration.index());
         LOG.log(Level.INFO, "configuration in force: " + configuration.index() + " " + configuration.digest());
     }
 
--- a/daemon/src/main/java/org/bankturn/daemon/observe/Telemetry.java
+++ b/daemon/src/main/java/org/bankturn/daemon/observe/Telemetry.java
@@ -150,7 +150,7 @@
      *
      * @param index its index
      */
-    public void configurationIndex(long index) {
+    public void setConfigurationIndex(long index) {
         configurationIndex.set((double) index);
     }
 
