--- a/daemon/src/main/java/org/bankturn/daemon/entry/EntryServlet.java
+++ b/daemon/src/main/java/org/bankturn/daemon/entry/EntryServlet.java
@@ -173,7 +173,7 @@
 
     private void noteFirstByte(Passage passage) {
         long took = state.clock().millis() - passage.startMillis;
-        state.telemetry().firstByte(passage.request.service().name(), took / MILLIS_PER_SECOND);
+        state.telemetry().firstByteReceived(passage.request.service().name(), took / MILLIS_PER_SECOND);
     }
 
     // ---- requests with a key
--- a/daemon/src/main/java/org/bankturn/daemon/observe/Telemetry.java
+++ b/daemon/src/main/java/org/bankturn/daemon/observe/Telemetry.java
@@ -132,7 +132,7 @@
      * @param service the service, not null
      * @param seconds the time in seconds
      */
-    public void firstByte(String service, double seconds) {
+    public void firstByteReceived(String service, double seconds) {
         firstByteSeconds.labelValues(service).observe(seconds);
     }
 
