--- a/daemon/src/main/java/org/bankturn/daemon/observe/DecisionLine.java
+++ b/daemon/src/main/java/org/bankturn/daemon/observe/DecisionLine.java
@@ -9,14 +9,14 @@
  */
 public final class DecisionLine {
     private static final JsonStringEncoder ENCODER = JsonStringEncoder.getInstance();
-    private static final int USUAL_LENGTH = 192;
+    private static final int INITIAL_CAPACITY = 192;
 
     private final DecisionLog log;
     private final StringBuilder text;
 
     /** Begins a line that is written. */
     static DecisionLine begin(DecisionLog log, long atMillis, String process, DecisionKind kind) {
-        StringBuilder text = new StringBuilder(USUAL_LENGTH);
+        StringBuilder text = new StringBuilder(INITIAL_CAPACITY);
         text.append("{\"at\":").append(atMillis).append(",\"process\":\"");
         ENCODER.quoteAsString(process, text);
         text.append("\",\"kind\":\"").append(kind.label()).append('"');
--- a/daemon/src/main/java/org/bankturn/daemon/observe/DecisionLog.java
+++ b/daemon/src/main/java/org/bankturn/daemon/observe/DecisionLog.java
@@ -22,16 +22,16 @@
  * <p>DecisionLog is thread-safe.
  */
 public final class DecisionLog {
-    private static final int QUEUED_LINES = 1_024;
-    private static final int LINES_A_SECOND = 20;
+    private static final int QUEUE_CAPACITY = 1_024;
+    private static final int MAX_LINES_PER_SECOND = 20;
     private static final long SECOND_MILLIS = 1_000;
 
-    private final BlockingQueue<String> queue = new ArrayBlockingQueue<>(QUEUED_LINES);
-    private final AtomicLong dropped = new AtomicLong();
-    private final AtomicLong droppedInAll = new AtomicLong();
+    private final BlockingQueue<String> queue = new ArrayBlockingQueue<>(QUEUE_CAPACITY);
+    private final AtomicLong unreportedDropped = new AtomicLong();
+    private final AtomicLong totalDropped = new AtomicLong();
     private final AtomicLong written = new AtomicLong();
     private final Map<DecisionKind, Integer> writtenThisSecond = new EnumMap<>(DecisionKind.class);
-    private long second;
+    private long currentSecond;
     private final Clock clock;
     private final String process;
     private final OutputStream output;
@@ -78,7 +78,7 @@
 
     /** Returns how many lines were dropped since the start. */
     public long dropped() {
-        return droppedInAll.get();
+        return totalDropped.get();
     }
 
     /** Takes a whole line and never waits. */
@@ -89,16 +89,16 @@
     }
 
     private void countDropped() {
-        dropped.incrementAndGet();
-        droppedInAll.incrementAndGet();
+        unreportedDropped.incrementAndGet();
+        totalDropped.incrementAndGet();
     }
 
     private synchronized boolean withinBudget(DecisionKind kind, long now) {
-        if (now / SECOND_MILLIS != second) {
-            second = now / SECOND_MILLIS;
+        if (now / SECOND_MILLIS != currentSecond) {
+            currentSecond = now / SECOND_MILLIS;
             writtenThisSecond.clear();
         }
-        return writtenThisSecond.merge(kind, 1, Integer::sum) <= LINES_A_SECOND;
+        return writtenThisSecond.merge(kind, 1, Integer::sum) <= MAX_LINES_PER_SECOND;
     }
 
     private void writeLines() {
@@ -106,7 +106,7 @@
             while (true) {
                 output.write(queue.take().getBytes(StandardCharsets.UTF_8));
                 written.incrementAndGet();
-                long lost = dropped.getAndSet(0);
+                long lost = unreportedDropped.getAndSet(0);
                 if (lost > 0) {
                     String line = "{\"at\":" + clock.millis() + ",\"process\":\"" + process
                             + "\",\"kind\":\"lines_dropped\",\"count\":" + lost + "}\n";
--- a/daemon/src/main/java/org/bankturn/daemon/observe/ServingMetrics.java
+++ b/daemon/src/main/java/org/bankturn/daemon/observe/ServingMetrics.java
@@ -20,8 +20,8 @@
  * <p>Names begin with {@code bankturn_}; durations are in seconds, sizes in bytes. ServingMetrics is thread-safe.
  */
 public final class ServingMetrics {
-    private static final double[] SECONDS = {0.005, 0.02, 0.05, 0.1, 0.2, 0.3, 0.4, 0.5, 0.75, 1, 2, 4, 8};
-    private static final double[] RATIOS = {0.25, 0.5, 0.75, 1, 1.25, 1.5, 2, 3, 5, 8};
+    private static final double[] LATENCY_BUCKETS = {0.005, 0.02, 0.05, 0.1, 0.2, 0.3, 0.4, 0.5, 0.75, 1, 2, 4, 8};
+    private static final double[] RATIO_BUCKETS = {0.25, 0.5, 0.75, 1, 1.25, 1.5, 2, 3, 5, 8};
     private static final double MILLIS_PER_SECOND = 1_000;
 
     /** The label of connections to other processes of bankturn. */
@@ -59,14 +59,14 @@
     private final Counter retries;
     private final Counter targetFailures;
     private final Counter silentConnections;
-    private final Counter loadQuestions;
+    private final Counter loadPolls;
     private final Counter errors;
     private final Counter suspects;
     private final Counter unreadableReports;
     private final Counter targetNotices;
     private final Counter permits;
     private final Counter heldBack;
-    private final Gauge condemned;
+    private final Gauge blockedRequests;
     private final Counter pieceBytes;
     private final Counter piecesRejected;
     private final Histogram heldSeconds;
@@ -89,7 +89,7 @@
         targetFailures = counter("target_failures", "Failures seen at targets, by service.", "service");
         silentConnections =
                 counter("silent_connections", "Connections given up because nothing came on them, by peer.", "peer");
-        loadQuestions = counter("load_questions", "Questions for engines' load, by outcome.", "outcome");
+        loadPolls = counter("load_questions", "Questions for engines' load, by outcome.", "outcome");
         errors = counter("errors", "Errors thrown that nothing handles.");
         unreadableReports = counter("unreadable_reports", "Reports of the engine that could not be read.");
         targetNotices = counter("target_notices", "Changes of what targets ask of callers, by kind.", "event");
@@ -97,14 +97,17 @@
         heldBack = counter(
                 "held_back", "Requests that were not sent to the target chosen for them, by its wish.", "reason");
         suspects = counter("suspects", "Requests under which targets ended, by what became of them.", "event");
-        condemned =
+        blockedRequests =
                 gauge("condemned_requests", "Requests that are sent to no target because targets ended under them.");
         pieceBytes = counter("piece_bytes", "Bytes of good pieces of weights, by source.", "source");
         piecesRejected = counter("pieces_rejected", "Pieces missing or spoilt, by source.", "source");
         heldSeconds = histogram("held_seconds", "Time a request was held, by outcome.", "outcome");
         firstEventSeconds = histogram("first_event_seconds", "Time to a stream's first event, by service.", "service");
         firstEventRatio = histogram(
-                "first_event_ratio", "Time to a first event against the prediction, by service.", RATIOS, "service");
+                "first_event_ratio",
+                "Time to a first event against the prediction, by service.",
+                RATIO_BUCKETS,
+                "service");
         controlSeconds = histogram("control_seconds", "Time to answer a call, by call and answer.", "call", "answer");
         publicationIndex = gauge("publication_index", "Index of the publication in force here.");
         documentVersion = gauge("document_version", "Version of the operators' document in force here.");
@@ -130,7 +133,7 @@
     }
 
     private Histogram histogram(String name, String help, String... labels) {
-        return histogram(name, help, SECONDS, labels);
+        return histogram(name, help, LATENCY_BUCKETS, labels);
     }
 
     private Histogram histogram(String name, String help, double[] bounds, String... labels) {
@@ -185,7 +188,7 @@
 
     /** Counts a question for an engine's load, by whether its answer came. */
     public void loadPollEnded(boolean answered) {
-        loadQuestions.labelValues(answered ? "answered" : "unanswered").inc();
+        loadPolls.labelValues(answered ? "answered" : "unanswered").inc();
     }
 
     /** Counts a report of an engine that could not be read. */
@@ -230,7 +233,7 @@
 
     /** Takes in how many requests are sent to no target because targets ended under them. */
     public void setBlockedRequests(int requests) {
-        condemned.set(requests);
+        blockedRequests.set(requests);
     }
 
     /** Takes in a good piece of weights. */
--- a/daemon/src/main/java/org/bankturn/daemon/observe/UnhandledErrorHandler.java
+++ b/daemon/src/main/java/org/bankturn/daemon/observe/UnhandledErrorHandler.java
@@ -11,7 +11,7 @@
  */
 public final class UnhandledErrorHandler implements FatalErrorHandler {
     private static final String OWN_PACKAGE = "org.bankturn.";
-    private static final String UNKNOWN_PLACE = "unknown";
+    private static final String UNKNOWN_LOCATION = "unknown";
 
     private final DecisionLog log;
     private final ServingMetrics metrics;
@@ -31,16 +31,16 @@
         metrics.errorThrown();
         log.line(DecisionKind.ERROR)
                 .with(DecisionField.ERROR, error)
-                .with(DecisionField.AT_CODE, place(error))
+                .with(DecisionField.AT_CODE, sourceLocation(error))
                 .write();
     }
 
     /** Returns the innermost place in our own code that the error came through. */
-    private static String place(Throwable error) {
+    private static String sourceLocation(Throwable error) {
         return Arrays.stream(error.getStackTrace())
                 .filter(frame -> frame.getClassName().startsWith(OWN_PACKAGE))
                 .findFirst()
                 .map(StackTraceElement::toString)
-                .orElse(UNKNOWN_PLACE);
+                .orElse(UNKNOWN_LOCATION);
     }
 }
