--- a/daemon/src/test/java/org/bankturn/daemon/observe/ThrownErrorsTest.java
+++ b/daemon/src/test/java/org/bankturn/daemon/observe/UnhandledErrorHandlerTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.api.Timeout;
 
 @Timeout(30)
-class ThrownErrorsTest {
+class UnhandledErrorHandlerTest {
     @Test
     void an_error_that_nothing_handles_leaves_a_line_with_its_place_and_the_loop_goes_on() throws Exception {
         ByteArrayOutputStream written = new ByteArrayOutputStream();
@@ -33,7 +33,7 @@
         }
         assertThat(wentOn[0]).isTrue();
         assertThat(written.toString(StandardCharsets.UTF_8))
-                .contains("\"kind\":\"error\"", "for a test", "ThrownErrorsTest");
+                .contains("\"kind\":\"error\"", "for a test", "UnhandledErrorHandlerTest");
         assertThat(new String(metrics.metricsText(), StandardCharsets.UTF_8)).contains("bankturn_errors_total 1");
     }
 }
