--- a/daemon/src/test/java/org/bankturn/daemon/observe/DecisionLogTest.java
+++ b/daemon/src/test/java/org/bankturn/daemon/observe/DecisionLogTest.java
@@ -13,8 +13,8 @@
 @Timeout(30)
 class DecisionLogTest {
     private final ManualClock clock = ManualClock.startingAt(0);
-    private final CountDownLatch reads = new CountDownLatch(1);
-    private final ByteArrayOutputStream read = new ByteArrayOutputStream();
+    private final CountDownLatch readerReleased = new CountDownLatch(1);
+    private final ByteArrayOutputStream output = new ByteArrayOutputStream();
 
     /** A pipe whose reader does not read until it is told to. */
     private final OutputStream pipe = new OutputStream() {
@@ -26,12 +26,12 @@
         @Override
         public void write(byte[] bytes, int from, int length) {
             try {
-                reads.await();
+                readerReleased.await();
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
             }
-            synchronized (read) {
-                read.write(bytes, from, length);
+            synchronized (output) {
+                output.write(bytes, from, length);
             }
         }
     };
@@ -45,7 +45,7 @@
                     .with(DecisionField.REQUEST, "r" + line)
                     .write();
         }
-        reads.countDown();
+        readerReleased.countDown();
         while (!text().contains("lines_dropped")) {
             Thread.onSpinWait();
         }
@@ -61,7 +61,7 @@
                     .write();
         }
         log.line(DecisionKind.GROUP).with(DecisionField.EVENT, "leads \"now\"").write();
-        reads.countDown();
+        readerReleased.countDown();
         while (!text().contains("leads")) {
             Thread.onSpinWait();
         }
@@ -70,8 +70,8 @@
     }
 
     private String text() {
-        synchronized (read) {
-            return read.toString(StandardCharsets.UTF_8);
+        synchronized (output) {
+            return output.toString(StandardCharsets.UTF_8);
         }
     }
 }
