--- a/daemon/src/main/java/org/bankturn/daemon/http/BodyDecoder.java
+++ b/daemon/src/main/java/org/bankturn/daemon/http/BodyDecoder.java
@@ -3,7 +3,11 @@
 import java.io.ByteArrayOutputStream;
 import java.util.Locale;
 
-/** Takes one message's body out of received bytes, whatever its framing; mutable, confined to one thread. */
+/**
+ * Decodes the body of one message, framed by Content-Length, chunked coding or the end of the connection.
+ *
+ * <p>BodyDecoder is mutable and confined to one thread.
+ */
 final class BodyDecoder {
     private static final int MAX_LINE_BYTES = 4_096;
     private static final byte[] EMPTY = new byte[0];
@@ -21,42 +25,42 @@
     private State state;
     private long remaining;
 
-    /** Returns the decoder of a request's body. */
+    /** Returns a decoder for the body of a request. */
     static BodyDecoder ofRequest(HttpHead head) throws HttpFormatException {
         return of(head, false);
     }
 
-    /** Returns the decoder of an answer's body. */
-    static BodyDecoder ofResponse(HttpHead head, boolean bodiless) throws HttpFormatException {
+    /** Returns a decoder for the body of a response; {@code noBody} is true if the request method precludes one. */
+    static BodyDecoder ofResponse(HttpHead head, boolean noBody) throws HttpFormatException {
         int status = head.status();
-        if (bodiless || status == 204 || status == 304) {
+        if (noBody || status == 204 || status == 304) {
             return new BodyDecoder(State.DONE, 0);
         }
         return of(head, true);
     }
 
-    private static BodyDecoder of(HttpHead head, boolean answer) throws HttpFormatException {
+    private static BodyDecoder of(HttpHead head, boolean response) throws HttpFormatException {
         if (head.field("transfer-encoding").isPresent()) {
             String coding = head.field("transfer-encoding").get().toLowerCase(Locale.ROOT);
             if (!coding.equals("chunked")
-                    || (!answer && head.field("content-length").isPresent())) {
-                throw new HttpFormatException("transfer-encoding " + coding);
+                    || (!response && head.field("content-length").isPresent())) {
+                throw new HttpFormatException("unsupported Transfer-Encoding: " + coding);
             }
             return new BodyDecoder(State.CHUNK_SIZE, 0);
         }
         if (head.field("content-length").isPresent()) {
             long length = parseLength(head.field("content-length").get(), 10);
-            long different = head.fields().stream()
+            long distinctLengths = head.fields().stream()
                     .filter(field -> field.is("content-length"))
                     .map(HttpField::value)
                     .distinct()
                     .count();
-            if (different > 1) {
-                throw new HttpFormatException("two lengths");
+            if (distinctLengths > 1) {
+                throw new HttpFormatException("conflicting Content-Length values");
             }
             return new BodyDecoder(length == 0 ? State.DONE : State.FIXED_LENGTH, length);
         }
-        return new BodyDecoder(answer ? State.UNTIL_CLOSE : State.DONE, 0);
+        return new BodyDecoder(response ? State.UNTIL_CLOSE : State.DONE, 0);
     }
 
     private BodyDecoder(State state, long left) {
@@ -68,17 +72,17 @@
         return state == State.DONE;
     }
 
-    /** Returns true if the body ends with its connection. */
+    /** Returns true if the end of the connection delimits the body. */
     boolean endsAtClose() {
         return state == State.UNTIL_CLOSE;
     }
 
-    /** Returns true if a length was told, or chunks are, so that the end can be seen. */
+    /** Returns the number of bytes still expected by Content-Length, -1 if the body is not framed by it. */
     long remainingLength() {
         return state == State.FIXED_LENGTH ? remaining : -1;
     }
 
-    /** Takes what there is of the body. */
+    /** Consumes the received bytes that belong to the body and returns their content. */
     byte[] decode(ByteQueue received) throws HttpFormatException {
         if (state == State.UNTIL_CLOSE) {
             return received.take(received.size());
@@ -93,14 +97,14 @@
     }
 
     private byte[] decodeChunks(ByteQueue received) throws HttpFormatException {
-        ByteArrayOutputStream taken = new ByteArrayOutputStream();
+        ByteArrayOutputStream decoded = new ByteArrayOutputStream();
         while (state != State.DONE) {
             if (state == State.CHUNK_DATA) {
                 if (received.size() == 0) {
                     break;
                 }
                 byte[] part = received.take((int) Math.min(remaining, received.size()));
-                taken.writeBytes(part);
+                decoded.writeBytes(part);
                 remaining -= part.length;
                 state = remaining == 0 ? State.CHUNK_END : state;
                 continue;
@@ -108,7 +112,8 @@
             int size = received.endOfLine(0);
             if (size < 0) {
                 if (received.size() > MAX_LINE_BYTES) {
-                    throw new HttpFormatException("chunk line too long");
+                    throw new HttpFormatException(
+                            "chunk header or trailer line of more than " + MAX_LINE_BYTES + " bytes");
                 }
                 break;
             }
@@ -116,7 +121,7 @@
             received.skip(size);
             decodeLine(line);
         }
-        return taken.toByteArray();
+        return decoded.toByteArray();
     }
 
     private void decodeLine(String line) throws HttpFormatException {
@@ -126,7 +131,7 @@
             state = remaining == 0 ? State.TRAILER : State.CHUNK_DATA;
         } else if (state == State.CHUNK_END) {
             if (!line.isEmpty()) {
-                throw new HttpFormatException("chunk longer than said");
+                throw new HttpFormatException("chunk data longer than its declared size");
             }
             state = State.CHUNK_SIZE;
         } else if (line.isEmpty()) {
@@ -137,11 +142,11 @@
     private static long parseLength(String text, int radix) throws HttpFormatException {
         try {
             if (text.isEmpty() || text.startsWith("+") || text.startsWith("-")) {
-                throw new HttpFormatException("no length: " + text);
+                throw new HttpFormatException("invalid length: " + text);
             }
             return Long.parseLong(text, radix);
         } catch (NumberFormatException e) {
-            throw new HttpFormatException("no length: " + text);
+            throw new HttpFormatException("invalid length: " + text);
         }
     }
 }
--- a/daemon/src/main/java/org/bankturn/daemon/http/ByteQueue.java
+++ b/daemon/src/main/java/org/bankturn/daemon/http/ByteQueue.java
@@ -4,7 +4,7 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Arrays;
 
-/** Bytes that were received and are not taken yet; mutable, confined to one thread. */
+/** A FIFO buffer of received bytes; mutable, confined to one thread. */
 final class ByteQueue {
     private static final int INITIAL_BYTES = 1_024;
 
@@ -12,7 +12,7 @@
     private int start;
     private int end;
 
-    /** Adds the buffer's bytes and recycles it. */
+    /** Appends the bytes of the buffer and recycles it. */
     void add(ByteBuf buffer) {
         int size = buffer.readRemaining();
         ensureCapacity(size);
@@ -25,14 +25,14 @@
         if (bytes.length - end >= size) {
             return;
         }
-        int held = end - start;
-        byte[] larger = held + size <= bytes.length && start > 0
+        int length = end - start;
+        byte[] target = length + size <= bytes.length && start > 0
                 ? bytes
-                : new byte[Math.max(INITIAL_BYTES, Integer.highestOneBit(held + size) * 2)];
-        System.arraycopy(bytes, start, larger, 0, held);
-        bytes = larger;
+                : new byte[Math.max(INITIAL_BYTES, Integer.highestOneBit(length + size) * 2)];
+        System.arraycopy(bytes, start, target, 0, length);
+        bytes = target;
         start = 0;
-        end = held;
+        end = length;
     }
 
     int size() {
@@ -40,9 +40,9 @@
     }
 
     byte[] take(int size) {
-        byte[] taken = Arrays.copyOfRange(bytes, start, start + size);
+        byte[] result = Arrays.copyOfRange(bytes, start, start + size);
         skip(size);
-        return taken;
+        return result;
     }
 
     void skip(int size) {
@@ -54,7 +54,7 @@
         }
     }
 
-    /** Returns the size up to and with the first line end, -1 if there is none yet. */
+    /** Returns the offset just past the first line feed at or after {@code from}, -1 if there is none. */
     int endOfLine(int from) {
         for (int position = start + from; position < end; position++) {
             if (bytes[position] == '\n') {
--- a/daemon/src/main/java/org/bankturn/daemon/http/HttpField.java
+++ b/daemon/src/main/java/org/bankturn/daemon/http/HttpField.java
@@ -1,13 +1,13 @@
 package org.bankturn.daemon.http;
 
 /**
- * One header field.
+ * A header field.
  *
- * @param name the name as it was sent, not null
- * @param value the value without blanks around it, not null
+ * @param name the name in its original case, not null
+ * @param value the value without surrounding whitespace, not null
  */
 public record HttpField(String name, String value) {
-    /** Returns true if this field has the given name, in any case. */
+    /** Returns true if this field has the given name, ignoring case. */
     public boolean is(String other) {
         return name.equalsIgnoreCase(other);
     }
--- a/daemon/src/main/java/org/bankturn/daemon/http/HttpFormatException.java
+++ b/daemon/src/main/java/org/bankturn/daemon/http/HttpFormatException.java
@@ -1,10 +1,10 @@
 package org.bankturn.daemon.http;
 
-/** Says that received bytes are not a message of HTTP/1.1. */
+/** Thrown when received bytes are not a valid HTTP/1.1 message. */
 public final class HttpFormatException extends Exception {
     private static final long serialVersionUID = 1L;
 
-    /** Creates an exception that says what is wrong. */
+    /** Creates an exception with a message. */
     public HttpFormatException(String message) {
         super(message);
     }
--- a/daemon/src/main/java/org/bankturn/daemon/http/HttpHandler.java
+++ b/daemon/src/main/java/org/bankturn/daemon/http/HttpHandler.java
@@ -1,12 +1,12 @@
 package org.bankturn.daemon.http;
 
-/** Takes requests whose bodies have come whole. */
+/** Handles requests after their bodies have been received completely. */
 @FunctionalInterface
 public interface HttpHandler {
     /**
-     * Takes a request; the answer is given through the exchange, now or later.
+     * Handles a request; the response is sent through the exchange, now or later.
      *
-     * @param exchange the request and the way back, not null
+     * @param exchange the request and the means to respond to it, not null
      */
     void handle(ServerExchange exchange);
 }
--- a/daemon/src/main/java/org/bankturn/daemon/http/HttpHead.java
+++ b/daemon/src/main/java/org/bankturn/daemon/http/HttpHead.java
@@ -12,17 +12,17 @@
  *
  * <p>HttpHead is immutable and thread-safe.
  *
- * @param first method or protocol version, not null
- * @param second target of the request or status, not null
- * @param third protocol version or reason, not null
- * @param fields the fields in order, not null
+ * @param first the method of a request, the protocol version of a response, not null
+ * @param second the request target or the status code, not null
+ * @param third the protocol version of a request, the reason phrase of a response, not null
+ * @param fields the header fields in order, not null
  */
 public record HttpHead(String first, String second, String third, List<HttpField> fields) {
     private static final Set<String> CONNECTION_FIELDS = Set.of(
             "connection", "keep-alive", "transfer-encoding", "te", "trailer", "upgrade", "proxy-connection", "expect");
     private static final String VERSION = "HTTP/1.1";
 
-    /** Copies the fields. */
+    /** Makes a defensive copy of the fields. */
     public HttpHead {
         fields = List.copyOf(fields);
     }
@@ -32,7 +32,7 @@
         return new HttpHead(method, target, VERSION, fields);
     }
 
-    /** Returns the head of an answer, not null. */
+    /** Returns the head of a response, not null. */
     public static HttpHead response(int status, List<HttpField> fields) {
         return new HttpHead(VERSION, Integer.toString(status), reason(status), fields);
     }
@@ -54,7 +54,7 @@
         };
     }
 
-    /** Returns the status of an answer, -1 if this is none. */
+    /** Returns the status code of a response, -1 if it is not a number. */
     public int status() {
         try {
             return Integer.parseInt(second);
@@ -63,7 +63,7 @@
         }
     }
 
-    /** Returns the first value of a field, empty if it is not there. */
+    /** Returns the first value of a field, empty if it is absent. */
     public Optional<String> field(String name) {
         for (HttpField field : fields) {
             if (field.is(name)) {
@@ -81,48 +81,48 @@
                 .toList();
     }
 
-    /** Returns true if a field holds the word among its values, in any case. */
-    public boolean fieldContains(String name, String word) {
+    /** Returns true if a value of the field contains the given lower-case text, ignoring case. */
+    public boolean fieldContains(String name, String text) {
         for (HttpField field : fields) {
-            if (field.is(name) && field.value().toLowerCase(Locale.ROOT).contains(word)) {
+            if (field.is(name) && field.value().toLowerCase(Locale.ROOT).contains(text)) {
                 return true;
             }
         }
         return false;
     }
 
-    /** Returns this head without the fields that concern one connection only, nor those named in Connection. */
+    /** Returns this head without hop-by-hop fields, including those named in Connection. */
     public HttpHead withoutConnectionFields() {
-        Set<String> named = new java.util.HashSet<>(CONNECTION_FIELDS);
+        Set<String> removed = new java.util.HashSet<>(CONNECTION_FIELDS);
         for (HttpField field : fields) {
             if (field.is("connection")) {
-                for (String word : field.value().split(",", -1)) {
-                    named.add(word.trim().toLowerCase(Locale.ROOT));
+                for (String name : field.value().split(",", -1)) {
+                    removed.add(name.trim().toLowerCase(Locale.ROOT));
                 }
             }
         }
-        return without(named);
+        return without(removed);
     }
 
-    /** Returns this head without the named fields; names in lower case. */
+    /** Returns this head without the fields of the given lower-case names. */
     public HttpHead without(Set<String> names) {
-        List<HttpField> kept = new ArrayList<>();
+        List<HttpField> remaining = new ArrayList<>();
         for (HttpField field : fields) {
             if (!names.contains(field.name().toLowerCase(Locale.ROOT))) {
-                kept.add(field);
+                remaining.add(field);
             }
         }
-        return new HttpHead(first, second, third, kept);
+        return new HttpHead(first, second, third, remaining);
     }
 
     /** Returns this head with one more field. */
     public HttpHead with(String name, String value) {
-        List<HttpField> more = new ArrayList<>(fields);
-        more.add(new HttpField(name, value));
-        return new HttpHead(first, second, third, more);
+        List<HttpField> extended = new ArrayList<>(fields);
+        extended.add(new HttpField(name, value));
+        return new HttpHead(first, second, third, extended);
     }
 
-    /** Returns the bytes of this head, the empty line included. */
+    /** Encodes this head, including the terminating empty line. */
     public byte[] encode() {
         StringBuilder text = new StringBuilder(256);
         text.append(first).append(' ').append(second).append(' ').append(third).append("\r\n");
--- a/daemon/src/main/java/org/bankturn/daemon/http/HttpHeadParser.java
+++ b/daemon/src/main/java/org/bankturn/daemon/http/HttpHeadParser.java
@@ -3,26 +3,26 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Takes heads out of received bytes. */
+/** Parses message heads from received bytes. */
 final class HttpHeadParser {
     private HttpHeadParser() {}
 
     /**
-     * Takes the next head.
+     * Consumes and parses the next head.
      *
-     * @param received what has come, not null
-     * @param mostBytes the largest head
-     * @return the head, null if it is not whole yet
-     * @throws HttpFormatException if the bytes begin no head, or a larger one
+     * @param received the received bytes, not null
+     * @param maxBytes the maximum size of a head
+     * @return the head, null if it is still incomplete
+     * @throws HttpFormatException if the bytes are not a valid head, or the head is too large
      */
-    static HttpHead parseNext(ByteQueue received, int mostBytes) throws HttpFormatException {
+    static HttpHead parseNext(ByteQueue received, int maxBytes) throws HttpFormatException {
         List<String> lines = new ArrayList<>();
         int position = 0;
         while (true) {
             int size = received.endOfLine(position);
             if (size < 0) {
-                if (received.size() > mostBytes) {
-                    throw new HttpFormatException("head of more than " + mostBytes + " bytes");
+                if (received.size() > maxBytes) {
+                    throw new HttpFormatException("head of more than " + maxBytes + " bytes");
                 }
                 return null;
             }
@@ -43,26 +43,27 @@
 
     private static HttpHead parseLines(List<String> lines) throws HttpFormatException {
         String start = lines.get(0);
-        int one = start.indexOf(' ');
-        int two = one < 0 ? -1 : start.indexOf(' ', one + 1);
-        boolean answer = start.startsWith("HTTP/1.");
-        if (one <= 0 || (two < 0 && !answer)) {
-            throw new HttpFormatException("no start line: " + start);
+        int firstSpace = start.indexOf(' ');
+        int secondSpace = firstSpace < 0 ? -1 : start.indexOf(' ', firstSpace + 1);
+        boolean response = start.startsWith("HTTP/1.");
+        if (firstSpace <= 0 || (secondSpace < 0 && !response)) {
+            throw new HttpFormatException("invalid start line: " + start);
         }
-        String second = two < 0 ? start.substring(one + 1) : start.substring(one + 1, two);
-        String third = two < 0 ? "" : start.substring(two + 1);
-        if (!answer && !third.startsWith("HTTP/1.")) {
-            throw new HttpFormatException("unknown protocol: " + start);
+        String second =
+                secondSpace < 0 ? start.substring(firstSpace + 1) : start.substring(firstSpace + 1, secondSpace);
+        String third = secondSpace < 0 ? "" : start.substring(secondSpace + 1);
+        if (!response && !third.startsWith("HTTP/1.")) {
+            throw new HttpFormatException("unsupported protocol version: " + start);
         }
         List<HttpField> fields = new ArrayList<>(lines.size());
         for (String line : lines.subList(1, lines.size())) {
             int colon = line.indexOf(':');
             if (colon <= 0 || line.charAt(0) == ' ' || line.charAt(colon - 1) == ' ') {
-                throw new HttpFormatException("no header field: " + line);
+                throw new HttpFormatException("invalid header field: " + line);
             }
             fields.add(new HttpField(
                     line.substring(0, colon), line.substring(colon + 1).trim()));
         }
-        return new HttpHead(start.substring(0, one), second, third, fields);
+        return new HttpHead(start.substring(0, firstSpace), second, third, fields);
     }
 }
--- a/daemon/src/main/java/org/bankturn/daemon/http/HttpListener.java
+++ b/daemon/src/main/java/org/bankturn/daemon/http/HttpListener.java
@@ -11,7 +11,7 @@
 import org.bankturn.time.Clock;
 
 /**
- * Accepts connections and hands their requests to a handler, one at a time for each connection.
+ * Accepts connections and passes their requests to a handler, one at a time per connection.
  *
  * <p>HttpListener is confined to its reactor's thread.
  */
@@ -27,13 +27,13 @@
     private boolean draining;
 
     /**
-     * Creates a listener that does not listen yet.
+     * Creates a listener; {@link #listen} starts it.
      *
      * @param reactor the reactor whose thread serves, not null
-     * @param clock the time, not null
-     * @param address where to listen, not null
-     * @param limits what peers may send, asked for each request, not null
-     * @param handler takes the requests, not null
+     * @param clock the clock for timeouts, not null
+     * @param address the address to bind to, not null
+     * @param limits supplies the current limits on clients, not null
+     * @param handler handles the requests, not null
      */
     public static HttpListener create(
             NioReactor reactor,
@@ -59,23 +59,23 @@
                 .build();
     }
 
-    /** Begins to listen. */
+    /** Binds the address and starts accepting connections. */
     public void listen() throws IOException {
         server.listen();
         scheduleSweep();
     }
 
-    /** Ends every connection with the answer to the request that it carries, if any; new ones are still taken. */
+    /** Closes each connection after its next response; new connections are still accepted. */
     public void drain() {
         draining = true;
     }
 
-    /** Closes connections that carry no request. */
+    /** Closes idle connections. */
     public void closeIdle() {
         Set.copyOf(connections).forEach(ServerConnection::closeIfIdle);
     }
 
-    /** Returns the number of requests under way. */
+    /** Returns the number of connections with a request or response in progress. */
     public int activeRequests() {
         return (int) connections.stream().filter(ServerConnection::isBusy).count();
     }
--- a/daemon/src/main/java/org/bankturn/daemon/http/PooledHttpClient.java
+++ b/daemon/src/main/java/org/bankturn/daemon/http/PooledHttpClient.java
@@ -16,14 +16,14 @@
 import org.bankturn.time.Clock;
 
 /**
- * Makes single calls whose answers are taken whole; connections are kept for the next call.
+ * An HTTP client that buffers complete responses and keeps idle connections for reuse.
  *
- * <p>HttpCalls is confined to its reactor's thread.
+ * <p>PooledHttpClient is confined to its reactor's thread.
  */
 public final class PooledHttpClient {
     private static final long MAX_IDLE_MILLIS = 1_000;
 
-    /** A question to a process on the same box takes 1 to 20 ms; one that is asked twice does no harm. */
+    /** How long a reused connection may stay silent before an idempotent call is retried on a new one. */
     private static final long SILENCE_TIMEOUT_MILLIS = 250;
 
     private static final byte[] EMPTY_BODY = new byte[0];
@@ -35,29 +35,29 @@
     private final Map<InetSocketAddress, Deque<TargetConnection>> idleConnections = new HashMap<>();
 
     /**
-     * A whole answer.
+     * A complete response.
      *
-     * @param head its head, not null
-     * @param body its body, not null
+     * @param head the status line and header fields, not null
+     * @param body the decoded body, not null
      */
     public record Response(HttpHead head, byte[] body) {
-        /** Returns true if the status says success. */
+        /** Returns true if the status is 2xx. */
         public boolean isSuccess() {
             return head.status() / 100 == 2;
         }
     }
 
-    /** Returns a caller on the reactor's thread, not null. */
+    /** Returns a client that runs on the reactor's thread, not null. */
     public static PooledHttpClient on(NioReactor reactor, Clock clock) {
         return on(reactor, clock, ConnectionObserver.NONE);
     }
 
     /**
-     * Returns a caller on the reactor's thread, not null.
+     * Returns a client that runs on the reactor's thread, not null.
      *
      * @param reactor the reactor, not null
-     * @param clock the time, not null
-     * @param observer hears of connections that went silent, not null
+     * @param clock the clock for timeouts and connection ages, not null
+     * @param observer notified of connections closed for silence, not null
      */
     public static PooledHttpClient on(NioReactor reactor, Clock clock, ConnectionObserver observer) {
         return new PooledHttpClient(reactor, clock, observer);
@@ -71,27 +71,27 @@
     }
 
     /**
-     * Makes a call.
+     * Sends a request.
      *
-     * @param address where to, not null
-     * @param head the request's head without framing, not null
-     * @param body its body, not null
-     * @param timeoutMillis how long to wait for the whole answer
-     * @return the answer; fails if there is no whole one in time
+     * @param address the server's address, not null
+     * @param head the request's head without framing fields, not null
+     * @param body the request's body, not null
+     * @param timeoutMillis the timeout for the complete response
+     * @return the response; fails if it is not complete in time
      */
     public Promise<Response> call(InetSocketAddress address, HttpHead head, byte[] body, long timeoutMillis) {
         return call(address, head, body, timeoutMillis, timeoutMillis);
     }
 
     /**
-     * Makes a call.
+     * Sends a request.
      *
-     * @param address where to, not null
-     * @param head the request's head without framing, not null
-     * @param body its body, not null
-     * @param connectMillis how long to wait for a connection
-     * @param timeoutMillis how long to wait for the whole answer
-     * @return the answer; fails if there is no whole one in time
+     * @param address the server's address, not null
+     * @param head the request's head without framing fields, not null
+     * @param body the request's body, not null
+     * @param connectMillis the timeout for connecting
+     * @param timeoutMillis the timeout for the complete response
+     * @return the response; fails if it is not complete in time
      */
     public Promise<Response> call(
             InetSocketAddress address, HttpHead head, byte[] body, long connectMillis, long timeoutMillis) {
@@ -102,20 +102,19 @@
     }
 
     /**
-     * Asks something that has no effect, so that it may be asked again on a new connection when a kept one is silent.
+     * Sends an idempotent request without a body, retried once on a new connection if a reused one stays silent.
      *
-     * @param address where to, not null
-     * @param head the request's head without framing, not null
-     * @param timeoutMillis how long to wait for the whole answer
-     * @return the answer; fails if there is no whole one in time
+     * @param address the server's address, not null
+     * @param head the request's head without framing fields, not null
+     * @param timeoutMillis the timeout for the complete response
+     * @return the response; fails if it is not complete in time
      */
     public Promise<Response> callIdempotent(InetSocketAddress address, HttpHead head, long timeoutMillis) {
         Call call = new Call(address, encode(head, EMPTY_BODY));
         reactor.delayBackground(timeoutMillis, call::timeOut);
-        TargetConnection rested = takeIdle(address);
-        call.start(rested, timeoutMillis);
-        if (rested != null) {
-            // without it an engine's load is not known until the call's time is over
+        TargetConnection idle = takeIdle(address);
+        call.start(idle, timeoutMillis);
+        if (idle != null) {
             reactor.delayBackground(SILENCE_TIMEOUT_MILLIS, () -> call.retryIfSilent(timeoutMillis));
         }
         return call.result;
@@ -129,24 +128,24 @@
         return bytes.toByteArray();
     }
 
-    /** Keeps a connection for the next call, but not for long: a callee may take few, and counts those it lost as well. */
+    /** Keeps a connection for reuse, but only briefly, since the server may limit its number of connections. */
     private void keepIdle(InetSocketAddress address, TargetConnection connection) {
-        Deque<TargetConnection> kept = idleConnections.computeIfAbsent(address, key -> new ArrayDeque<>());
-        kept.add(connection);
-        long calls = connection.responseCount();
-        // the timer may fire a millisecond early by the clock, and the connection would then stay open for good
+        Deque<TargetConnection> idle = idleConnections.computeIfAbsent(address, key -> new ArrayDeque<>());
+        idle.add(connection);
+        long responses = connection.responseCount();
+        // compares counts, not times: the timer may fire slightly before the clock reaches the deadline
         reactor.delayBackground(MAX_IDLE_MILLIS, () -> {
-            boolean unused = connection.responseCount() == calls;
-            if (unused && kept.remove(connection)) {
+            boolean unused = connection.responseCount() == responses;
+            if (unused && idle.remove(connection)) {
                 connection.close();
             }
         });
     }
 
     private TargetConnection takeIdle(InetSocketAddress address) {
-        Deque<TargetConnection> kept = idleConnections.getOrDefault(address, new ArrayDeque<>());
-        while (!kept.isEmpty()) {
-            TargetConnection connection = kept.pollLast();
+        Deque<TargetConnection> idle = idleConnections.getOrDefault(address, new ArrayDeque<>());
+        while (!idle.isEmpty()) {
+            TargetConnection connection = idle.pollLast();
             if (connection.isUsable() && reusePolicy.isReusable(connection.lastReadMillis())) {
                 return connection;
             }
@@ -169,11 +168,10 @@
             this.request = request;
         }
 
-        /** Sends the request on a connection that rested, or on a new one if that is null. */
-        void start(TargetConnection rested, long connectMillis) {
-            Promise<TargetConnection> connected = rested != null
-                    ? Promise.of(rested)
-                    : TargetConnection.connect(reactor, clock, address, connectMillis);
+        /** Sends the request on the given idle connection, or on a new one if it is null. */
+        void start(TargetConnection idle, long connectMillis) {
+            Promise<TargetConnection> connected =
+                    idle != null ? Promise.of(idle) : TargetConnection.connect(reactor, clock, address, connectMillis);
             connected.whenComplete(this::connected);
         }
 
@@ -205,7 +203,8 @@
         }
 
         void timeOut() {
-            if (result.trySetException(new IOException("no answer in time from " + address)) && connection != null) {
+            if (result.trySetException(new IOException("no complete response in time from " + address))
+                    && connection != null) {
                 connection.close();
             }
         }
--- a/daemon/src/main/java/org/bankturn/daemon/http/ResponseListener.java
+++ b/daemon/src/main/java/org/bankturn/daemon/http/ResponseListener.java
@@ -1,25 +1,25 @@
 package org.bankturn.daemon.http;
 
-/** Takes what comes back for a request that was sent on a {@link TargetConnection}. */
+/** Receives the response to a request sent on a {@link TargetConnection}. */
 public interface ResponseListener {
     /**
-     * Takes an answer's head.
+     * Called with the head of a response.
      *
      * @param head the head, not null
-     * @return false if it answers another request: its body is dropped and the next answer awaited
+     * @return false if the response belongs to another request; its body is then discarded and the next response awaited
      */
     boolean onHead(HttpHead head);
 
-    /** Takes a part of the body. */
+    /** Called with each part of the body. */
     void onBodyPart(byte[] bytes);
 
-    /** The answer is whole. */
+    /** Called when the response is complete. */
     void onComplete();
 
     /**
-     * There will be no whole answer.
+     * Called when the response cannot be completed.
      *
-     * @param failure what happened, not null
+     * @param failure the cause, not null
      */
     void onFailure(TransportFailure failure);
 }
--- a/daemon/src/main/java/org/bankturn/daemon/http/ServerConnection.java
+++ b/daemon/src/main/java/org/bankturn/daemon/http/ServerConnection.java
@@ -11,7 +11,11 @@
 import java.util.function.Supplier;
 import org.bankturn.time.Clock;
 
-/** One caller's connection: reads a request whole, waits for its answer, then takes the next; confined to one thread. */
+/**
+ * The server side of a connection: reads a complete request, waits for its response, then reads the next request.
+ *
+ * <p>ServerConnection is confined to one thread.
+ */
 final class ServerConnection {
     private static final long MIN_IDLE_MILLIS = 300;
     private static final byte[] CONTINUE = "HTTP/1.1 100 Continue\r\n\r\n".getBytes(StandardCharsets.ISO_8859_1);
@@ -58,24 +62,26 @@
         return listener.isDraining();
     }
 
-    /** Closes a connection that has carried nothing for a moment; one that was just made may be about to. */
+    /** Closes the connection if it has been idle long enough that no request is likely to be in transit. */
     void closeIfIdle() {
-        boolean rests = clock.millis() - idleSinceMillis >= MIN_IDLE_MILLIS;
-        if (rests && !isBusy() && received.size() == 0) {
+        boolean idle = clock.millis() - idleSinceMillis >= MIN_IDLE_MILLIS;
+        if (idle && !isBusy() && received.size() == 0) {
             close();
         }
     }
 
     void closeIfTimedOut(long now) {
-        // an answer that is not taken would hold its memory, and a planned stop, for good
+        // a client that stops reading would otherwise hold the buffered response and block shutdown indefinitely
         if (sending && now - writeStartMillis > limits.get().idleTimeoutMillis()) {
             close();
             return;
         }
-        boolean waitsForRequest = exchange == null && !sending;
-        boolean begun = head != null || received.size() > 0;
-        long bound = begun ? 4 * limits.get().headTimeoutMillis() : limits.get().idleTimeoutMillis();
-        if (waitsForRequest && now - (begun ? requestStartMillis : idleSinceMillis) > bound) {
+        boolean awaitingRequest = exchange == null && !sending;
+        boolean requestStarted = head != null || received.size() > 0;
+        long timeoutMillis = requestStarted
+                ? 4 * limits.get().headTimeoutMillis()
+                : limits.get().idleTimeoutMillis();
+        if (awaitingRequest && now - (requestStarted ? requestStartMillis : idleSinceMillis) > timeoutMillis) {
             close();
         }
     }
@@ -85,21 +91,19 @@
             return;
         }
         closed = true;
-        socket.closeEx(new IOException("closed here"));
+        socket.closeEx(new IOException("connection closed locally"));
         notifyClosed();
     }
 
     private void notifyClosed() {
         listener.connectionClosed(this);
-        ServerExchange waiting = exchange;
+        ServerExchange interrupted = exchange;
         exchange = null;
-        if (waiting != null) {
-            waiting.clientDisconnected();
+        if (interrupted != null) {
+            interrupted.clientDisconnected();
         }
     }
 
-    // ---- receiving
-
     private void readMore() {
         if (reading || closed || (received.size() > MAX_PIPELINED_BYTES && exchange != null)) {
             return;
@@ -165,12 +169,12 @@
     }
 
     private void dispatch() {
-        HttpHead taken = head;
+        HttpHead requestHead = head;
         byte[] content = bodyBytes.toByteArray();
         head = null;
         body = null;
         bodyBytes = null;
-        exchange = new ServerExchange(this, taken, content, clock.millis());
+        exchange = new ServerExchange(this, requestHead, content, clock.millis());
         handler.handle(exchange);
     }
 
@@ -182,8 +186,6 @@
                 .encode());
     }
 
-    // ---- sending, for the exchange
-
     void send(byte[] bytes) {
         if (closed) {
             return;
@@ -192,17 +194,17 @@
         flush();
     }
 
-    /** Ends the exchange; with {@code keep} false the connection closes once all is sent. */
-    void finish(ServerExchange finished, boolean keep) {
+    /** Ends the exchange; unless {@code keepAlive}, the connection closes once all output is sent. */
+    void finish(ServerExchange finished, boolean keepAlive) {
         if (exchange != finished) {
             return;
         }
         exchange = null;
         idleSinceMillis = clock.millis();
         requestStartMillis = idleSinceMillis;
-        closeWhenSent = !keep;
+        closeWhenSent = !keepAlive;
         flush();
-        if (keep && !closed) {
+        if (keepAlive && !closed) {
             parseRequest();
             readMore();
         }
@@ -222,7 +224,7 @@
         }
         sending = true;
         writeStartMillis = clock.millis();
-        socket.write(ByteBuf.wrapForReading(sendQueue.poll())).whenComplete((nothing, failure) -> {
+        socket.write(ByteBuf.wrapForReading(sendQueue.poll())).whenComplete((ignored, failure) -> {
             sending = false;
             if (failure != null) {
                 close();
--- a/daemon/src/main/java/org/bankturn/daemon/http/ServerExchange.java
+++ b/daemon/src/main/java/org/bankturn/daemon/http/ServerExchange.java
@@ -5,10 +5,12 @@
 import java.util.Set;
 
 /**
- * A request and the way back to its caller.
+ * A request and the means to respond to it.
  *
- * <p>Answer with {@link #respond}, or with {@link #startChunkedResponse}, {@link #writeChunk} and {@link #endChunkedResponse}. {@link #abort} closes
- * the connection so that what was sent cannot look whole. ServerExchange is confined to its reactor's thread.
+ * <p>Respond with {@link #respond}, or with {@link #startChunkedResponse}, {@link #writeChunk} and
+ * {@link #endChunkedResponse}. {@link #abort} closes the connection, so that the client detects an incomplete response.
+ *
+ * <p>ServerExchange is confined to its reactor's thread.
  */
 public final class ServerExchange {
     private static final Set<String> FRAMING_FIELDS = Set.of("content-length", "transfer-encoding", "connection");
@@ -41,58 +43,59 @@
         return body;
     }
 
-    /** Returns when the request had come whole. */
+    /** Returns the time at which the request was completely received, in milliseconds. */
     public long receivedMillis() {
         return receivedMillis;
     }
 
-    /** Returns true if a part of the answer was sent. */
+    /** Returns true if any part of the response was sent. */
     public boolean hasStartedResponse() {
         return started;
     }
 
-    /** Returns true if the answer was sent whole, was aborted, or the caller left. */
+    /** Returns true if the response was completed or aborted, or the client disconnected. */
     public boolean isFinished() {
         return finished;
     }
 
-    /** Sets what happens when the caller leaves before its answer is whole. */
+    /** Sets the action to run if the client disconnects before the response is complete. */
     public void onClientDisconnect(Runnable action) {
         disconnectAction = action;
     }
 
-    /** Sends a whole answer; fields of framing are set here. */
-    public void respond(HttpHead answer, byte[] content) {
+    /** Sends a complete response; replaces any framing fields in {@code response}. */
+    public void respond(HttpHead response, byte[] content) {
         if (finished || started) {
             return;
         }
         started = true;
         finished = true;
-        boolean keeps = shouldKeepAlive();
-        HttpHead framed = withConnectionField(answer, keeps).with("Content-Length", Integer.toString(content.length));
-        boolean bodiless = head.first().equals("HEAD");
+        boolean persistent = shouldKeepAlive();
+        HttpHead framed =
+                withConnectionField(response, persistent).with("Content-Length", Integer.toString(content.length));
+        boolean headRequest = head.first().equals("HEAD");
         ByteArrayOutputStream bytes = new ByteArrayOutputStream(content.length + 256);
         bytes.writeBytes(framed.encode());
-        if (!bodiless) {
+        if (!headRequest) {
             bytes.writeBytes(content);
         }
         connection.send(bytes.toByteArray());
-        connection.finish(this, keeps);
+        connection.finish(this, persistent);
     }
 
-    /** Sends the head of an answer whose end is not known yet. */
-    public void startChunkedResponse(HttpHead answer) {
+    /** Sends the head of a response with chunked transfer coding. */
+    public void startChunkedResponse(HttpHead response) {
         if (finished || started) {
             return;
         }
         started = true;
         keepAlive = shouldKeepAlive();
-        connection.send(withConnectionField(answer, keepAlive)
+        connection.send(withConnectionField(response, keepAlive)
                 .with("Transfer-Encoding", "chunked")
                 .encode());
     }
 
-    /** Sends a part of the answer. */
+    /** Sends a chunk of the response; empty content is ignored. */
     public void writeChunk(byte[] content) {
         if (finished || content.length == 0) {
             return;
@@ -104,7 +107,7 @@
         connection.send(chunk.toByteArray());
     }
 
-    /** Ends the answer as whole. */
+    /** Completes the response. */
     public void endChunkedResponse() {
         if (finished) {
             return;
@@ -114,7 +117,7 @@
         connection.finish(this, keepAlive && !connection.isDraining());
     }
 
-    /** Closes the connection, so that the answer cannot look whole. */
+    /** Closes the connection without completing the response. */
     public void abort() {
         if (finished) {
             return;
@@ -136,8 +139,8 @@
                 && !head.third().equals("HTTP/1.0");
     }
 
-    private static HttpHead withConnectionField(HttpHead answer, boolean keeps) {
-        HttpHead plain = answer.without(FRAMING_FIELDS);
-        return keeps ? plain : plain.with("Connection", "close");
+    private static HttpHead withConnectionField(HttpHead response, boolean persistent) {
+        HttpHead unframed = response.without(FRAMING_FIELDS);
+        return persistent ? unframed : unframed.with("Connection", "close");
     }
 }
--- a/daemon/src/main/java/org/bankturn/daemon/http/TargetConnection.java
+++ b/daemon/src/main/java/org/bankturn/daemon/http/TargetConnection.java
@@ -12,10 +12,10 @@
 import org.bankturn.time.Clock;
 
 /**
- * One connection to a target, which carries one request at a time.
+ * A client connection to a target, which carries one request at a time.
  *
- * <p>It may be used again only if the answer was whole, named the request, asked for no end, and nothing followed it.
- * TargetConnection is confined to its reactor's thread.
+ * <p>It may be reused only if the response was complete and accepted by its listener, did not ask to close the
+ * connection, and was not followed by further bytes. TargetConnection is confined to its reactor's thread.
  */
 public final class TargetConnection {
     private static final int MAX_HEAD_BYTES = 32 << 10;
@@ -38,7 +38,7 @@
     private long responseCount;
     private long maxIdleMillis = DEFAULT_MAX_IDLE_MILLIS;
 
-    /** Connects; the promise fails if that takes longer than {@code timeoutMillis}. */
+    /** Connects to a target; the promise fails if that takes longer than {@code timeoutMillis}. */
     public static Promise<TargetConnection> connect(
             NioReactor reactor, Clock clock, InetSocketAddress address, long timeoutMillis) {
         return TcpSocket.connect(reactor, address, Duration.ofMillis(timeoutMillis), null)
@@ -66,48 +66,48 @@
                 && clock.millis() - idleSinceMillis < maxIdleMillis;
     }
 
-    /** Returns since when no request was under way. */
+    /** Returns the time since which the connection has been idle. */
     public long idleSinceMillis() {
         return idleSinceMillis;
     }
 
-    /** Returns when it was opened. */
+    /** Returns the time at which the connection was opened. */
     public long openedMillis() {
         return openedMillis;
     }
 
-    /** Returns when something came on it last, or when it was opened. */
+    /** Returns the time of the last read, or the time of opening before the first. */
     public long lastReadMillis() {
         return lastReadMillis;
     }
 
-    /** Returns true if it carried an answer before the request that is under way. */
+    /** Returns true if a response was received in full before the current request. */
     public boolean hasReceivedResponse() {
         return responseCount > 0;
     }
 
-    /** Returns how many whole answers it has carried. */
+    /** Returns the number of complete responses received. */
     public long responseCount() {
         return responseCount;
     }
 
-    /** Returns true if the connection is no longer open. */
+    /** Returns true if the connection is closed. */
     public boolean isClosed() {
         return closed;
     }
 
     /**
-     * Sends a request. A connection that turns out to have ended tells the listener so before this returns.
+     * Sends a request. If the connection proves to be closed, the listener may be notified before this method returns.
      *
-     * @param request its bytes, head and body, not null
-     * @param expectsNoBody true if the answer has no body whatever its head says
-     * @param answers takes the answer, not null
+     * @param request the encoded head and body, not null
+     * @param expectsNoBody true if the response has no body regardless of its header fields
+     * @param responseListener receives the response, not null
      */
-    public void send(byte[] request, boolean expectsNoBody, ResponseListener answers) {
-        listener = answers;
+    public void send(byte[] request, boolean expectsNoBody, ResponseListener responseListener) {
+        listener = responseListener;
         noResponseBody = expectsNoBody;
         writing = true;
-        socket.write(ByteBuf.wrapForReading(request)).whenComplete((nothing, failure) -> {
+        socket.write(ByteBuf.wrapForReading(request)).whenComplete((ignored, failure) -> {
             writing = false;
             if (failure != null) {
                 fail(TransportFailure.RESET);
@@ -115,12 +115,12 @@
         });
     }
 
-    /** Closes the connection; the listener hears nothing more. */
+    /** Closes the connection without notifying the listener. */
     public void close() {
         listener = null;
         if (!closed) {
             closed = true;
-            socket.closeEx(new IOException("closed here"));
+            socket.closeEx(new IOException("connection closed locally"));
         }
     }
 
@@ -150,29 +150,29 @@
     }
 
     private void endOfInput() {
-        boolean whole = body != null && body.endsAtClose();
-        if (!whole) {
+        boolean complete = body != null && body.endsAtClose();
+        if (!complete) {
             fail(TransportFailure.CLOSED);
             return;
         }
-        ResponseListener waiting = listener;
-        boolean answered = accepted;
+        ResponseListener current = listener;
+        boolean wasAccepted = accepted;
         close();
-        if (waiting == null) {
+        if (current == null) {
             return;
         }
-        if (answered) {
-            waiting.onComplete();
+        if (wasAccepted) {
+            current.onComplete();
         } else {
-            waiting.onFailure(TransportFailure.CLOSED);
+            current.onFailure(TransportFailure.CLOSED);
         }
     }
 
     private void fail(TransportFailure failure) {
-        ResponseListener waiting = listener;
+        ResponseListener current = listener;
         close();
-        if (waiting != null) {
-            waiting.onFailure(failure);
+        if (current != null) {
+            current.onFailure(failure);
         }
     }
 
@@ -195,7 +195,7 @@
         }
     }
 
-    /** Takes the next head; returns false if it is not whole yet. */
+    /** Parses the next head; returns false if it is still incomplete. */
     private boolean parseHead() throws HttpFormatException {
         HttpHead head = HttpHeadParser.parseNext(received, MAX_HEAD_BYTES);
         if (head == null) {
@@ -203,7 +203,7 @@
         }
         int status = head.status();
         if (status < 100) {
-            throw new HttpFormatException("no status: " + head.second());
+            throw new HttpFormatException("invalid status code: " + head.second());
         }
         if (status < 200) {
             return true;
@@ -218,17 +218,17 @@
         return true;
     }
 
-    /** Takes what there is of the body; returns false if more must come first. */
+    /** Decodes the received part of the body; returns false if the body is still incomplete. */
     private boolean decodeBody() throws HttpFormatException {
         byte[] part = body.decode(received);
-        boolean whole = body.isDone();
+        boolean complete = body.isDone();
         if (accepted && part.length > 0) {
             listener.onBodyPart(part);
         }
-        if (whole && !closed) {
+        if (complete && !closed) {
             responseComplete();
         }
-        return whole;
+        return complete;
     }
 
     private void readKeepAlive(Optional<String> value) {
@@ -252,7 +252,7 @@
         if (!accepted) {
             return;
         }
-        ResponseListener waiting = listener;
+        ResponseListener current = listener;
         listener = null;
         idleSinceMillis = clock.millis();
         responseCount++;
@@ -260,6 +260,6 @@
         if (notReusable) {
             close();
         }
-        waiting.onComplete();
+        current.onComplete();
     }
 }
--- a/daemon/src/main/java/org/bankturn/daemon/http/TransportFailure.java
+++ b/daemon/src/main/java/org/bankturn/daemon/http/TransportFailure.java
@@ -1,14 +1,14 @@
 package org.bankturn.daemon.http;
 
-/** Why a hop gave no whole answer. */
+/** The reason that a request got no complete response. */
 public enum TransportFailure {
-    /** No connection could be made: the request did not leave. */
+    /** The connection could not be established, so the request was not sent. */
     NOT_CONNECTED(true),
-    /** The other side reset the connection. */
+    /** The peer reset the connection. */
     RESET(false),
-    /** The other side ended the connection early. */
+    /** The peer closed the connection before the response was complete. */
     CLOSED(false),
-    /** What came back is no answer. */
+    /** The received bytes are not a valid response. */
     MALFORMED(false);
 
     private final boolean definitelyUnsent;
@@ -17,7 +17,7 @@
         this.definitelyUnsent = surelyNotSent;
     }
 
-    /** Returns true if no byte of the request left. */
+    /** Returns true if no byte of the request was sent. */
     public boolean isDefinitelyUnsent() {
         return definitelyUnsent;
     }
--- a/daemon/src/main/java/org/bankturn/daemon/http/package-info.java
+++ b/daemon/src/main/java/org/bankturn/daemon/http/package-info.java
@@ -1,5 +1,5 @@
 /**
- * HTTP/1.1 on plain sockets, for hops where it matters whether a byte left, whether the end was seen, and whose answer it
- * is. ActiveJ's own client and server hide these.
+ * HTTP/1.1 on plain sockets, for connections that must expose whether a request was sent, whether a message was complete
+ * and which request a response belongs to. ActiveJ's own client and server do not report these.
  */
 package org.bankturn.daemon.http;
