--- a/daemon/src/test/java/org/bankturn/daemon/http/HttpListenerTest.java
+++ b/daemon/src/test/java/org/bankturn/daemon/http/HttpListenerTest.java
@@ -21,21 +21,17 @@
     private static final long POLL_MILLIS = 50;
     private static final int LARGER_THAN_SOCKET_BUFFERS = 64 << 20;
 
-    /**
-     * A caller whose connection went silent takes nothing any more, and its end never comes. The connection counted as busy
-     * for good, since a part of an answer was still to be sent: it held the answer in memory, and a planned stop waited for
-     * it until its time was up.
-     */
+    /** A client that stops reading without closing must not hold its response in memory or delay shutdown. */
     @Test
     void a_connection_whose_client_stops_reading_is_closed() throws Exception {
         Eventloop reactor = Eventloop.builder().withThreadName("listener-test").build();
         ManualClock clock = ManualClock.startingAt(1_000_000);
         Address address = FreeAddresses.next();
-        CountDownLatch answered = new CountDownLatch(1);
+        CountDownLatch responded = new CountDownLatch(1);
         HttpListener listener =
                 HttpListener.create(reactor, clock, address.toSocketAddress(), () -> ServerLimits.CONTROL, exchange -> {
                     exchange.respond(HttpHead.response(200, List.of()), new byte[LARGER_THAN_SOCKET_BUFFERS]);
-                    answered.countDown();
+                    responded.countDown();
                 });
         reactor.keepAlive(true);
         new Thread(reactor, "listener-test").start();
@@ -46,9 +42,9 @@
                 .join();
         try (Socket silent = new Socket(address.host(), address.port())) {
             silent.getOutputStream().write("GET /x HTTP/1.1\r\nHost: h\r\n\r\n".getBytes(StandardCharsets.ISO_8859_1));
-            assertThat(answered.await(10, TimeUnit.SECONDS)).isTrue();
+            assertThat(responded.await(10, TimeUnit.SECONDS)).isTrue();
             assertThat(activeRequests(reactor, listener)).isEqualTo(1);
-            for (int wait = 0; wait < MAX_POLLS && activeRequests(reactor, listener) > 0; wait++) {
+            for (int poll = 0; poll < MAX_POLLS && activeRequests(reactor, listener) > 0; poll++) {
                 clock.advance(ServerLimits.CONTROL.idleTimeoutMillis());
                 Thread.sleep(POLL_MILLIS);
             }
--- a/daemon/src/test/java/org/bankturn/daemon/http/PooledHttpClientTest.java
+++ b/daemon/src/test/java/org/bankturn/daemon/http/PooledHttpClientTest.java
@@ -23,30 +23,27 @@
 class PooledHttpClientTest {
     private static final int READ_TIMEOUT_MILLIS = 10_000;
 
-    /** A callee that takes few connections counts those that rest; after a loss of power they crowd out new ones. */
+    /** Idle connections kept open would use up the connection limit of the server. */
     @Test
     void an_idle_connection_is_closed() throws Exception {
         assertThat(isClosedWhenIdle(Clock.system())).isTrue();
     }
 
-    /**
-     * A connection was closed only if the clock said, when its rest was over, that a whole second had passed. The timer counts
-     * from when the reactor's round began, a millisecond or more before the rest did on a busy machine, so that 999 ms had
-     * passed and the connection stayed open for good; the test above once waited for its end for three minutes.
-     */
+    /** The timer may fire before the clock has advanced by the idle time; the connection must not stay open then. */
     @Test
     void an_idle_connection_is_closed_when_the_clock_lags_the_timer() throws Exception {
         assertThat(isClosedWhenIdle(ManualClock.startingAt(1_000_000))).isTrue();
     }
 
-    /** Makes a call, and tells whether its connection ends within a time that is far longer than its rest. */
+    /** Makes a call and returns true if its connection is closed before the read timeout. */
     private static boolean isClosedWhenIdle(Clock clock) throws Exception {
-        Eventloop reactor = Eventloop.builder().withThreadName("calls-test").build();
+        Eventloop reactor =
+                Eventloop.builder().withThreadName("http-client-test").build();
         reactor.keepAlive(true);
-        new Thread(reactor, "calls-test").start();
+        new Thread(reactor, "http-client-test").start();
         try (ServerSocket server = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-            PooledHttpClient calls = PooledHttpClient.on(reactor, clock);
-            CompletableFuture<PooledHttpClient.Response> answer = reactor.submit(() -> calls.call(
+            PooledHttpClient client = PooledHttpClient.on(reactor, clock);
+            CompletableFuture<PooledHttpClient.Response> response = reactor.submit(() -> client.call(
                     new InetSocketAddress(InetAddress.getLoopbackAddress(), server.getLocalPort()),
                     HttpHead.request("GET", "/x", List.of()),
                     new byte[0],
@@ -58,7 +55,7 @@
                 readHead(input);
                 socket.getOutputStream()
                         .write("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok".getBytes(StandardCharsets.ISO_8859_1));
-                assertThat(answer.join().body()).asString().isEqualTo("ok");
+                assertThat(response.join().body()).asString().isEqualTo("ok");
                 return reachesEndOfStream(input);
             }
         } finally {
@@ -74,7 +71,7 @@
         }
     }
 
-    /** Reads until the other side closes, by an end or a reset. */
+    /** Returns true if the peer has closed or reset the connection, false on a read timeout. */
     private static boolean reachesEndOfStream(BufferedReader input) {
         try {
             return input.read() < 0;
