--- a/daemon/src/main/java/org/bankturn/daemon/wire/ConnectionObserver.java
+++ b/daemon/src/main/java/org/bankturn/daemon/wire/ConnectionObserver.java
@@ -2,18 +2,18 @@
 
 import org.bankturn.daemon.settings.Address;
 
-/** Hears of connections to other processes that are given up because they are silent. */
+/** Observes connections to other processes that are closed because nothing is received on them. */
 @FunctionalInterface
 public interface ConnectionObserver {
-    /** Notes nothing. */
-    ConnectionObserver NONE = (address, silentMillis, kept) -> {};
+    /** An observer that does nothing. */
+    ConnectionObserver NONE = (address, silentMillis, established) -> {};
 
     /**
-     * Takes in that a connection is given up.
+     * Called when a silent connection is closed.
      *
      * @param address the other process's node address, not null
-     * @param silentMillis for how long nothing came on it, in milliseconds
-     * @param kept true if something had come on it before, so that it was open and well once
+     * @param silentMillis the time since data was last received on it, in milliseconds
+     * @param established true if data was received on it before, which shows that it once worked
      */
-    void onSilentConnection(Address address, long silentMillis, boolean kept);
+    void onSilentConnection(Address address, long silentMillis, boolean established);
 }
--- a/daemon/src/main/java/org/bankturn/daemon/wire/Frame.java
+++ b/daemon/src/main/java/org/bankturn/daemon/wire/Frame.java
@@ -1,9 +1,9 @@
 package org.bankturn.daemon.wire;
 
 /**
- * A request or the reply to one, as it stands in a frame.
+ * The content of a frame: a request or the reply to one.
  *
- * @param correlation the number that the asker gave the request
+ * @param correlation the identifier that the client assigned to the request
  * @param request the request, null in a reply
  * @param reply the reply, null in a request
  */
--- a/daemon/src/main/java/org/bankturn/daemon/wire/FrameChannel.java
+++ b/daemon/src/main/java/org/bankturn/daemon/wire/FrameChannel.java
@@ -12,7 +12,7 @@
 import org.bankturn.time.Clock;
 
 /**
- * Frames over one TCP connection: a length in four big-endian bytes, then MessagePack.
+ * Exchanges frames over one TCP connection. A frame is a four-byte big-endian length followed by MessagePack.
  *
  * <p>FrameChannel is confined to its reactor's thread.
  */
@@ -30,12 +30,12 @@
     private boolean sending;
     private boolean closed;
 
-    FrameChannel(ITcpSocket socket, Clock clock, Consumer<Frame> receiver, Consumer<Exception> closed) {
+    FrameChannel(ITcpSocket socket, Clock clock, Consumer<Frame> receiver, Consumer<Exception> closeListener) {
         this.socket = socket;
         this.clock = clock;
         this.lastReadMillis = clock.millis();
         this.receiver = receiver;
-        this.closeListener = closed;
+        this.closeListener = closeListener;
     }
 
     void start() {
@@ -55,17 +55,17 @@
         flush();
     }
 
-    /** Returns how often bytes were read. */
+    /** Returns the number of reads that returned data. */
     long readCount() {
         return readCount;
     }
 
-    /** Returns when bytes were read last, or when the connection was opened. */
+    /** Returns the time of the last read, or the time of opening before the first. */
     long lastReadMillis() {
         return lastReadMillis;
     }
 
-    /** Returns true if it is no longer open. */
+    /** Returns true if the connection is closed. */
     boolean isClosed() {
         return closed;
     }
@@ -86,7 +86,7 @@
             return;
         }
         sending = true;
-        socket.write(sendQueue.poll()).whenComplete((nothing, failure) -> {
+        socket.write(sendQueue.poll()).whenComplete((ignored, failure) -> {
             sending = false;
             if (failure != null) {
                 close(failure);
@@ -99,7 +99,7 @@
     private void readMore() {
         socket.read().whenComplete((bytes, failure) -> {
             if (failure != null || bytes == null) {
-                close(failure != null ? failure : new IOException("the other side closed the connection"));
+                close(failure != null ? failure : new IOException("connection closed by peer"));
                 return;
             }
             if (closed) {
@@ -122,7 +122,7 @@
             received.peekTo(prefix, 0, Integer.BYTES);
             int length = ByteBuffer.wrap(prefix).getInt();
             if (length < 0 || length > MAX_FRAME_BYTES) {
-                close(new IOException("frame of " + length + " bytes"));
+                close(new IOException("invalid frame length: " + length));
                 return;
             }
             if (!received.hasRemainingBytes(Integer.BYTES + length)) {
--- a/daemon/src/main/java/org/bankturn/daemon/wire/NodeClient.java
+++ b/daemon/src/main/java/org/bankturn/daemon/wire/NodeClient.java
@@ -16,11 +16,11 @@
 import org.bankturn.time.Clock;
 
 /**
- * Asks one other process, over one connection that is made when needed.
+ * Sends requests to one other process, over one connection that is opened on demand.
  *
- * <p>Replies are matched to requests by correlation, whatever order they come in; a lost connection fails everything
- * that waits on it. Open connections may go silent for good while new ones work, so one on which a request ran out of time
- * takes no further request, and one that is not trusted, by what was seen on others, is replaced before it is used.
+ * <p>Replies are matched to requests by correlation identifier, in any order; a lost connection fails all requests pending
+ * on it. An open connection may go silent while new connections work, so a connection on which a request timed out is not
+ * used for further requests, and one that the reuse policy rejects is replaced before use.
  *
  * <p>NodeClient is confined to its reactor's thread.
  */
@@ -37,7 +37,7 @@
     private Promise<FrameChannel> connecting;
     private long lastCorrelation;
 
-    /** A request whose reply is waited for, and the connection that it went out on, null before that. */
+    /** A request that awaits its reply, and the connection it was sent on, null until it is sent. */
     private static final class PendingRequest {
         private final SettablePromise<NodeReply> reply = new SettablePromise<>();
         private FrameChannel sentOn;
@@ -47,52 +47,52 @@
             NioReactor reactor,
             Address address,
             Clock clock,
-            ConnectionReusePolicy trust,
+            ConnectionReusePolicy reusePolicy,
             ConnectionObserver observer) {
         this.reactor = reactor;
         this.address = address;
         this.clock = clock;
-        this.reusePolicy = trust;
+        this.reusePolicy = reusePolicy;
         this.observer = observer;
     }
 
     /**
-     * Asks.
+     * Sends a request.
      *
      * @param request the request, not null
-     * @param timeoutMillis how long to wait for the reply
-     * @return the reply; fails if there was no connection, it was lost, or time ran out
+     * @param timeoutMillis the timeout for the reply
+     * @return the reply; fails if the connection could not be established, was lost, or the request timed out
      */
     public Promise<NodeReply> ask(NodeRequest request, long timeoutMillis) {
         long correlation = ++lastCorrelation;
-        PendingRequest question = new PendingRequest();
-        pending.put(correlation, question);
+        PendingRequest entry = new PendingRequest();
+        pending.put(correlation, entry);
         connect().whenComplete((open, failure) -> {
             if (failure != null) {
-                question.reply.trySetException(failure);
+                entry.reply.trySetException(failure);
             } else if (pending.containsKey(correlation)) {
-                question.sentOn = open;
+                entry.sentOn = open;
                 open.send(new Frame(correlation, request, null));
             }
         });
-        return Promises.timeout(timeoutMillis, question.reply)
+        return Promises.timeout(timeoutMillis, entry.reply)
                 .whenComplete(() -> pending.remove(correlation))
-                .whenException(AsyncTimeoutException.class, timedOut -> requestTimedOut(question, timeoutMillis));
+                .whenException(AsyncTimeoutException.class, timedOut -> requestTimedOut(entry, timeoutMillis));
     }
 
-    /** Closes every connection; what waits fails. */
+    /** Closes every connection and fails the pending requests on them. */
     public void close() {
-        IOException reason = new IOException("closed here");
+        IOException reason = new IOException("connection closed locally");
         if (channel != null) {
             channel.close(reason);
         }
         List.copyOf(pending.values()).stream()
-                .filter(question -> question.sentOn != null)
-                .forEach(question -> question.sentOn.close(reason));
+                .filter(entry -> entry.sentOn != null)
+                .forEach(entry -> entry.sentOn.close(reason));
     }
 
-    private void requestTimedOut(PendingRequest question, long timeoutMillis) {
-        FrameChannel used = question.sentOn;
+    private void requestTimedOut(PendingRequest timedOut, long timeoutMillis) {
+        FrameChannel used = timedOut.sentOn;
         if (used == null || used.isClosed()) {
             return;
         }
@@ -101,22 +101,22 @@
         if (silentMillis < timeoutMillis / 2) {
             return;
         }
-        boolean kept = used.readCount() > 0;
-        observer.onSilentConnection(address, silentMillis, kept);
-        if (kept) {
-            // found out one by one, silent connections to control processes would cost their time-outs in turn
+        boolean established = used.readCount() > 0;
+        observer.onSilentConnection(address, silentMillis, established);
+        if (established) {
+            // connections to other processes may be silent too; marking them avoids one timeout after another
             reusePolicy.timedOut(clock.millis() - timeoutMillis / 2);
         }
         used.close(new IOException("silent for " + silentMillis + " ms"));
     }
 
-    /** Uses a connection for nothing new, and closes it once nothing waits on it. */
+    /** Stops using a connection for new requests, and closes it unless requests are pending on it. */
     private void retire(FrameChannel retired) {
         if (channel == retired) {
             channel = null;
         }
-        boolean awaited = pending.values().stream().anyMatch(question -> question.sentOn == retired);
-        if (!awaited) {
+        boolean inUse = pending.values().stream().anyMatch(entry -> entry.sentOn == retired);
+        if (!inUse) {
             retired.close(new IOException("replaced"));
         }
     }
@@ -131,12 +131,12 @@
         if (connecting != null) {
             return connecting;
         }
-        Promise<FrameChannel> begun = TcpSocket.connect(reactor, address.toSocketAddress(), CONNECT_TIMEOUT, null)
+        Promise<FrameChannel> attempt = TcpSocket.connect(reactor, address.toSocketAddress(), CONNECT_TIMEOUT, null)
                 .map(this::open);
-        if (!begun.isComplete()) {
-            connecting = begun.whenComplete(() -> connecting = null);
+        if (!attempt.isComplete()) {
+            connecting = attempt.whenComplete(() -> connecting = null);
         }
-        return begun;
+        return attempt;
     }
 
     private FrameChannel open(TcpSocket socket) {
@@ -148,25 +148,25 @@
     }
 
     private void replyReceived(Frame frame) {
-        PendingRequest question = pending.remove(frame.correlation());
-        if (question == null || frame.reply() == null) {
+        PendingRequest entry = pending.remove(frame.correlation());
+        if (entry == null || frame.reply() == null) {
             return;
         }
-        question.reply.trySet(frame.reply());
-        if (question.sentOn != channel) {
-            retire(question.sentOn);
+        entry.reply.trySet(frame.reply());
+        if (entry.sentOn != channel) {
+            retire(entry.sentOn);
         }
     }
 
-    private void connectionLost(FrameChannel ended, Exception reason) {
-        if (channel == ended) {
+    private void connectionLost(FrameChannel closed, Exception reason) {
+        if (channel == closed) {
             channel = null;
         }
-        IOException wrapped = new IOException("lost the connection to " + address, reason);
+        IOException wrapped = new IOException("connection lost to " + address, reason);
         List<PendingRequest> failed = pending.values().stream()
-                .filter(question -> question.sentOn == ended)
+                .filter(entry -> entry.sentOn == closed)
                 .toList();
         pending.values().removeAll(failed);
-        failed.forEach(question -> question.reply.trySetException(wrapped));
+        failed.forEach(entry -> entry.reply.trySetException(wrapped));
     }
 }
--- a/daemon/src/main/java/org/bankturn/daemon/wire/NodeClients.java
+++ b/daemon/src/main/java/org/bankturn/daemon/wire/NodeClients.java
@@ -10,14 +10,14 @@
 import org.bankturn.time.Clock;
 
 /**
- * The clients of one process, one for each other process that it asks.
+ * The clients through which a process sends requests, one for each other process.
  *
- * <p>{@link #ask} is confined to the reactor's thread; {@link #askFromAnyThread} is not.
+ * <p>{@link #askFromAnyThread} and {@link #tell} may be called from any thread, other methods only from the reactor's.
  */
 public final class NodeClients {
     private static final long TELL_TIMEOUT_MILLIS = 1_000;
 
-    /** A connection that rested longer may have gone silent unnoticed; the slowest regular questions come each 4 s. */
+    /** Exceeds the longest interval between regular requests, 4 s, so that connections in regular use are kept. */
     private static final long MAX_IDLE_MILLIS = 5_000;
 
     private final NioReactor reactor;
@@ -29,7 +29,7 @@
     /**
      * Creates an empty set of clients.
      *
-     * @param reactor the reactor whose thread they run on, not null
+     * @param reactor the reactor on whose thread they run, not null
      * @return the clients, not null
      */
     public static NodeClients on(NioReactor reactor) {
@@ -39,9 +39,9 @@
     /**
      * Creates an empty set of clients.
      *
-     * @param reactor the reactor whose thread they run on, not null
-     * @param clock the time, not null
-     * @param observer hears of connections that went silent, not null
+     * @param reactor the reactor on whose thread they run, not null
+     * @param clock the clock for connection ages, not null
+     * @param observer notified of connections closed for silence, not null
      * @return the clients, not null
      */
     public static NodeClients on(NioReactor reactor, Clock clock, ConnectionObserver observer) {
@@ -56,12 +56,12 @@
     }
 
     /**
-     * Asks another process.
+     * Sends a request to another process.
      *
      * @param address its node address, not null
      * @param request the request, not null
-     * @param timeoutMillis how long to wait for the reply
-     * @return the reply; fails if none came
+     * @param timeoutMillis the timeout for the reply
+     * @return the reply; fails if none is received in time
      */
     public Promise<NodeReply> ask(Address address, NodeRequest request, long timeoutMillis) {
         return clients.computeIfAbsent(address, key -> new NodeClient(reactor, key, clock, reusePolicy, observer))
@@ -69,12 +69,12 @@
     }
 
     /**
-     * Asks another process from any thread.
+     * Sends a request to another process, from any thread.
      *
      * @param address its node address, not null
      * @param request the request, not null
-     * @param timeoutMillis how long to wait for the reply
-     * @return the reply; fails if none came
+     * @param timeoutMillis the timeout for the reply
+     * @return the reply; fails if none is received in time
      */
     public CompletableFuture<NodeReply> askFromAnyThread(Address address, NodeRequest request, long timeoutMillis) {
         CompletableFuture<NodeReply> result = new CompletableFuture<>();
@@ -89,7 +89,7 @@
     }
 
     /**
-     * Sends a message whose reply does not matter and that may be lost.
+     * Sends a message without delivery guarantee and ignores the reply.
      *
      * @param address the other process's node address, not null
      * @param request the message, not null
@@ -99,8 +99,8 @@
     }
 
     /**
-     * Returns which of the process's kept connections may be used, by what was seen on others, not null; its times are
-     * those of the clock that these clients were given.
+     * Returns the policy that decides which of the process's connections may be reused, not null; its times are those of
+     * the clock of these clients.
      */
     public ConnectionReusePolicy reusePolicy() {
         return reusePolicy;
--- a/daemon/src/main/java/org/bankturn/daemon/wire/NodeReply.java
+++ b/daemon/src/main/java/org/bankturn/daemon/wire/NodeReply.java
@@ -12,7 +12,7 @@
 import org.bankturn.state.query.ShowReply;
 import org.bankturn.state.query.StatusReply;
 
-/** What a process answers to a {@link NodeRequest}. */
+/** A reply to a {@link NodeRequest}. */
 @JsonTypeInfo(use = JsonTypeInfo.Id.NAME, property = "answer")
 @JsonSubTypes({
     @JsonSubTypes.Type(value = NodeReply.Acknowledged.class, name = "received"),
@@ -34,45 +34,51 @@
     @JsonSubTypes.Type(value = NodeReply.Permit.class, name = "permit")
 })
 public sealed interface NodeReply {
-    /** The message was taken in. */
+    /** The message was received. */
     record Acknowledged() implements NodeReply {}
 
-    /** The request could not be answered; nothing is known of its effect. */
+    /** The request failed; whether it took effect is unknown. */
     record Failed(String reason) implements NodeReply {}
 
-    /** What came of a command. */
+    /** The result of a command. */
     record CommandOutcome(CommandResult result) implements NodeReply {}
 
-    /** The newest configuration index here, with the step to it if the asker's is older. */
+    /** The latest configuration index, with the update to it if the client's is older. */
     record FetchedConfiguration(long index, ConfigurationUpdate update) implements NodeReply {}
 
-    /** How all processes are. */
+    /** The status of all processes. */
     record Status(StatusReply status) implements NodeReply {}
 
-    /** Every accepted file. */
+    /** The history of accepted files. */
     record History(ShowReply history) implements NodeReply {}
 
-    /** How a target process is. */
+    /** The status of a target process. */
     record Target(TargetStatus status) implements NodeReply {}
 
-    /** A manifest's text, null if it is not known here. */
+    /** The text of a manifest, null if it is unknown. */
     record ManifestText(String text) implements NodeReply {}
 
-    /** The chunks held here, as a bit set of little-endian longs. */
+    /** The chunks that a box holds, as the longs of a {@link java.util.BitSet}. */
     record HeldChunks(long[] chunks, int count) implements NodeReply {}
 
-    /** A chunk, null if it is not held here or {@code busy} tells that the link is taken. */
+    /** A chunk, null if it is not held, or if {@code busy} because the link is in use. */
     record Chunk(byte[] bytes, boolean busy) implements NodeReply {}
 
-    /** What came of a change of what is published. */
+    /** The outcome of a publication change. */
     record PublicationOutcome(GroupMember.Outcome outcome) implements NodeReply {}
 
-    /** The newest document; {@code deflated} is null if the asker has it or there is none. */
+    /** The latest document; {@code deflated} is null if the client has it already or there is none. */
     record Document(long version, byte[] deflated) implements NodeReply {}
 
     /**
-     * What is published; {@code update} is null if nothing is newer, {@code fresh} tells whether the sender is in touch
-     * with a majority, {@code waited} that it was so when it was asked, and that nothing was newer then.
+     * The published state.
+     *
+     * @param update the update, null if nothing is newer
+     * @param fresh true if the sender is in contact with a majority
+     * @param waited true if, when asked, the sender was in contact with a majority and had nothing newer
+     * @param dataHall the sender's data hall
+     * @param members the node addresses of the group's members
+     * @param watchers the number of processes that watch the sender
      */
     record WatchedPublication(
             PublicationUpdate update,
@@ -84,29 +90,29 @@
             implements NodeReply {}
 
     /**
-     * What a gateway that asked for a permit is told.
+     * The answer to a {@link NodeRequest.RequestPermit}.
      *
-     * @param limited true if the target names a limit, as far as is known
-     * @param perSecond the requests a second that it takes from all gateways, 0 if it names no limit
-     * @param ageMillis how long ago it said so
+     * @param limited true if the target is known to declare a rate limit
+     * @param perSecond the limit on requests per second from all gateways, 0 if there is none
+     * @param ageMillis the age of the target's declaration
      * @param granted true if a permit was reserved
-     * @param inMillis when the permit may be used, or when to ask again
+     * @param inMillis the delay until the permit may be used, or until the next request for one
      */
     record Permit(boolean limited, double perSecond, long ageMillis, boolean granted, long inMillis)
             implements NodeReply {}
 
-    /** A piece of weights, null if it is not held here. */
+    /** A piece of weights, null if it is not held. */
     record Piece(byte[] bytes) implements NodeReply {}
 
-    /** Whether a piece that was waited for is there now. */
+    /** Whether an awaited piece is available. */
     record PieceAvailability(boolean there) implements NodeReply {}
 
     /**
-     * What is known of an engine beside the process that is asked.
+     * The load of the engine next to the process that replies.
      *
-     * @param load what the engine said of its load, null if it said nothing lately
-     * @param ageMillis how long ago that was
-     * @param breaksOffInMillis how long until it breaks off what it runs, 0 if that is not planned
+     * @param load the last load report, null if there is no recent one
+     * @param ageMillis the age of the report
+     * @param breaksOffInMillis the time until the engine interrupts its running requests, 0 if none is planned
      */
     record Load(EngineLoad load, long ageMillis, long breaksOffInMillis) implements NodeReply {}
 }
--- a/daemon/src/main/java/org/bankturn/daemon/wire/NodeRequest.java
+++ b/daemon/src/main/java/org/bankturn/daemon/wire/NodeRequest.java
@@ -9,7 +9,7 @@
 import org.bankturn.registry.TargetSighting;
 import org.bankturn.state.command.Command;
 
-/** What one process asks of another. */
+/** A request from one process to another. */
 @JsonTypeInfo(use = JsonTypeInfo.Id.NAME, property = "ask")
 @JsonSubTypes({
     @JsonSubTypes.Type(value = NodeRequest.DeliverRaftMessage.class, name = "agree"),
@@ -34,74 +34,74 @@
     @JsonSubTypes.Type(value = NodeRequest.Announce.class, name = "announce")
 })
 public sealed interface NodeRequest {
-    /** Carries a message of the agreement group; the reply says nothing. */
+    /** Delivers a message of the consensus protocol; the reply is only an acknowledgement. */
     record DeliverRaftMessage(RaftMessage message) implements NodeRequest {}
 
-    /** Submits a command to the leader; times in it are relative, the leader makes them absolute. */
+    /** Submits a command to the leader; its times are relative and made absolute by the leader. */
     record Submit(Command command) implements NodeRequest {}
 
-    /** Asks for a newer configuration than the one held, waiting for one if need be, and passes reports up. */
+    /** Fetches a configuration newer than {@code haveIndex}, by long polling, and delivers process reports. */
     record FetchConfiguration(long haveIndex, long waitMillis, List<ProcessReport> reports) implements NodeRequest {}
 
-    /** Passes reports on to the leader. */
+    /** Forwards process reports to the leader. */
     record ForwardReports(List<ProcessReport> reports) implements NodeRequest {}
 
-    /** Asks the leader how all processes are. */
+    /** Asks the leader for the status of all processes. */
     record GetStatus() implements NodeRequest {}
 
-    /** Asks the leader for every accepted file. */
+    /** Asks the leader for the history of accepted files. */
     record GetHistory() implements NodeRequest {}
 
-    /** Asks a target process how it is. */
+    /** Asks a target process for its status. */
     record GetTargetStatus() implements NodeRequest {}
 
     /** Asks for the text of a manifest. */
     record GetManifest(String manifest) implements NodeRequest {}
 
-    /** Asks which chunks a box holds, waiting until there are more than {@code knownCount}. */
+    /** Asks which chunks a box holds, by long polling until there are more than {@code knownCount}. */
     record GetHeldChunks(String manifest, int knownCount, long waitMillis) implements NodeRequest {}
 
     /** Asks for a chunk. */
     record GetChunk(String manifest, int chunk) implements NodeRequest {}
 
-    /** Submits a change of what is published to the leader. */
+    /** Submits a publication change to the leader. */
     record SubmitPublication(PublicationCommand command) implements NodeRequest {}
 
-    /** Has any control process see to a change of what is published; received once it is committed. */
+    /** Proposes a publication change to any control process, which acknowledges it once it is committed. */
     record ProposePublication(PublicationCommand command) implements NodeRequest {}
 
-    /** Asks the leader for the newest document, confirmed; it is left out if the asker's version is the newest. */
+    /** Performs a linearizable read of the latest document, omitted from the reply if {@code haveVersion} is current. */
     record ReadDocument(long haveVersion) implements NodeRequest {}
 
-    /** Asks for what is published after an index, waiting for it if need be. */
+    /** Watches for publications after an index, by long polling. */
     record WatchPublication(long haveIndex, long waitMillis) implements NodeRequest {}
 
-    /** Tells the leader which targets were heard from. */
+    /** Reports to the leader which targets sent heartbeats. */
     record ReportHeartbeats(List<String> targets) implements NodeRequest {}
 
-    /** Asks for a piece of a version of a model's weights. */
+    /** Asks for a piece of one version of a model's weights. */
     record GetPiece(String model, int version, int piece) implements NodeRequest {}
 
-    /** Asks to be told when a piece of a version of a model's weights is there. */
+    /** Waits until a piece of one version of a model's weights is available. */
     record AwaitPiece(String model, int version, int piece, long waitMillis) implements NodeRequest {}
 
-    /** Says that a process of bankturn is there which other processes must find, as targets say of themselves. */
+    /** Announces a bankturn process that other processes must discover, as targets announce themselves. */
     record Announce(TargetSighting sighting) implements NodeRequest {}
 
     /**
-     * Asks the gateway that is responsible for a rate-limited target for a permit, and tells what is known of the limit.
+     * Requests a permit from the gateway responsible for a rate-limited target, and reports the limit as known.
      *
      * @param target the target's incarnation, not null
-     * @param gateway the gateway that asks, not null
-     * @param limited true if the target names a limit
-     * @param perSecond the requests a second that it takes from all gateways, 0 if it names no limit
-     * @param ageMillis how long ago it said so
-     * @param wants true if the gateway wants a permit
+     * @param gateway the requesting gateway, not null
+     * @param limited true if the target declares a rate limit
+     * @param perSecond the limit on requests per second from all gateways, 0 if there is none
+     * @param ageMillis the age of the target's declaration
+     * @param wants true if the gateway needs a permit
      */
     record RequestPermit(
             String target, String gateway, boolean limited, double perSecond, long ageMillis, boolean wants)
             implements NodeRequest {}
 
-    /** Asks a target process for its engine's load. */
+    /** Asks a target process for the load of its engine. */
     record GetLoad() implements NodeRequest {}
 }
--- a/daemon/src/main/java/org/bankturn/daemon/wire/NodeServer.java
+++ b/daemon/src/main/java/org/bankturn/daemon/wire/NodeServer.java
@@ -13,12 +13,12 @@
 import org.bankturn.time.Clock;
 
 /**
- * Takes requests of other processes and answers each with its own correlation.
+ * Serves requests from other processes; each reply carries the correlation identifier of its request.
  *
  * <p>NodeServer is confined to its reactor's thread.
  */
 public final class NodeServer {
-    /** Peers replace a connection that rested for 5 s before they use it, so one that is silent for longer is of no use. */
+    /** Clients do not reuse a connection that has been idle for 5 s, so one that is silent for longer is dead. */
     private static final long MAX_SILENT_MILLIS = 30_000;
 
     private static final long SWEEP_INTERVAL_MILLIS = 5_000;
@@ -30,11 +30,11 @@
     private final Set<FrameChannel> channels = new HashSet<>();
 
     /**
-     * Creates a server that does not listen yet.
+     * Creates a server; {@link #listen} starts it.
      *
-     * @param reactor the reactor whose thread serves, not null
-     * @param address where to listen, not null
-     * @param handler answers a request, not null
+     * @param reactor the reactor on whose thread the server runs, not null
+     * @param address the address to bind to, not null
+     * @param handler handles a request, not null
      * @return the server, not null
      */
     public static NodeServer create(
@@ -43,12 +43,12 @@
     }
 
     /**
-     * Creates a server that does not listen yet.
+     * Creates a server; {@link #listen} starts it.
      *
-     * @param reactor the reactor whose thread serves, not null
-     * @param clock the time, not null
-     * @param address where to listen, not null
-     * @param handler answers a request, not null
+     * @param reactor the reactor on whose thread the server runs, not null
+     * @param clock the clock for connection ages, not null
+     * @param address the address to bind to, not null
+     * @param handler handles a request, not null
      * @return the server, not null
      */
     public static NodeServer create(
@@ -67,9 +67,10 @@
     }
 
     /**
-     * Begins to listen. The port is this process's alone, so a second process for the same box cannot start.
+     * Binds the address and starts accepting connections. The exclusive port keeps a second process for the same box from
+     * starting.
      *
-     * @throws IOException if the port is taken
+     * @throws IOException if the port is in use
      */
     public void listen() throws IOException {
         server.listen();
@@ -84,23 +85,24 @@
         }
     }
 
-    /** Closes connections whose peers went away without an end that reached this process; descriptors are few. */
+    /** Periodically closes connections whose peers vanished without closing them, since file descriptors are limited. */
     private void scheduleSweep() {
         reactor.delayBackground(SWEEP_INTERVAL_MILLIS, () -> {
-            long longAgo = clock.millis() - MAX_SILENT_MILLIS;
+            long oldest = clock.millis() - MAX_SILENT_MILLIS;
             List<FrameChannel> silent = channels.stream()
-                    .filter(channel -> channel.lastReadMillis() < longAgo)
+                    .filter(channel -> channel.lastReadMillis() < oldest)
                     .toList();
-            silent.forEach(channel -> channel.close(new IOException("silent for long")));
+            silent.forEach(channel -> channel.close(new IOException("silent for " + MAX_SILENT_MILLIS + " ms")));
             scheduleSweep();
         });
     }
 
     private void serve(ITcpSocket socket) {
-        FrameChannel[] own = new FrameChannel[1];
-        own[0] = new FrameChannel(socket, clock, frame -> respond(own[0], frame), reason -> channels.remove(own[0]));
-        channels.add(own[0]);
-        own[0].start();
+        FrameChannel[] accepted = new FrameChannel[1];
+        accepted[0] = new FrameChannel(
+                socket, clock, frame -> respond(accepted[0], frame), reason -> channels.remove(accepted[0]));
+        channels.add(accepted[0]);
+        accepted[0].start();
     }
 
     private void respond(FrameChannel channel, Frame frame) {
@@ -108,8 +110,8 @@
             return;
         }
         handle(frame.request()).whenComplete((reply, failure) -> {
-            NodeReply answer = failure == null ? reply : new NodeReply.Failed(String.valueOf(failure.getMessage()));
-            channel.send(new Frame(frame.correlation(), null, answer));
+            NodeReply response = failure == null ? reply : new NodeReply.Failed(String.valueOf(failure.getMessage()));
+            channel.send(new Frame(frame.correlation(), null, response));
         });
     }
 
--- a/daemon/src/main/java/org/bankturn/daemon/wire/package-info.java
+++ b/daemon/src/main/java/org/bankturn/daemon/wire/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Messages between bankturn's own processes: MessagePack records in length-prefixed frames over TCP.
+ * The protocol between bankturn processes: MessagePack records in length-prefixed frames over TCP.
  */
 package org.bankturn.daemon.wire;
