--- a/daemon/src/test/java/org/bankturn/daemon/wire/BackgroundThread.java
+++ b/daemon/src/test/java/org/bankturn/daemon/wire/BackgroundThread.java
@@ -2,9 +2,9 @@
 
 import java.io.IOException;
 
-/** Threads of tests that read and write sockets until these are closed. */
+/** Starts daemon threads that do blocking socket I/O in tests. */
 public final class BackgroundThread {
-    /** Something that ends with an error when its socket is closed. */
+    /** A task that fails with an {@link IOException} when its socket is closed. */
     @FunctionalInterface
     public interface Task {
         /** Runs until the socket is closed. */
@@ -13,14 +13,14 @@
 
     private BackgroundThread() {}
 
-    /** Starts a thread that does not keep the tests from ending. */
+    /** Starts a daemon thread that runs the task. */
     public static void start(String name, Task task) {
         Thread thread = new Thread(
                 () -> {
                     try {
                         task.run();
                     } catch (IOException e) {
-                        // the connection or the test has ended
+                        // the socket was closed
                     }
                 },
                 name);
--- a/daemon/src/test/java/org/bankturn/daemon/wire/NodeClientTest.java
+++ b/daemon/src/test/java/org/bankturn/daemon/wire/NodeClientTest.java
@@ -46,7 +46,7 @@
                 .join();
         proxy = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
         clients = NodeClients.on(reactor);
-        new Thread(this::acceptConnections, "entrance").start();
+        new Thread(this::acceptConnections, "proxy").start();
     }
 
     @AfterEach
@@ -59,9 +59,9 @@
         reactor.breakEventloop();
     }
 
-    /** A link that was cut may leave connections that carry nothing any more, while new ones work. */
+    /** A network failure may leave open connections dead while new ones work. */
     @Test
-    void a_connection_that_went_silent_is_replaced_by_a_new_one() {
+    void a_silent_connection_is_replaced_by_a_new_one() {
         assertThatThrownBy(() -> ask(SHORT_TIMEOUT_MILLIS)).hasRootCauseMessage("Promise timeout");
         assertThat(ask(LONG_TIMEOUT_MILLIS)).isInstanceOf(NodeReply.Acknowledged.class);
         assertThat(connections).hasValue(2);
@@ -83,35 +83,35 @@
                 .join();
     }
 
-    /** Takes the first connection and says nothing on it; passes the others on to the server. */
+    /** Accepts the first connection without ever responding; forwards later ones to the server. */
     private void acceptConnections() {
         try {
             while (true) {
-                Socket caller = proxy.accept();
-                sockets.add(caller);
+                Socket client = proxy.accept();
+                sockets.add(client);
                 if (connections.incrementAndGet() > 1) {
-                    Socket inner = new Socket(server.host(), server.port());
-                    sockets.add(inner);
-                    pump(caller, inner);
-                    pump(inner, caller);
+                    Socket backend = new Socket(server.host(), server.port());
+                    sockets.add(backend);
+                    forward(client, backend);
+                    forward(backend, client);
                 }
             }
         } catch (IOException e) {
-            // the test has ended
+            // the socket was closed
         }
     }
 
-    private static void pump(Socket from, Socket to) {
+    private static void forward(Socket from, Socket to) {
         new Thread(
                         () -> {
                             try (InputStream input = from.getInputStream();
                                     OutputStream output = to.getOutputStream()) {
                                 input.transferTo(output);
                             } catch (IOException e) {
-                                // the test has ended
+                                // the socket was closed
                             }
                         },
-                        "pump")
+                        "forwarder")
                 .start();
     }
 }
--- a/daemon/src/test/java/org/bankturn/daemon/wire/NodeClientsTest.java
+++ b/daemon/src/test/java/org/bankturn/daemon/wire/NodeClientsTest.java
@@ -19,33 +19,28 @@
 import org.junit.jupiter.api.Timeout;
 
 /**
- * One process that asks others over connections which go silent.
- *
- * <p>All open connections went silent for good at one moment, without a reset, while new ones worked. Processes that follow
- * the control group lost one control process after the other, 1.0, 2.0 and 3.0 s after that moment, because each had kept a
- * connection to every one and found out about each by itself; then the first one again after 4.0 s, because its connection
- * had not been given up: an answer to another question had come on it after the question that ran out of time was asked. A
- * change of configuration that was accepted when the silence began was in force everywhere 4,074 ms later.
+ * Clients whose open connections all go silent at once while new ones work: the client must not wait for one timeout per
+ * peer, nor reuse a silent connection because another reply arrived on it while the timed-out request was pending.
  */
 @Timeout(60)
 class NodeClientsTest {
     private static final int PEERS = 3;
     private static final long SHORT_TIMEOUT_MILLIS = 300;
 
-    /** Half of it is longer than a busy machine holds the other answers up. */
+    /** Half of it, the silence threshold, exceeds the reply latency of a busy machine. */
     private static final long MEDIUM_TIMEOUT_MILLIS = 4_000;
 
     private static final long LONG_TIMEOUT_MILLIS = 20_000;
 
     private final Eventloop reactor =
-            Eventloop.builder().withThreadName("silent-peers").build();
+            Eventloop.builder().withThreadName("node-clients-test").build();
     private final List<SilencingRelay> relays = new ArrayList<>();
     private NodeClients clients;
 
     @BeforeEach
     void start() throws IOException {
         reactor.keepAlive(true);
-        Thread thread = new Thread(reactor, "silent-peers");
+        Thread thread = new Thread(reactor, "node-clients-test");
         thread.setDaemon(true);
         thread.start();
         clients = NodeClients.on(reactor);
@@ -70,7 +65,7 @@
     }
 
     @Test
-    void once_a_connection_is_found_silent_those_not_heard_since_are_not_used_again() {
+    void after_a_timeout_connections_without_later_data_are_not_reused() {
         askAll();
         relays.forEach(SilencingRelay::silence);
         assertThatThrownBy(() -> ask(0, SHORT_TIMEOUT_MILLIS)).isInstanceOf(CompletionException.class);
@@ -82,11 +77,11 @@
     }
 
     @Test
-    void a_connection_that_answered_while_another_was_silent_is_kept() {
+    void a_connection_that_received_replies_during_the_silence_of_another_is_reused() {
         askAll();
         relays.get(0).silence();
-        CompletableFuture<NodeReply> lost = askAsync(0, MEDIUM_TIMEOUT_MILLIS);
-        while (!lost.isDone()) {
+        CompletableFuture<NodeReply> unanswered = askAsync(0, MEDIUM_TIMEOUT_MILLIS);
+        while (!unanswered.isDone()) {
             ask(1, LONG_TIMEOUT_MILLIS);
         }
         ask(1, LONG_TIMEOUT_MILLIS);
@@ -94,8 +89,8 @@
     }
 
     @Test
-    void a_connection_that_went_silent_after_answers_to_later_questions_is_not_used_again() {
-        // the connection is open first: while it is made, the second question goes out before the first
+    void a_connection_that_went_silent_after_replies_to_later_requests_is_not_reused() {
+        // opens the connection first: requests made while connecting may be sent out of order
         ask(0, LONG_TIMEOUT_MILLIS);
         CompletableFuture<NodeReply> unanswered = clients.askFromAnyThread(
                 relays.get(0).address(), new NodeRequest.GetManifest("never"), SHORT_TIMEOUT_MILLIS);
@@ -120,7 +115,7 @@
         return clients.askFromAnyThread(relays.get(peer).address(), new NodeRequest.GetLoad(), timeoutMillis);
     }
 
-    /** Answers every question but those for manifests. */
+    /** Replies to every request except those for manifests. */
     private static Promise<NodeReply> answer(NodeRequest request) {
         return request instanceof NodeRequest.GetManifest
                 ? new SettablePromise<>()
--- a/daemon/src/test/java/org/bankturn/daemon/wire/NodeServerTest.java
+++ b/daemon/src/test/java/org/bankturn/daemon/wire/NodeServerTest.java
@@ -16,11 +16,7 @@
     private static final int READ_TIMEOUT_MILLIS = 15_000;
     private static final long SILENT_MILLIS = 60_000;
 
-    /**
-     * Peers replace connections that went silent, and the end of the old ones never reaches the server, which kept each of
-     * them for good. After every connection had gone silent once, one control process had 11 accepted connections open, from
-     * eight peers that use one each; descriptors are limited.
-     */
+    /** Connections whose clients vanished without closing them must not accumulate and exhaust file descriptors. */
     @Test
     void a_silent_connection_is_closed() throws Exception {
         Eventloop reactor =
--- a/daemon/src/test/java/org/bankturn/daemon/wire/SerializationCompatibilityTest.java
+++ b/daemon/src/test/java/org/bankturn/daemon/wire/SerializationCompatibilityTest.java
@@ -23,7 +23,7 @@
 import org.junit.jupiter.params.provider.Arguments;
 import org.junit.jupiter.params.provider.MethodSource;
 
-/** A record component that is renamed without keeping its outer name loses stored and received data silently. */
+/** Guards against renamed record components that no longer match their serialized names, which loses data silently. */
 class SerializationCompatibilityTest {
     private record Samples(List<byte[]> messages) {}
 
--- a/daemon/src/test/java/org/bankturn/daemon/wire/SilencingRelay.java
+++ b/daemon/src/test/java/org/bankturn/daemon/wire/SilencingRelay.java
@@ -13,7 +13,7 @@
 import org.bankturn.daemon.settings.FreeAddresses;
 
 /**
- * A link whose open connections can go silent for good, without a reset, while new ones work.
+ * A TCP relay that can silence its open connections permanently without closing them, while new ones work.
  *
  * <p>SilencingRelay is thread-safe.
  */
@@ -28,12 +28,12 @@
     private final AtomicInteger openedConnections = new AtomicInteger();
     private final AtomicInteger silentConnectionsUsed = new AtomicInteger();
 
-    /** Opens a relay at an address of its own. */
+    /** Starts a relay at a free loopback address. */
     public static SilencingRelay inFrontOf(Address destination) throws IOException {
         return at(FreeAddresses.next(), destination);
     }
 
-    /** Opens a relay at a loopback address. */
+    /** Starts a relay at the given loopback address. */
     public static SilencingRelay at(Address address, Address destination) throws IOException {
         return new SilencingRelay(address, destination);
     }
@@ -45,22 +45,22 @@
         BackgroundThread.start(THREAD, this::acceptAll);
     }
 
-    /** Returns where to connect. */
+    /** Returns the address that clients connect to. */
     public Address address() {
         return address;
     }
 
-    /** Returns how many connections were opened. */
+    /** Returns the number of connections accepted so far. */
     public int openedConnections() {
         return openedConnections.get();
     }
 
-    /** Returns how many silent connections somebody still sent something on. */
+    /** Returns the number of silenced connections on which clients sent data afterwards. */
     public int silentConnectionsUsed() {
         return silentConnectionsUsed.get();
     }
 
-    /** From now on the connections that are open carry nothing, and stay open. */
+    /** Stops forwarding on the connections that are open now, without closing them. */
     public void silence() {
         links.forEach(link -> link.silent.set(true));
     }
@@ -75,8 +75,8 @@
 
     private void acceptAll() throws IOException {
         while (!listener.isClosed()) {
-            Socket near = listener.accept();
-            Link link = new Link(near, new Socket(destination.host(), destination.port()));
+            Socket client = listener.accept();
+            Link link = new Link(client, new Socket(destination.host(), destination.port()));
             openedConnections.incrementAndGet();
             links.add(link);
             BackgroundThread.start(THREAD, () -> link.forward(link.client, link.server, true));
@@ -90,20 +90,20 @@
         private final AtomicBoolean silent = new AtomicBoolean();
         private final AtomicBoolean counted = new AtomicBoolean();
 
-        Link(Socket near, Socket far) throws IOException {
-            this.client = near;
-            this.server = far;
-            near.setTcpNoDelay(true);
-            far.setTcpNoDelay(true);
+        Link(Socket client, Socket server) throws IOException {
+            this.client = client;
+            this.server = server;
+            client.setTcpNoDelay(true);
+            server.setTcpNoDelay(true);
         }
 
-        void forward(Socket from, Socket to, boolean outward) throws IOException {
+        void forward(Socket from, Socket to, boolean fromClient) throws IOException {
             byte[] buffer = new byte[BUFFER_BYTES];
             InputStream input = from.getInputStream();
             for (int count = input.read(buffer); count >= 0; count = input.read(buffer)) {
                 if (!silent.get()) {
                     to.getOutputStream().write(buffer, 0, count);
-                } else if (outward && counted.compareAndSet(false, true)) {
+                } else if (fromClient && counted.compareAndSet(false, true)) {
                     silentConnectionsUsed.incrementAndGet();
                 }
             }
