--- a/daemon/src/main/java/org/bankturn/daemon/observe/DecisionField.java
+++ b/daemon/src/main/java/org/bankturn/daemon/observe/DecisionField.java
@@ -2,116 +2,116 @@
 
 import java.util.Locale;
 
-/** The name of a value in a line of the decision log. */
+/** The fields of lines in the decision log. */
 public enum DecisionField {
     /** The address of the process or target concerned. */
     ADDRESS,
-    /** The answer that was given. */
+    /** The response that was given. */
     ANSWER,
-    /** The class, method and line of the code that was at work. */
+    /** The class, method and line of the code that threw an error. */
     AT_CODE,
-    /** How many pieces wait for their neighbour's transfer. */
+    /** The number of pieces awaited from a neighbour. */
     AT_NEIGHBOURS,
-    /** How many pieces wait for the origin. */
+    /** The number of pieces awaited from the origin. */
     AT_ORIGIN,
-    /** For how long a target is avoided, in milliseconds. */
+    /** How long a target is avoided, in milliseconds. */
     AVOIDED_MS,
-    /** For how long a target asks to be left alone, in milliseconds, 0 if it does not. */
+    /** The back-off that a target requests, in milliseconds, 0 if none. */
     BACK_OFF_MS,
-    /** The kind of call that was made. */
+    /** The kind of call. */
     CALL,
-    /** True if what is published was confirmed by a control process in touch with a majority. */
+    /** True if the publication was confirmed by a control process in contact with a majority. */
     CONFIRMED,
-    /** What was lost or regained. */
+    /** The dependency that was lost or regained. */
     DEPENDENCY,
-    /** How many targets ended under the request. */
+    /** The number of targets that crashed while they processed the request. */
     ENDS,
-    /** What went wrong, in words. */
+    /** A description of the error. */
     ERROR,
-    /** What happened, in a word or two. */
+    /** The name of the event. */
     EVENT,
-    /** How many failures came in a row. */
+    /** The number of consecutive failures. */
     FAILURES,
-    /** The request's fingerprint: the same whenever the same request comes again. */
+    /** A hash that identifies repeated submissions of the same request. */
     FINGERPRINT,
-    /** How long the first event took, in milliseconds. */
+    /** The time to the first event, in milliseconds. */
     FIRST_EVENT_MS,
-    /** The process that something was learned from. */
+    /** The process that supplied the information. */
     FROM,
-    /** How many pieces the origin gave. */
+    /** The number of pieces fetched from the origin. */
     FROM_ORIGIN,
-    /** The data hall that the process is in. */
+    /** The data hall of the process. */
     HALL,
-    /** How long a request was held, in milliseconds. */
+    /** How long the gateway held a request, in milliseconds. */
     HELD_MS,
-    /** How many targets were left out by their own wish, for each reason. */
+    /** The number of targets excluded at their own request, by reason. */
     HELD_BACK,
     /** The index of a publication. */
     INDEX,
-    /** True if a connection had carried something before. */
+    /** True if data had been received on the connection before. */
     KEPT,
-    /** The index of the last entry of the log. */
+    /** The index of the last log entry. */
     LAST,
-    /** True if the request may have run at a target. */
+    /** True if a target may have executed the request. */
     MAY_HAVE_RUN,
     /** The number of members of the group. */
     MEMBERS,
-    /** How an engine is changed over to other weights. */
+    /** How an engine switches to other weights. */
     METHOD,
-    /** The model whose weights are meant. */
+    /** The model that the weights belong to. */
     MODEL,
-    /** How many pieces came from the source of most of them. */
+    /** The number of pieces from the source that supplied the most. */
     MOST,
-    /** The source that gave most pieces. */
+    /** The source that supplied the most pieces. */
     MOST_FROM,
-    /** The neighbour that a piece comes from. */
+    /** The neighbour that supplies a piece. */
     NEIGHBOUR,
-    /** What came of it. */
+    /** The outcome of the operation. */
     OUTCOME,
-    /** The requests a second that a target takes from all gateways together, 0 for any number. */
+    /** A target's limit on requests per second from all gateways, 0 if none. */
     PER_SECOND,
     /** The number of a piece of weights. */
     PIECE,
-    /** How many pieces of weights are here. */
+    /** The number of pieces of weights held. */
     PIECES,
-    /** How long the first event was predicted to take, in milliseconds. */
+    /** The predicted time to the first event, in milliseconds. */
     PREDICTED_MS,
-    /** Why it was decided so. */
+    /** The reason for the decision. */
     REASON,
-    /** The request's id, as the caller gave it. */
+    /** The request identifier assigned by the caller. */
     REQUEST,
     /** The role of the process. */
     ROLE,
     /** The route of the request. */
     ROUTE,
-    /** The control boxes that the settings name. */
+    /** The control boxes listed in the settings. */
     SEEDS,
-    /** To how many targets the request was sent. */
+    /** The number of targets that the request was sent to. */
     SENDS,
-    /** For how long nothing came on a connection, in milliseconds. */
+    /** The time since data was last received on a connection, in milliseconds. */
     SILENT_MS,
-    /** How many sources gave pieces. */
+    /** The number of sources that supplied pieces. */
     SOURCES,
-    /** The status that was answered, 0 if there was none. */
+    /** The response status, 0 if there was none. */
     STATUS,
-    /** The target concerned, by its incarnation. */
+    /** The incarnation of the target. */
     TARGET,
-    /** The number of targets known. */
+    /** The number of known targets. */
     TARGETS,
-    /** The term of the group. */
+    /** The consensus term of the group. */
     TERM,
-    /** How long something took, in milliseconds. */
+    /** The duration of the operation, in milliseconds. */
     TOOK_MS,
-    /** How many requests were under way. */
+    /** The number of requests in progress. */
     UNDER_WAY,
     /** The version of the document or of the weights. */
     VERSION,
-    /** How long something was waited for, in milliseconds. */
+    /** The time spent waiting, in milliseconds. */
     WAITED_MS;
 
     private final String label = name().toLowerCase(Locale.ROOT);
 
-    /** Returns the name that stands in the log, not null. */
+    /** Returns the field's name in the log, not null. */
     public String label() {
         return label;
     }
--- a/daemon/src/main/java/org/bankturn/daemon/observe/DecisionKind.java
+++ b/daemon/src/main/java/org/bankturn/daemon/observe/DecisionKind.java
@@ -2,50 +2,50 @@
 
 import java.util.Locale;
 
-/** What a line of the decision log tells. */
+/** The kinds of lines in the decision log. */
 public enum DecisionKind {
     /** The process started. */
     START,
-    /** The process stops as planned. */
+    /** The process began an orderly shutdown. */
     STOP,
-    /** Settings were taken up or refused. */
+    /** Settings were reloaded or rejected. */
     RELOAD,
     /** A dependency was lost. */
     LOST,
     /** A dependency was regained. */
     REGAINED,
-    /** A request got its target's whole answer; only one in some is written. */
+    /** A request got a complete response; these lines are sampled. */
     ANSWERED,
-    /** An error was thrown that nothing handles: a fault of this program. */
+    /** An unhandled error was thrown, which indicates a bug. */
     ERROR,
-    /** A request was refused without having run. */
+    /** A request was rejected without being executed. */
     REFUSED,
     /** A request failed, or its outcome is unknown. */
     FAILED,
-    /** A request was sent to another target. */
+    /** A request was retried at another target. */
     RETRIED,
-    /** A stream was taken up at another target. */
+    /** A stream was resumed at another target. */
     RESUMED,
-    /** A caller left before its answer was whole. */
+    /** A caller disconnected before its response was complete. */
     CANCELLED,
-    /** A newer publication is in force here. */
+    /** A newer publication took effect in this process. */
     PUBLISHED,
-    /** A change was accepted or refused. */
+    /** A change was accepted or rejected. */
     CHANGE,
-    /** A target was recorded, is leaving or is gone. */
+    /** A target was registered, is leaving or was removed. */
     TARGET,
-    /** A target is avoided, or tried again. */
+    /** A target is avoided, or used again. */
     HEALTH,
-    /** A target asked its callers to send less, to wait or to stay away, or no longer does. */
+    /** A target changed its request for lower rate, back-off or draining. */
     NOTICE,
-    /** This control box leads, follows, joined or recovered. */
+    /** This control box became leader or follower, joined the group or recovered. */
     GROUP,
-    /** A target ended under a request, or a request is stopped for that. */
+    /** A target crashed while it processed a request, or a request was stopped for that reason. */
     SUSPECT,
     /** Weights were fetched, checked, staged or started. */
     WEIGHTS;
 
-    /** Returns the name that stands in the log, not null. */
+    /** Returns the kind's name in the log, not null. */
     public String label() {
         return name().toLowerCase(Locale.ROOT);
     }
--- a/daemon/src/main/java/org/bankturn/daemon/observe/DecisionLine.java
+++ b/daemon/src/main/java/org/bankturn/daemon/observe/DecisionLine.java
@@ -3,9 +3,9 @@
 import com.fasterxml.jackson.core.io.JsonStringEncoder;
 
 /**
- * One line of a {@link DecisionLog} while its fields are put together.
+ * A builder for one line of a {@link DecisionLog}.
  *
- * <p>DecisionLine is mutable and confined to the thread that asked for it.
+ * <p>DecisionLine is mutable and confined to the thread that created it.
  */
 public final class DecisionLine {
     private static final JsonStringEncoder ENCODER = JsonStringEncoder.getInstance();
@@ -14,7 +14,7 @@
     private final DecisionLog log;
     private final StringBuilder text;
 
-    /** Begins a line that is written. */
+    /** Begins a line that {@link #write} passes to the log. */
     static DecisionLine begin(DecisionLog log, long atMillis, String process, DecisionKind kind) {
         StringBuilder text = new StringBuilder(INITIAL_CAPACITY);
         text.append("{\"at\":").append(atMillis).append(",\"process\":\"");
@@ -23,7 +23,7 @@
         return new DecisionLine(log, text);
     }
 
-    /** Returns a line that is over its budget and goes nowhere. */
+    /** Returns a line that is discarded because its kind exceeds the rate limit. */
     static DecisionLine dropped(DecisionLog log) {
         return new DecisionLine(log, null);
     }
@@ -37,7 +37,7 @@
      * Adds a field and returns this line.
      *
      * @param field its name, not null
-     * @param value a number or truth value as such, anything else as text
+     * @param value the value, written as is if it is a number or boolean, otherwise as a string
      */
     public DecisionLine with(DecisionField field, Object value) {
         if (text == null) {
@@ -54,7 +54,7 @@
         return this;
     }
 
-    /** Hands the line to the log, which writes it later or drops and counts it. */
+    /** Passes the line to the log, which writes it asynchronously or drops and counts it. */
     public void write() {
         if (text != null) {
             log.offer(text.append("}\n").toString());
--- a/daemon/src/main/java/org/bankturn/daemon/observe/DecisionLog.java
+++ b/daemon/src/main/java/org/bankturn/daemon/observe/DecisionLog.java
@@ -13,11 +13,11 @@
 import org.bankturn.time.Clock;
 
 /**
- * Writes one JSON line for each decision to standard output, and never makes the deciding thread wait.
+ * Writes one JSON line per decision, by default to standard output, without blocking the calling thread.
  *
- * <p>Lines go through a bounded queue to a thread of their own; what does not fit is dropped and counted, and the count
- * is written once there is room again. Each kind of line has a budget a second, so that a flood of one kind leaves room
- * for the others.
+ * <p>A writer thread takes lines from a bounded queue. Lines that do not fit are dropped, and the number of dropped lines
+ * is written once the queue drains. Each kind of line is rate-limited, so that a flood of one kind does not displace the
+ * others.
  *
  * <p>DecisionLog is thread-safe.
  */
@@ -36,12 +36,12 @@
     private final String process;
     private final OutputStream output;
 
-    /** Starts a log of the process of that name on standard output. */
+    /** Starts a log on standard output for the process of the given name. */
     public static DecisionLog start(String process, Clock clock) {
         return startTo(new FileOutputStream(FileDescriptor.out), process, clock);
     }
 
-    /** Starts a log of the process of that name on a stream, which may block. */
+    /** Starts a log on a stream, which may block, for the process of the given name. */
     public static DecisionLog startTo(OutputStream output, String process, Clock clock) {
         DecisionLog log = new DecisionLog(output, process, clock);
         Thread writer = new Thread(log::writeLines, "log");
@@ -57,10 +57,10 @@
     }
 
     /**
-     * Begins a line; it goes nowhere if its kind has used up its budget.
+     * Begins a line; it is dropped if its kind exceeds the rate limit.
      *
-     * @param kind what was decided, not null
-     * @return the line, to be given what the decision was made on and then written, not null
+     * @param kind the kind of decision, not null
+     * @return the line, to be completed with fields and written, not null
      */
     public DecisionLine line(DecisionKind kind) {
         long now = clock.millis();
@@ -81,7 +81,7 @@
         return totalDropped.get();
     }
 
-    /** Takes a whole line and never waits. */
+    /** Enqueues a complete line without blocking; drops and counts it if the queue is full. */
     void offer(String line) {
         if (!queue.offer(line)) {
             countDropped();
@@ -106,10 +106,10 @@
             while (true) {
                 output.write(queue.take().getBytes(StandardCharsets.UTF_8));
                 written.incrementAndGet();
-                long lost = unreportedDropped.getAndSet(0);
-                if (lost > 0) {
+                long count = unreportedDropped.getAndSet(0);
+                if (count > 0) {
                     String line = "{\"at\":" + clock.millis() + ",\"process\":\"" + process
-                            + "\",\"kind\":\"lines_dropped\",\"count\":" + lost + "}\n";
+                            + "\",\"kind\":\"lines_dropped\",\"count\":" + count + "}\n";
                     output.write(line.getBytes(StandardCharsets.UTF_8));
                 }
             }
--- a/daemon/src/main/java/org/bankturn/daemon/observe/LogSpanExporter.java
+++ b/daemon/src/main/java/org/bankturn/daemon/observe/LogSpanExporter.java
@@ -8,7 +8,7 @@
 import java.util.Collection;
 import java.util.concurrent.TimeUnit;
 
-/** Writes each span as one log line, with trace, span and parent ids. */
+/** Logs each span as one line with its trace, span and parent ids. */
 final class LogSpanExporter implements SpanExporter {
     private static final Logger LOG = System.getLogger("org.bankturn.trace");
 
--- a/daemon/src/main/java/org/bankturn/daemon/observe/RequestOutcome.java
+++ b/daemon/src/main/java/org/bankturn/daemon/observe/RequestOutcome.java
@@ -2,20 +2,20 @@
 
 import java.util.Locale;
 
-/** How a caller's request ended, as its gateway counts it. */
+/** The outcome of a request in the metrics of its gateway. */
 public enum RequestOutcome {
-    /** The target's answer was passed on whole. */
+    /** The target's response was forwarded completely. */
     ANSWERED,
-    /** It was refused; it has not run and will not. */
+    /** The request was rejected without being executed. */
     REFUSED,
-    /** It failed, or its outcome is unknown. */
+    /** The request failed, or its outcome is unknown. */
     FAILED,
-    /** The caller left first. */
+    /** The caller disconnected before the response was complete. */
     CANCELLED,
-    /** No configuration in force allows it. */
+    /** The configuration in force does not permit the request. */
     DENIED;
 
-    /** Returns the name that stands in the metrics, not null. */
+    /** Returns the label of this outcome in the metrics, not null. */
     public String label() {
         return name().toLowerCase(Locale.ROOT);
     }
--- a/daemon/src/main/java/org/bankturn/daemon/observe/ServingMetrics.java
+++ b/daemon/src/main/java/org/bankturn/daemon/observe/ServingMetrics.java
@@ -15,7 +15,7 @@
 import org.bankturn.routing.HoldReason;
 
 /**
- * The counters and latency histograms of one process that meets an outside platform.
+ * The Prometheus metrics of a process that serves an external platform.
  *
  * <p>Names begin with {@code bankturn_}; durations are in seconds, sizes in bytes. ServingMetrics is thread-safe.
  */
@@ -30,28 +30,28 @@
     /** The label of connections to targets. */
     public static final String PEER_TARGET = "target";
 
-    /** The label of requests that were under way at a target as it ended. */
+    /** The label of requests in progress at a target when it crashed. */
     public static final String SUSPECT_BLAMED = "blamed";
 
-    /** The label of such requests that ran to their end later. */
+    /** The label of suspect requests that completed later. */
     public static final String SUSPECT_CLEARED = "cleared";
 
-    /** The label of requests that were refused because too many targets ended under them. */
+    /** The label of requests rejected because too many targets crashed while processing them. */
     public static final String SUSPECT_REFUSED = "refused";
 
-    /** The label of requests that were under way when that became known, and were stopped. */
+    /** The label of requests stopped in progress because too many targets had crashed while processing them. */
     public static final String SUSPECT_STOPPED = "stopped";
 
-    /** The label of what targets ask for in a form that cannot be read. */
+    /** The label of target notices that cannot be parsed. */
     public static final String NOTICE_UNREADABLE = "unreadable";
 
-    /** The label of permits that were granted. */
+    /** The label of granted permits. */
     public static final String PERMIT_GRANTED = "granted";
 
-    /** The label of permits that were not to be had yet. */
+    /** The label of permits that were not available yet. */
     public static final String PERMIT_REFUSED = "refused";
 
-    /** The label of questions for a permit that were not answered. */
+    /** The label of permit requests without a reply. */
     public static final String PERMIT_UNANSWERED = "unanswered";
 
     private final PrometheusRegistry registry = new PrometheusRegistry();
@@ -78,7 +78,7 @@
     private final Gauge targets;
     private final Gauge leads;
 
-    /** Returns metrics that also tell how much the log has written and dropped, not null. */
+    /** Returns metrics that include the line counts of the log, not null. */
     public static ServingMetrics of(DecisionLog log) {
         return new ServingMetrics(log);
     }
@@ -150,23 +150,23 @@
         return Gauge.builder().name("bankturn_" + name).help(help).register(registry);
     }
 
-    /** Counts a request that got its final answer, or whose caller left. */
+    /** Counts a request that got its final response, or whose caller disconnected. */
     public void requestEnded(String service, RequestOutcome outcome, long heldMillis) {
         requests.labelValues(service, outcome.label()).inc();
         heldSeconds.labelValues(outcome.label()).observe((double) heldMillis / MILLIS_PER_SECOND);
     }
 
-    /** Takes in the time until the first event of a stream. */
+    /** Records the time to the first event of a stream. */
     public void firstEvent(String service, long millis) {
         firstEventSeconds.labelValues(service).observe((double) millis / MILLIS_PER_SECOND);
     }
 
-    /** Takes in how a stream's first event came against what was predicted when it was sent. */
+    /** Records the ratio of the actual to the predicted time to a stream's first event. */
     public void firstEventPredicted(String service, double predictedMillis, long actualMillis) {
         firstEventRatio.labelValues(service).observe(actualMillis / Math.max(1, predictedMillis));
     }
 
-    /** Counts a request that is sent to a further target. */
+    /** Counts a retry of a request at another target. */
     public void retried(String service) {
         retries.labelValues(service).inc();
     }
@@ -176,32 +176,32 @@
         targetFailures.labelValues(service).inc();
     }
 
-    /** Counts a connection that was given up because it was silent; {@code peer} is one of the labels above. */
+    /** Counts a connection closed for silence; {@code peer} is one of the {@code PEER} labels. */
     public void silentConnectionClosed(String peer) {
         silentConnections.labelValues(peer).inc();
     }
 
-    /** Counts an error that was thrown and that nothing handles. */
+    /** Counts an unhandled error. */
     public void errorThrown() {
         errors.inc();
     }
 
-    /** Counts a question for an engine's load, by whether its answer came. */
+    /** Counts a poll of an engine's load. */
     public void loadPollEnded(boolean answered) {
         loadPolls.labelValues(answered ? "answered" : "unanswered").inc();
     }
 
-    /** Counts a report of an engine that could not be read. */
+    /** Counts an engine report that cannot be parsed. */
     public void unreadableReport() {
         unreadableReports.inc();
     }
 
-    /** Counts a change of what a target asks of its callers; {@code event} is its label. */
+    /** Counts a change of the flow control that a target requests; {@code event} is its label. */
     public void targetNoticeChanged(String event) {
         targetNotices.labelValues(event).inc();
     }
 
-    /** Has the targets that are held back told whenever metrics are read, by reason; to be called once. */
+    /** Registers a gauge of the targets that are held back, by reason; to be called at most once. */
     public void registerHeldBackGauge(Supplier<Map<HoldReason, Integer>> counts) {
         GaugeWithCallback.builder()
                 .name("bankturn_targets_held_back")
@@ -216,54 +216,54 @@
                 .register(registry);
     }
 
-    /** Counts a question for a permit; {@code outcome} is one of the labels above. */
+    /** Counts a permit request; {@code outcome} is one of the {@code PERMIT} labels. */
     public void permitRequested(String outcome) {
         permits.labelValues(outcome).inc();
     }
 
-    /** Counts a request that had a target and was not sent to it, because the target wanted none by then. */
+    /** Counts a request that was not sent to its selected target because of the target's flow control. */
     public void requestHeldBack(String reason) {
         heldBack.labelValues(reason).inc();
     }
 
-    /** Counts a request under which a target ended; {@code event} is one of the labels above. */
+    /** Counts an event of a suspect request; {@code event} is one of the {@code SUSPECT} labels. */
     public void suspectEvent(String event) {
         suspects.labelValues(event).inc();
     }
 
-    /** Takes in how many requests are sent to no target because targets ended under them. */
+    /** Sets the number of requests blocked because targets crashed while processing them. */
     public void setBlockedRequests(int requests) {
         blockedRequests.set(requests);
     }
 
-    /** Takes in a good piece of weights. */
+    /** Counts the bytes of a verified piece of weights. */
     public void pieceReceived(String source, long bytes) {
         pieceBytes.labelValues(source).inc(bytes);
     }
 
-    /** Counts a piece of weights that did not come, or came spoilt. */
+    /** Counts a piece of weights that was missing or corrupt. */
     public void pieceRejected(String source) {
         piecesRejected.labelValues(source).inc();
     }
 
-    /** Takes in a call of an operator or target and its answer. */
+    /** Records the duration of a call from an operator or target. */
     public void controlCall(String call, String answer, long millis) {
         controlSeconds.labelValues(call, answer).observe((double) millis / MILLIS_PER_SECOND);
     }
 
-    /** Takes in what is published here. */
+    /** Sets the publication in force and the number of known targets. */
     public void setPublication(long index, long version, int knownTargets) {
         publicationIndex.set((double) index);
         documentVersion.set((double) version);
         targets.set(knownTargets);
     }
 
-    /** Takes in whether this process leads its group. */
+    /** Sets whether this process leads its group. */
     public void setLeader(boolean leading) {
         leads.set(leading ? 1 : 0);
     }
 
-    /** Returns every metric in the Prometheus text format, not null. */
+    /** Returns all metrics in the Prometheus text format, not null. */
     public byte[] metricsText() {
         ByteArrayOutputStream text = new ByteArrayOutputStream();
         try {
--- a/daemon/src/main/java/org/bankturn/daemon/observe/SilentConnectionReporter.java
+++ b/daemon/src/main/java/org/bankturn/daemon/observe/SilentConnectionReporter.java
@@ -4,9 +4,9 @@
 import org.bankturn.daemon.wire.ConnectionObserver;
 
 /**
- * Writes a line for each connection that was given up because it was silent, and counts them.
+ * Logs and counts connections that are closed because nothing is received on them.
  *
- * <p>SilentConnections is thread-safe.
+ * <p>SilentConnectionReporter is thread-safe.
  */
 public final class SilentConnectionReporter implements ConnectionObserver {
     private final String peer;
@@ -18,7 +18,7 @@
         return forPeer(ServingMetrics.PEER_PROCESS, log, metrics);
     }
 
-    /** Returns an observer of connections to one kind of peer, by its label in metrics, not null. */
+    /** Returns an observer of connections to peers with the given metrics label, not null. */
     public static SilentConnectionReporter forPeer(String peer, DecisionLog log, ServingMetrics metrics) {
         return new SilentConnectionReporter(peer, log, metrics);
     }
@@ -30,12 +30,12 @@
     }
 
     @Override
-    public void onSilentConnection(Address address, long silentMillis, boolean kept) {
+    public void onSilentConnection(Address address, long silentMillis, boolean established) {
         metrics.silentConnectionClosed(peer);
         log.line(DecisionKind.LOST)
                 .with(DecisionField.DEPENDENCY, "connection")
                 .with(DecisionField.ADDRESS, address)
-                .with(DecisionField.KEPT, kept)
+                .with(DecisionField.KEPT, established)
                 .with(DecisionField.SILENT_MS, silentMillis)
                 .write();
     }
--- a/daemon/src/main/java/org/bankturn/daemon/observe/Telemetry.java
+++ b/daemon/src/main/java/org/bankturn/daemon/observe/Telemetry.java
@@ -47,7 +47,7 @@
     private final SdkTracerProvider tracerProvider;
     private final Tracer tracer;
 
-    /** Requests by service and numbered result. */
+    /** Requests by service and result code. */
     private final Counter requests;
 
     private final Counter retries;
@@ -60,7 +60,7 @@
     /**
      * Creates the telemetry of a process.
      *
-     * @param process the process's name, not null
+     * @param process the name of the process, not null
      * @param traces true if spans are written to the log
      * @return the telemetry, not null
      */
@@ -112,10 +112,10 @@
     }
 
     /**
-     * Counts a request that got its final result.
+     * Counts a completed request.
      *
      * @param service the service, not null
-     * @param result the numbered code
+     * @param result the result code
      */
     public void requestEnded(String service, int result) {
         requests.labelValues(service, Integer.toString(result)).inc();
@@ -127,7 +127,7 @@
     }
 
     /**
-     * Takes in the time to a first byte.
+     * Records the time to the first byte of a response.
      *
      * @param service the service, not null
      * @param seconds the time in seconds
@@ -137,7 +137,7 @@
     }
 
     /**
-     * Takes in how many requests are being worked on.
+     * Sets the number of requests in progress.
      *
      * @param count the number
      */
@@ -146,9 +146,9 @@
     }
 
     /**
-     * Takes in the configuration in force.
+     * Sets the index of the configuration in force.
      *
-     * @param index its index
+     * @param index the index
      */
     public void setConfigurationIndex(long index) {
         configurationIndex.set((double) index);
@@ -158,14 +158,14 @@
      * Counts a verified chunk.
      *
      * @param source origin or peer, not null
-     * @param bytes its size
+     * @param bytes the size of the chunk
      */
     public void chunkVerified(String source, long bytes) {
         chunkBytes.labelValues(source).inc(bytes);
     }
 
     /**
-     * Counts a chunk that did not match.
+     * Counts a chunk that did not match its digest.
      *
      * @param source origin or peer, not null
      */
@@ -174,10 +174,10 @@
     }
 
     /**
-     * Starts the span of one hop.
+     * Starts a server span.
      *
-     * @param name what the hop does, not null
-     * @param traceparent the caller's W3C trace context, null if it sent none
+     * @param name the name of the span, not null
+     * @param traceparent the caller's W3C traceparent, null if absent
      * @return the span, to be ended by the caller, not null
      */
     public Span startServerSpan(String name, String traceparent) {
@@ -193,9 +193,9 @@
     }
 
     /**
-     * Returns the trace context to pass on to the next hop.
+     * Returns the trace context to propagate to the next process.
      *
-     * @param span the span of this hop, not null
+     * @param span the current span, not null
      * @return the W3C traceparent, empty if there is none, not null
      */
     public String traceparentOf(Span span) {
@@ -204,18 +204,18 @@
         return carrier.getOrDefault(TRACEPARENT, "");
     }
 
-    /** Returns every metric in the Prometheus text format, not null. */
+    /** Returns all metrics in the Prometheus text format, not null. */
     public byte[] metricsText() {
-        ByteArrayOutputStream out = new ByteArrayOutputStream();
+        ByteArrayOutputStream text = new ByteArrayOutputStream();
         try {
-            PrometheusTextFormatWriter.create().write(out, registry.scrape());
+            PrometheusTextFormatWriter.create().write(text, registry.scrape());
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
-        return out.toByteArray();
+        return text.toByteArray();
     }
 
-    /** Writes out spans that wait. */
+    /** Flushes pending spans and shuts down tracing. */
     public void close() {
         tracerProvider.close();
     }
--- a/daemon/src/main/java/org/bankturn/daemon/observe/UnhandledErrorHandler.java
+++ b/daemon/src/main/java/org/bankturn/daemon/observe/UnhandledErrorHandler.java
@@ -4,10 +4,10 @@
 import java.util.Arrays;
 
 /**
- * Writes a line for each error that was thrown on an event loop and that nothing handles, and counts them.
+ * Logs and counts unhandled errors on event loops.
  *
- * <p>Such an error is a fault of this program: whatever was at work when it was thrown is not carried on, a request for
- * example, which then waits until its time is up. UnhandledErrorHandler is thread-safe.
+ * <p>Such an error indicates a bug: the interrupted operation, a request for example, does not continue and ends only by
+ * its timeout. UnhandledErrorHandler is thread-safe.
  */
 public final class UnhandledErrorHandler implements FatalErrorHandler {
     private static final String OWN_PACKAGE = "org.bankturn.";
@@ -35,7 +35,7 @@
                 .write();
     }
 
-    /** Returns the innermost place in our own code that the error came through. */
+    /** Returns the innermost stack frame in bankturn code. */
     private static String sourceLocation(Throwable error) {
         return Arrays.stream(error.getStackTrace())
                 .filter(frame -> frame.getClassName().startsWith(OWN_PACKAGE))
--- a/daemon/src/main/java/org/bankturn/daemon/observe/package-info.java
+++ b/daemon/src/main/java/org/bankturn/daemon/observe/package-info.java
@@ -1,4 +1,2 @@
-/**
- * Metrics, traces and logs.
- */
+/** Metrics, traces and the decision log. */
 package org.bankturn.daemon.observe;
