--- a/daemon/src/test/java/org/bankturn/daemon/observe/DecisionLogTest.java
+++ b/daemon/src/test/java/org/bankturn/daemon/observe/DecisionLogTest.java
@@ -16,7 +16,7 @@
     private final CountDownLatch readerReleased = new CountDownLatch(1);
     private final ByteArrayOutputStream output = new ByteArrayOutputStream();
 
-    /** A pipe whose reader does not read until it is told to. */
+    /** A stream that blocks until the reader is released. */
     private final OutputStream pipe = new OutputStream() {
         @Override
         public void write(int value) {
@@ -37,7 +37,7 @@
     };
 
     @Test
-    void a_reader_that_does_not_read_holds_nobody_up_and_what_was_dropped_is_counted() {
+    void a_blocked_reader_does_not_block_callers_and_dropped_lines_are_counted() {
         DecisionLog log = DecisionLog.startTo(pipe, "p", clock);
         for (int line = 0; line < 5_000; line++) {
             clock.advance(100);
@@ -53,7 +53,7 @@
     }
 
     @Test
-    void a_flood_of_one_kind_leaves_room_for_the_others() {
+    void a_flood_of_one_kind_does_not_displace_others() {
         DecisionLog log = DecisionLog.startTo(pipe, "p", clock);
         for (int line = 0; line < 500; line++) {
             log.line(DecisionKind.REFUSED)
--- a/daemon/src/test/java/org/bankturn/daemon/observe/LogFile.java
+++ b/daemon/src/test/java/org/bankturn/daemon/observe/LogFile.java
@@ -5,11 +5,11 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 
-/** Files in which tests keep the lines of their last run, beside the reports of the build. */
+/** Log files of tests, in the build directory. */
 public final class LogFile {
     private LogFile() {}
 
-    /** Opens the file of a test, empty. */
+    /** Opens the log file of a test and truncates it. */
     public static OutputStream of(String test) throws IOException {
         return Files.newOutputStream(Files.createDirectories(Path.of("target")).resolve(test + ".log"));
     }
--- a/daemon/src/test/java/org/bankturn/daemon/observe/UnhandledErrorHandlerTest.java
+++ b/daemon/src/test/java/org/bankturn/daemon/observe/UnhandledErrorHandlerTest.java
@@ -12,26 +12,26 @@
 @Timeout(30)
 class UnhandledErrorHandlerTest {
     @Test
-    void an_error_that_nothing_handles_leaves_a_line_with_its_place_and_the_loop_goes_on() throws Exception {
+    void an_unhandled_error_is_logged_with_its_location_and_the_event_loop_continues() throws Exception {
         ByteArrayOutputStream written = new ByteArrayOutputStream();
         DecisionLog log = DecisionLog.startTo(written, "test", Clock.system());
         ServingMetrics metrics = ServingMetrics.of(log);
         Eventloop reactor = Eventloop.builder()
-                .withThreadName("thrown")
+                .withThreadName("unhandled-error-test")
                 .withFatalErrorHandler(UnhandledErrorHandler.of(log, metrics))
                 .build();
         reactor.post(() -> {
             throw new IllegalStateException("for a test");
         });
-        boolean[] wentOn = new boolean[1];
-        reactor.post(() -> wentOn[0] = true);
-        Thread thread = new Thread(reactor, "thrown");
+        boolean[] continued = new boolean[1];
+        reactor.post(() -> continued[0] = true);
+        Thread thread = new Thread(reactor, "unhandled-error-test");
         thread.start();
         thread.join();
         while (!written.toString(StandardCharsets.UTF_8).contains("\n")) {
             Thread.sleep(5);
         }
-        assertThat(wentOn[0]).isTrue();
+        assertThat(continued[0]).isTrue();
         assertThat(written.toString(StandardCharsets.UTF_8))
                 .contains("\"kind\":\"error\"", "for a test", "UnhandledErrorHandlerTest");
         assertThat(new String(metrics.metricsText(), StandardCharsets.UTF_8)).contains("bankturn_errors_total 1");
