--- a/daemon/src/main/java/org/bankturn/daemon/control/ControlRole.java
+++ b/daemon/src/main/java/org/bankturn/daemon/control/ControlRole.java
@@ -2,8 +2,8 @@
 
 import io.activej.promise.Promise;
 import java.io.IOException;
-import java.lang.System.Logger;
 import java.lang.System.Logger.Level;
+import java.lang.System.Logger;
 import java.util.Collection;
 import java.util.List;
 import java.util.Optional;
@@ -24,8 +24,8 @@
 import org.bankturn.configuration.Model;
 import org.bankturn.configuration.ModelVersion;
 import org.bankturn.daemon.settings.Address;
-import org.bankturn.daemon.settings.DaemonSettings;
 import org.bankturn.daemon.settings.DaemonSettings.ControlBox;
+import org.bankturn.daemon.settings.DaemonSettings;
 import org.bankturn.daemon.wire.NodeClients;
 import org.bankturn.daemon.wire.NodeReply;
 import org.bankturn.daemon.wire.NodeRequest;
@@ -145,17 +145,17 @@
      * @return the reply, or empty if the request is for another role
      */
     public Optional<Promise<NodeReply>> handle(NodeRequest request) {
-        if (request instanceof NodeRequest.Agree agree) {
+        if (request instanceof NodeRequest.DeliverRaftMessage agree) {
             member.receive(agree.message());
-            return Optional.of(Promise.of(new NodeReply.Received()));
+            return Optional.of(Promise.of(new NodeReply.Acknowledged()));
         }
         if (request instanceof NodeRequest.Submit submit) {
             return Optional.of(Promise.<CommandResult>ofFuture(member.submit(submit.command()))
-                    .map(NodeReply.Submitted::new));
+                    .map(NodeReply.CommandOutcome::new));
         }
         if (request instanceof NodeRequest.ForwardReports forward) {
             reports.receive(forward.reports());
-            return Optional.of(Promise.of(new NodeReply.Received()));
+            return Optional.of(Promise.of(new NodeReply.Acknowledged()));
         }
         if (request instanceof NodeRequest.GetStatus || request instanceof NodeRequest.GetHistory) {
             return Optional.of(answerQuery(request));
@@ -169,7 +169,7 @@
             String leader =
                     view.leader() == null ? null : addressOf(view.leader()).toString();
             CommandResult elsewhere = new CommandResult.NotExecuted(ResultCode.NOT_LEADER, leader);
-            return Promise.of(new NodeReply.Submitted(elsewhere));
+            return Promise.of(new NodeReply.CommandOutcome(elsewhere));
         }
         return request instanceof NodeRequest.GetStatus
                 ? Promise.ofFuture(member.query(statusQuery::status)).map(NodeReply.Status::new)
@@ -211,7 +211,7 @@
     }
 
     private void send(Member to, RaftMessage message) {
-        clients.tell(addressOf(to), new NodeRequest.Agree(message));
+        clients.tell(addressOf(to), new NodeRequest.DeliverRaftMessage(message));
     }
 
     /** A box is reached as this process's settings say; what others call it may not work from here. */
--- a/daemon/src/main/java/org/bankturn/daemon/entry/EntryServlet.java
+++ b/daemon/src/main/java/org/bankturn/daemon/entry/EntryServlet.java
@@ -59,7 +59,7 @@
             ended = true;
             state.admission().complete(request.account().name(), state.clock().millis() - startMillis);
             state.telemetry().requestEnded(request.service().name(), result);
-            state.telemetry().inFlight(state.admission().running());
+            state.telemetry().setInFlight(state.admission().running());
             span.end();
         }
 
@@ -113,7 +113,7 @@
             throw new RefusedException(refused.code(), "", refused.retryAfterMillis());
         }
         state.retryBudget().recordRequest();
-        Passage passage = new Passage(request, state.telemetry().startHop("entry", traceparent));
+        Passage passage = new Passage(request, state.telemetry().startServerSpan("entry", traceparent));
         return request.hasKey() ? claimThenRun(passage) : run(passage);
     }
 
@@ -173,7 +173,7 @@
 
     private void noteFirstByte(Passage passage) {
         long took = state.clock().millis() - passage.startMillis;
-        state.telemetry().firstByte(passage.request.service().name(), took / MILLIS_PER_SECOND);
+        state.telemetry().firstByteReceived(passage.request.service().name(), took / MILLIS_PER_SECOND);
     }
 
     // ---- requests with a key
--- a/daemon/src/main/java/org/bankturn/daemon/group/GroupNode.java
+++ b/daemon/src/main/java/org/bankturn/daemon/group/GroupNode.java
@@ -25,7 +25,7 @@
 import org.bankturn.daemon.observe.DecisionKind;
 import org.bankturn.daemon.observe.DecisionLog;
 import org.bankturn.daemon.observe.ServingMetrics;
-import org.bankturn.daemon.observe.SilentConnections;
+import org.bankturn.daemon.observe.SilentConnectionReporter;
 import org.bankturn.daemon.settings.Address;
 import org.bankturn.daemon.wire.NodeClients;
 import org.bankturn.daemon.wire.NodeReply;
@@ -118,7 +118,7 @@
         this.log = log;
         this.metrics = metrics;
         this.watchers = new Watchers(reactor);
-        this.clients = NodeClients.on(reactor, clock, SilentConnections.of(log, metrics));
+        this.clients = NodeClients.on(reactor, clock, SilentConnectionReporter.of(log, metrics));
         this.nodeServer = NodeServer.create(reactor, settings.listenAddress(), this::answer);
         this.listener = HttpListener.create(
                 reactor, clock, settings.callAddress().toSocketAddress(), () -> ServerLimits.CONTROL, this::handle);
@@ -127,7 +127,8 @@
         this.member = GroupMember.of(
                 new GroupMember.Wiring(
                         this::openFolder,
-                        (to, message) -> clients.tell(Address.parse(to.address()), new NodeRequest.Agree(message)),
+                        (to, message) ->
+                                clients.tell(Address.parse(to.address()), new NodeRequest.DeliverRaftMessage(message)),
                         this::contacts,
                         this::applied,
                         contactMonitor::observe,
@@ -213,7 +214,7 @@
     }
 
     private void replaceSilentConnections(long heardMillis) {
-        reactor.execute(() -> clients.trust().timedOut(heardMillis));
+        reactor.execute(() -> clients.reusePolicy().timedOut(heardMillis));
     }
 
     // ---- requests of operators and targets
@@ -225,13 +226,13 @@
             ControlAnswer sent =
                     failure == null ? answer : new ControlAnswer.Unavailable(String.valueOf(failure.getMessage()));
             record(call, sent, clock.millis() - exchange.receivedMillis());
-            exchange.answer(dialect.head(sent), dialect.body(sent));
+            exchange.respond(dialect.head(sent), dialect.body(sent));
         });
     }
 
     private void record(ControlCall call, ControlAnswer answer, long tookMillis) {
         String name = call.getClass().getSimpleName();
-        metrics.leads(member.view().leads());
+        metrics.setLeader(member.view().leads());
         metrics.controlCall(name, answer.getClass().getSimpleName(), tookMillis);
         boolean unlogged = answer instanceof ControlAnswer.Accepted && call instanceof ControlCall.Heartbeat;
         if (!unlogged) {
@@ -319,9 +320,9 @@
     // ---- requests of other processes
 
     private Promise<NodeReply> answer(NodeRequest request) {
-        if (request instanceof NodeRequest.Agree agree) {
+        if (request instanceof NodeRequest.DeliverRaftMessage agree) {
             member.receive(agree.message());
-            return Promise.of(new NodeReply.Received());
+            return Promise.of(new NodeReply.Acknowledged());
         }
         if (request instanceof NodeRequest.SubmitPublication submitted) {
             return ask(member.submit(submitted.command())).map(NodeReply.PublicationOutcome::new);
@@ -338,16 +339,16 @@
         if (request instanceof NodeRequest.Announce announced) {
             return targetCalls.heartbeat(announced.sighting()).map(GroupNode::replyTo);
         }
-        if (request instanceof NodeRequest.NoteHeartbeats noted) {
+        if (request instanceof NodeRequest.ReportHeartbeats noted) {
             targetWatch.recordRemoteHeartbeats(noted.targets());
-            return Promise.of(new NodeReply.Received());
+            return Promise.of(new NodeReply.Acknowledged());
         }
         return Promise.of(new NodeReply.Failed("not supported by a control process"));
     }
 
     private static NodeReply replyTo(ControlAnswer answer) {
         return answer instanceof ControlAnswer.Accepted
-                ? new NodeReply.Received()
+                ? new NodeReply.Acknowledged()
                 : new NodeReply.Failed(answer.toString());
     }
 
@@ -375,7 +376,7 @@
 
     private NodeReply reply(PublicationUpdate update, boolean waited) {
         GroupView view = member.view();
-        return new NodeReply.Watched(
+        return new NodeReply.WatchedPublication(
                 update,
                 isFresh(),
                 waited,
--- a/daemon/src/main/java/org/bankturn/daemon/http/HttpListener.java
+++ b/daemon/src/main/java/org/bankturn/daemon/http/HttpListener.java
@@ -11,12 +11,12 @@
 import org.bankturn.time.Clock;
 
 /**
- * Accepts connections and hands their requests to a handler, one at a time for each connection.
+ * Accepts connections and passes their requests to a handler, one at a time per connection.
  *
  * <p>HttpListener is confined to its reactor's thread.
  */
 public final class HttpListener {
-    private static final long SWEEP_MILLIS = 500;
+    private static final long SWEEP_INTERVAL_MILLIS = 500;
 
     private final NioReactor reactor;
     private final Clock clock;
@@ -27,13 +27,13 @@
     private boolean draining;
 
     /**
-     * Creates a listener that does not listen yet.
+     * Creates a listener; {@link #listen} starts it.
      *
      * @param reactor the reactor whose thread serves, not null
-     * @param clock the time, not null
-     * @param address where to listen, not null
-     * @param limits what peers may send, asked for each request, not null
-     * @param handler takes the requests, not null
+     * @param clock the clock for timeouts, not null
+     * @param address the address to bind to, not null
+     * @param limits supplies the current limits on clients, not null
+     * @param handler handles the requests, not null
      */
     public static HttpListener create(
             NioReactor reactor,
@@ -59,24 +59,24 @@
                 .build();
     }
 
-    /** Begins to listen. */
+    /** Binds the address and starts accepting connections. */
     public void listen() throws IOException {
         server.listen();
-        sweepLater();
+        scheduleSweep();
     }
 
-    /** Ends every connection with the answer to the request that it carries, if any; new ones are still taken. */
+    /** Closes each connection after its next response; new connections are still accepted. */
     public void drain() {
         draining = true;
     }
 
-    /** Closes connections that carry no request. */
-    public void closeResting() {
-        Set.copyOf(connections).forEach(ServerConnection::closeIfResting);
+    /** Closes idle connections. */
+    public void closeIdle() {
+        Set.copyOf(connections).forEach(ServerConnection::closeIfIdle);
     }
 
-    /** Returns the number of requests under way. */
-    public int underWay() {
+    /** Returns the number of connections with a request or response in progress. */
+    public int activeRequests() {
         return (int) connections.stream().filter(ServerConnection::isBusy).count();
     }
 
@@ -90,7 +90,7 @@
         return draining;
     }
 
-    void ended(ServerConnection connection) {
+    void connectionClosed(ServerConnection connection) {
         connections.remove(connection);
     }
 
@@ -100,11 +100,11 @@
         connection.start();
     }
 
-    private void sweepLater() {
-        reactor.delayBackground(SWEEP_MILLIS, () -> {
+    private void scheduleSweep() {
+        reactor.delayBackground(SWEEP_INTERVAL_MILLIS, () -> {
             long now = clock.millis();
-            Set.copyOf(connections).forEach(connection -> connection.closeIfOverdue(now));
-            sweepLater();
+            Set.copyOf(connections).forEach(connection -> connection.closeIfTimedOut(now));
+            scheduleSweep();
         });
     }
 }
--- /dev/null
+++ b/daemon/src/main/java/org/bankturn/daemon/http/ResponseListener.java
@@ -0,0 +1,25 @@
+package org.bankturn.daemon.http;
+
+/** Receives the response to a request sent on a {@link TargetConnection}. */
+public interface ResponseListener {
+    /**
+     * Called with the head of a response.
+     *
+     * @param head the head, not null
+     * @return false if the response belongs to another request; its body is then discarded and the next response awaited
+     */
+    boolean onHead(HttpHead head);
+
+    /** Called with each part of the body. */
+    void onBodyPart(byte[] bytes);
+
+    /** Called when the response is complete. */
+    void onComplete();
+
+    /**
+     * Called when the response cannot be completed.
+     *
+     * @param failure the cause, not null
+     */
+    void onFailure(TransportFailure failure);
+}
--- a/daemon/src/main/java/org/bankturn/daemon/http/ServerConnection.java
+++ b/daemon/src/main/java/org/bankturn/daemon/http/ServerConnection.java
@@ -11,11 +11,15 @@
 import java.util.function.Supplier;
 import org.bankturn.time.Clock;
 
-/** One caller's connection: reads a request whole, waits for its answer, then takes the next; confined to one thread. */
+/**
+ * The server side of a connection: reads a complete request, waits for its response, then reads the next request.
+ *
+ * <p>ServerConnection is confined to one thread.
+ */
 final class ServerConnection {
-    private static final long REST_MILLIS = 300;
+    private static final long MIN_IDLE_MILLIS = 300;
     private static final byte[] CONTINUE = "HTTP/1.1 100 Continue\r\n\r\n".getBytes(StandardCharsets.ISO_8859_1);
-    private static final int MOST_BYTES_AHEAD = 64 << 10;
+    private static final int MAX_PIPELINED_BYTES = 64 << 10;
 
     private final HttpListener listener;
     private final ITcpSocket socket;
@@ -23,18 +27,18 @@
     private final Supplier<ServerLimits> limits;
     private final HttpHandler handler;
     private final ByteQueue received = new ByteQueue();
-    private final Deque<byte[]> unsent = new ArrayDeque<>();
+    private final Deque<byte[]> sendQueue = new ArrayDeque<>();
     private HttpHead head;
     private BodyDecoder body;
     private ByteArrayOutputStream bodyBytes;
     private ServerExchange exchange;
-    private long quietSince;
-    private long requestSince;
-    private long writingSince;
+    private long idleSinceMillis;
+    private long requestStartMillis;
+    private long writeStartMillis;
     private boolean reading;
     private boolean sending;
     private boolean closeWhenSent;
-    private boolean ended;
+    private boolean closed;
 
     ServerConnection(
             HttpListener listener, ITcpSocket socket, Clock clock, Supplier<ServerLimits> limits, HttpHandler handler) {
@@ -43,7 +47,7 @@
         this.clock = clock;
         this.limits = limits;
         this.handler = handler;
-        this.quietSince = clock.millis();
+        this.idleSinceMillis = clock.millis();
     }
 
     void start() {
@@ -54,60 +58,60 @@
         return exchange != null || head != null || sending;
     }
 
-    boolean isClosing() {
+    boolean isDraining() {
         return listener.isDraining();
     }
 
-    /** Closes a connection that has carried nothing for a moment; one that was just made may be about to. */
-    void closeIfResting() {
-        boolean rests = clock.millis() - quietSince >= REST_MILLIS;
-        if (rests && !isBusy() && received.size() == 0) {
+    /** Closes the connection if it has been idle long enough that no request is likely to be in transit. */
+    void closeIfIdle() {
+        boolean idle = clock.millis() - idleSinceMillis >= MIN_IDLE_MILLIS;
+        if (idle && !isBusy() && received.size() == 0) {
             close();
         }
     }
 
-    void closeIfOverdue(long now) {
-        // an answer that is not taken would hold its memory, and a planned stop, for good
-        if (sending && now - writingSince > limits.get().idleTimeoutMillis()) {
+    void closeIfTimedOut(long now) {
+        // a client that stops reading would otherwise hold the buffered response and block shutdown indefinitely
+        if (sending && now - writeStartMillis > limits.get().idleTimeoutMillis()) {
             close();
             return;
         }
-        boolean waitsForRequest = exchange == null && !sending;
-        boolean begun = head != null || received.size() > 0;
-        long bound = begun ? 4 * limits.get().headTimeoutMillis() : limits.get().idleTimeoutMillis();
-        if (waitsForRequest && now - (begun ? requestSince : quietSince) > bound) {
+        boolean awaitingRequest = exchange == null && !sending;
+        boolean requestStarted = head != null || received.size() > 0;
+        long timeoutMillis = requestStarted
+                ? 4 * limits.get().headTimeoutMillis()
+                : limits.get().idleTimeoutMillis();
+        if (awaitingRequest && now - (requestStarted ? requestStartMillis : idleSinceMillis) > timeoutMillis) {
             close();
         }
     }
 
     void close() {
-        if (ended) {
+        if (closed) {
             return;
         }
-        ended = true;
-        socket.closeEx(new IOException("closed here"));
-        finishEnd();
+        closed = true;
+        socket.closeEx(new IOException("connection closed locally"));
+        notifyClosed();
     }
 
-    private void finishEnd() {
-        listener.ended(this);
-        ServerExchange waiting = exchange;
+    private void notifyClosed() {
+        listener.connectionClosed(this);
+        ServerExchange interrupted = exchange;
         exchange = null;
-        if (waiting != null) {
-            waiting.callerGone();
+        if (interrupted != null) {
+            interrupted.clientDisconnected();
         }
     }
 
-    // ---- receiving
-
     private void readMore() {
-        if (reading || ended || (received.size() > MOST_BYTES_AHEAD && exchange != null)) {
+        if (reading || closed || (received.size() > MAX_PIPELINED_BYTES && exchange != null)) {
             return;
         }
         reading = true;
         socket.read().whenComplete((bytes, failure) -> {
             reading = false;
-            if (ended) {
+            if (closed) {
                 if (bytes != null) {
                     bytes.recycle();
                 }
@@ -118,116 +122,114 @@
                 return;
             }
             if (received.size() == 0 && head == null) {
-                requestSince = clock.millis();
+                requestStartMillis = clock.millis();
             }
             received.add(bytes);
-            takeRequest();
+            parseRequest();
             readMore();
         });
     }
 
-    private void takeRequest() {
-        if (exchange != null || ended || closeWhenSent) {
+    private void parseRequest() {
+        if (exchange != null || closed || closeWhenSent) {
             return;
         }
         try {
-            if (head == null && !takeHead()) {
+            if (head == null && !parseHead()) {
                 return;
             }
-            bodyBytes.writeBytes(body.take(received));
-            if (bodyBytes.size() > limits.get().mostBodyBytes()) {
-                refuse(413);
+            bodyBytes.writeBytes(body.decode(received));
+            if (bodyBytes.size() > limits.get().maxBodyBytes()) {
+                reject(413);
                 return;
             }
             if (body.isDone()) {
-                handOver();
+                dispatch();
             }
         } catch (HttpFormatException e) {
-            refuse(400);
+            reject(400);
         }
     }
 
-    private boolean takeHead() throws HttpFormatException {
-        head = HttpHeadParser.take(received, limits.get().mostHeadBytes());
+    private boolean parseHead() throws HttpFormatException {
+        head = HttpHeadParser.parseNext(received, limits.get().maxHeadBytes());
         if (head == null) {
             return false;
         }
         body = BodyDecoder.ofRequest(head);
-        if (body.lengthLeft() > limits.get().mostBodyBytes()) {
-            refuse(413);
+        if (body.remainingLength() > limits.get().maxBodyBytes()) {
+            reject(413);
             return false;
         }
-        bodyBytes = new ByteArrayOutputStream((int) Math.max(32, body.lengthLeft()));
-        if (head.fieldHolds("expect", "100-continue")) {
+        bodyBytes = new ByteArrayOutputStream((int) Math.max(32, body.remainingLength()));
+        if (head.fieldContains("expect", "100-continue")) {
             send(CONTINUE);
         }
         return true;
     }
 
-    private void handOver() {
-        HttpHead taken = head;
+    private void dispatch() {
+        HttpHead requestHead = head;
         byte[] content = bodyBytes.toByteArray();
         head = null;
         body = null;
         bodyBytes = null;
-        exchange = new ServerExchange(this, taken, content, clock.millis());
+        exchange = new ServerExchange(this, requestHead, content, clock.millis());
         handler.handle(exchange);
     }
 
-    private void refuse(int status) {
+    private void reject(int status) {
         head = null;
         closeWhenSent = true;
-        send(HttpHead.answer(
+        send(HttpHead.response(
                         status, List.of(new HttpField("Content-Length", "0"), new HttpField("Connection", "close")))
                 .encode());
     }
 
-    // ---- sending, for the exchange
-
     void send(byte[] bytes) {
-        if (ended) {
+        if (closed) {
             return;
         }
-        unsent.add(bytes);
-        sendMore();
+        sendQueue.add(bytes);
+        flush();
     }
 
-    /** Ends the exchange; with {@code keep} false the connection closes once all is sent. */
-    void finish(ServerExchange finished, boolean keep) {
+    /** Ends the exchange; unless {@code keepAlive}, the connection closes once all output is sent. */
+    void finish(ServerExchange finished, boolean keepAlive) {
         if (exchange != finished) {
             return;
         }
         exchange = null;
-        quietSince = clock.millis();
-        requestSince = quietSince;
-        closeWhenSent = !keep;
-        sendMore();
-        if (keep && !ended) {
-            takeRequest();
+        idleSinceMillis = clock.millis();
+        requestStartMillis = idleSinceMillis;
+        closeWhenSent = !keepAlive;
+        flush();
+        if (keepAlive && !closed) {
+            parseRequest();
             readMore();
         }
     }
 
-    private void sendMore() {
-        if (sending || ended) {
+    private void flush() {
+        if (sending || closed) {
             return;
         }
-        if (unsent.isEmpty()) {
+        if (sendQueue.isEmpty()) {
             if (closeWhenSent) {
                 socket.close();
-                ended = true;
-                finishEnd();
+                closed = true;
+                notifyClosed();
             }
             return;
         }
         sending = true;
-        writingSince = clock.millis();
-        socket.write(ByteBuf.wrapForReading(unsent.poll())).whenComplete((nothing, failure) -> {
+        writeStartMillis = clock.millis();
+        socket.write(ByteBuf.wrapForReading(sendQueue.poll())).whenComplete((ignored, failure) -> {
             sending = false;
             if (failure != null) {
                 close();
             } else {
-                sendMore();
+                flush();
             }
         });
     }
--- a/daemon/src/main/java/org/bankturn/daemon/http/ServerExchange.java
+++ b/daemon/src/main/java/org/bankturn/daemon/http/ServerExchange.java
@@ -5,13 +5,15 @@
 import java.util.Set;
 
 /**
- * A request and the way back to its caller.
+ * A request and the means to respond to it.
  *
- * <p>Answer with {@link #answer}, or with {@link #beginParts}, {@link #part} and {@link #endParts}. {@link #abort} closes
- * the connection so that what was sent cannot look whole. ServerExchange is confined to its reactor's thread.
+ * <p>Respond with {@link #respond}, or with {@link #startChunkedResponse}, {@link #writeChunk} and
+ * {@link #endChunkedResponse}. {@link #abort} closes the connection, so that the client detects an incomplete response.
+ *
+ * <p>ServerExchange is confined to its reactor's thread.
  */
 public final class ServerExchange {
-    private static final Set<String> FRAMING = Set.of("content-length", "transfer-encoding", "connection");
+    private static final Set<String> FRAMING_FIELDS = Set.of("content-length", "transfer-encoding", "connection");
     private static final byte[] LAST_CHUNK = "0\r\n\r\n".getBytes(StandardCharsets.ISO_8859_1);
     private static final byte[] LINE_END = {'\r', '\n'};
 
@@ -19,9 +21,9 @@
     private final HttpHead head;
     private final byte[] body;
     private final long receivedMillis;
-    private Runnable whenGone = () -> {};
-    private boolean begun;
-    private boolean keep;
+    private Runnable disconnectAction = () -> {};
+    private boolean started;
+    private boolean keepAlive;
     private boolean finished;
 
     ServerExchange(ServerConnection connection, HttpHead head, byte[] body, long receivedMillis) {
@@ -41,58 +43,60 @@
         return body;
     }
 
-    /** Returns when the request had come whole. */
+    /** Returns the time at which the request was completely received, in milliseconds. */
     public long receivedMillis() {
         return receivedMillis;
     }
 
-    /** Returns true if a part of the answer was sent. */
-    public boolean hasBegun() {
-        return begun;
+    /** Returns true if any part of the response was sent. */
+    public boolean hasStartedResponse() {
+        return started;
     }
 
-    /** Returns true if the answer was sent whole, was aborted, or the caller left. */
+    /** Returns true if the response was completed or aborted, or the client disconnected. */
     public boolean isFinished() {
         return finished;
     }
 
-    /** Sets what happens when the caller leaves before its answer is whole. */
-    public void whenGone(Runnable action) {
-        whenGone = action;
+    /** Sets the action to run if the client disconnects before the response is complete. */
+    public void onClientDisconnect(Runnable action) {
+        disconnectAction = action;
     }
 
-    /** Sends a whole answer; fields of framing are set here. */
-    public void answer(HttpHead answer, byte[] content) {
-        if (finished || begun) {
+    /** Sends a complete response; replaces any framing fields in {@code response}. */
+    public void respond(HttpHead response, byte[] content) {
+        if (finished || started) {
             return;
         }
-        begun = true;
+        started = true;
         finished = true;
-        boolean keeps = keepsConnection();
-        HttpHead framed = framed(answer, keeps).with("Content-Length", Integer.toString(content.length));
-        boolean bodiless = head.first().equals("HEAD");
+        boolean persistent = shouldKeepAlive();
+        HttpHead framed =
+                withConnectionField(response, persistent).with("Content-Length", Integer.toString(content.length));
+        boolean headRequest = head.first().equals("HEAD");
         ByteArrayOutputStream bytes = new ByteArrayOutputStream(content.length + 256);
         bytes.writeBytes(framed.encode());
-        if (!bodiless) {
+        if (!headRequest) {
             bytes.writeBytes(content);
         }
         connection.send(bytes.toByteArray());
-        connection.finish(this, keeps);
+        connection.finish(this, persistent);
     }
 
-    /** Sends the head of an answer whose end is not known yet. */
-    public void beginParts(HttpHead answer) {
-        if (finished || begun) {
+    /** Sends the head of a response with chunked transfer coding. */
+    public void startChunkedResponse(HttpHead response) {
+        if (finished || started) {
             return;
         }
-        begun = true;
-        keep = keepsConnection();
-        connection.send(
-                framed(answer, keep).with("Transfer-Encoding", "chunked").encode());
+        started = true;
+        keepAlive = shouldKeepAlive();
+        connection.send(withConnectionField(response, keepAlive)
+                .with("Transfer-Encoding", "chunked")
+                .encode());
     }
 
-    /** Sends a part of the answer. */
-    public void part(byte[] content) {
+    /** Sends a chunk of the response; empty content is ignored. */
+    public void writeChunk(byte[] content) {
         if (finished || content.length == 0) {
             return;
         }
@@ -103,17 +107,17 @@
         connection.send(chunk.toByteArray());
     }
 
-    /** Ends the answer as whole. */
-    public void endParts() {
+    /** Completes the response. */
+    public void endChunkedResponse() {
         if (finished) {
             return;
         }
         finished = true;
         connection.send(LAST_CHUNK);
-        connection.finish(this, keep && !connection.isClosing());
+        connection.finish(this, keepAlive && !connection.isDraining());
     }
 
-    /** Closes the connection, so that the answer cannot look whole. */
+    /** Closes the connection without completing the response. */
     public void abort() {
         if (finished) {
             return;
@@ -122,21 +126,21 @@
         connection.close();
     }
 
-    void callerGone() {
+    void clientDisconnected() {
         if (!finished) {
             finished = true;
-            whenGone.run();
+            disconnectAction.run();
         }
     }
 
-    private boolean keepsConnection() {
-        return !connection.isClosing()
-                && !head.fieldHolds("connection", "close")
+    private boolean shouldKeepAlive() {
+        return !connection.isDraining()
+                && !head.fieldContains("connection", "close")
                 && !head.third().equals("HTTP/1.0");
     }
 
-    private static HttpHead framed(HttpHead answer, boolean keeps) {
-        HttpHead plain = answer.without(FRAMING);
-        return keeps ? plain : plain.with("Connection", "close");
+    private static HttpHead withConnectionField(HttpHead response, boolean persistent) {
+        HttpHead unframed = response.without(FRAMING_FIELDS);
+        return persistent ? unframed : unframed.with("Connection", "close");
     }
 }
--- a/daemon/src/main/java/org/bankturn/daemon/observe/DecisionLog.java
+++ b/daemon/src/main/java/org/bankturn/daemon/observe/DecisionLog.java
@@ -13,35 +13,35 @@
 import org.bankturn.time.Clock;
 
 /**
- * Writes one JSON line for each decision to standard output, and never makes the deciding thread wait.
+ * Writes one JSON line per decision, by default to standard output, without blocking the calling thread.
  *
- * <p>Lines go through a bounded queue to a thread of their own; what does not fit is dropped and counted, and the count
- * is written once there is room again. Each kind of line has a budget a second, so that a flood of one kind leaves room
- * for the others.
+ * <p>A writer thread takes lines from a bounded queue. Lines that do not fit are dropped, and the number of dropped lines
+ * is written once the queue drains. Each kind of line is rate-limited, so that a flood of one kind does not displace the
+ * others.
  *
  * <p>DecisionLog is thread-safe.
  */
 public final class DecisionLog {
-    private static final int QUEUED_LINES = 1_024;
-    private static final int LINES_A_SECOND = 20;
+    private static final int QUEUE_CAPACITY = 1_024;
+    private static final int MAX_LINES_PER_SECOND = 20;
     private static final long SECOND_MILLIS = 1_000;
 
-    private final BlockingQueue<String> queue = new ArrayBlockingQueue<>(QUEUED_LINES);
-    private final AtomicLong dropped = new AtomicLong();
-    private final AtomicLong droppedInAll = new AtomicLong();
+    private final BlockingQueue<String> queue = new ArrayBlockingQueue<>(QUEUE_CAPACITY);
+    private final AtomicLong unreportedDropped = new AtomicLong();
+    private final AtomicLong totalDropped = new AtomicLong();
     private final AtomicLong written = new AtomicLong();
     private final Map<DecisionKind, Integer> writtenThisSecond = new EnumMap<>(DecisionKind.class);
-    private long second;
+    private long currentSecond;
     private final Clock clock;
     private final String process;
     private final OutputStream output;
 
-    /** Starts a log of the process of that name on standard output. */
+    /** Starts a log on standard output for the process of the given name. */
     public static DecisionLog start(String process, Clock clock) {
         return startTo(new FileOutputStream(FileDescriptor.out), process, clock);
     }
 
-    /** Starts a log of the process of that name on a stream, which may block. */
+    /** Starts a log on a stream, which may block, for the process of the given name. */
     public static DecisionLog startTo(OutputStream output, String process, Clock clock) {
         DecisionLog log = new DecisionLog(output, process, clock);
         Thread writer = new Thread(log::writeLines, "log");
@@ -57,10 +57,10 @@
     }
 
     /**
-     * Begins a line; it goes nowhere if its kind has used up its budget.
+     * Begins a line; it is dropped if its kind exceeds the rate limit.
      *
-     * @param kind what was decided, not null
-     * @return the line, to be given what the decision was made on and then written, not null
+     * @param kind the kind of decision, not null
+     * @return the line, to be completed with fields and written, not null
      */
     public DecisionLine line(DecisionKind kind) {
         long now = clock.millis();
@@ -78,10 +78,10 @@
 
     /** Returns how many lines were dropped since the start. */
     public long dropped() {
-        return droppedInAll.get();
+        return totalDropped.get();
     }
 
-    /** Takes a whole line and never waits. */
+    /** Enqueues a complete line without blocking; drops and counts it if the queue is full. */
     void offer(String line) {
         if (!queue.offer(line)) {
             countDropped();
@@ -89,16 +89,16 @@
     }
 
     private void countDropped() {
-        dropped.incrementAndGet();
-        droppedInAll.incrementAndGet();
+        unreportedDropped.incrementAndGet();
+        totalDropped.incrementAndGet();
     }
 
     private synchronized boolean withinBudget(DecisionKind kind, long now) {
-        if (now / SECOND_MILLIS != second) {
-            second = now / SECOND_MILLIS;
+        if (now / SECOND_MILLIS != currentSecond) {
+            currentSecond = now / SECOND_MILLIS;
             writtenThisSecond.clear();
         }
-        return writtenThisSecond.merge(kind, 1, Integer::sum) <= LINES_A_SECOND;
+        return writtenThisSecond.merge(kind, 1, Integer::sum) <= MAX_LINES_PER_SECOND;
     }
 
     private void writeLines() {
@@ -106,10 +106,10 @@
             while (true) {
                 output.write(queue.take().getBytes(StandardCharsets.UTF_8));
                 written.incrementAndGet();
-                long lost = dropped.getAndSet(0);
-                if (lost > 0) {
+                long count = unreportedDropped.getAndSet(0);
+                if (count > 0) {
                     String line = "{\"at\":" + clock.millis() + ",\"process\":\"" + process
-                            + "\",\"kind\":\"lines_dropped\",\"count\":" + lost + "}\n";
+                            + "\",\"kind\":\"lines_dropped\",\"count\":" + count + "}\n";
                     output.write(line.getBytes(StandardCharsets.UTF_8));
                 }
             }
--- a/daemon/src/main/java/org/bankturn/daemon/serving/ServingProcess.java
+++ b/daemon/src/main/java/org/bankturn/daemon/serving/ServingProcess.java
@@ -14,8 +14,8 @@
 import org.bankturn.daemon.observe.DecisionKind;
 import org.bankturn.daemon.observe.DecisionLog;
 import org.bankturn.daemon.observe.ServingMetrics;
-import org.bankturn.daemon.observe.SilentConnections;
-import org.bankturn.daemon.observe.ThrownErrors;
+import org.bankturn.daemon.observe.SilentConnectionReporter;
+import org.bankturn.daemon.observe.UnhandledErrorHandler;
 import org.bankturn.daemon.publication.Announcer;
 import org.bankturn.daemon.publication.ChangeSubmitter;
 import org.bankturn.daemon.publication.PublicationFollower;
@@ -63,7 +63,7 @@
         this.metrics = ServingMetrics.of(log);
         this.reactor = Eventloop.builder()
                 .withThreadName("serving")
-                .withFatalErrorHandler(ThrownErrors.of(log, metrics))
+                .withFatalErrorHandler(UnhandledErrorHandler.of(log, metrics))
                 .build();
     }
 
@@ -145,7 +145,7 @@
     }
 
     private NodeClients nodeClients() {
-        return NodeClients.on(reactor, clock, SilentConnections.of(log, metrics));
+        return NodeClients.on(reactor, clock, SilentConnectionReporter.of(log, metrics));
     }
 
     /** An entry box has a wide link, and so hands weights on as well. */
@@ -192,7 +192,7 @@
     }
 
     private Promise<NodeReply> answer(WeightsRelay relay, NodeRequest request) {
-        if (request instanceof NodeRequest.AskPermit asked) {
+        if (request instanceof NodeRequest.RequestPermit asked) {
             return Promise.of(gateway.handlePermitRequest(asked));
         }
         if (request instanceof NodeRequest.GetPiece asked) {
--- a/daemon/src/main/java/org/bankturn/daemon/target/ChunkServer.java
+++ b/daemon/src/main/java/org/bankturn/daemon/target/ChunkServer.java
@@ -53,7 +53,7 @@
                 new NodeReply.ManifestText(file == null ? null : file.manifest().text()));
     }
 
-    Promise<NodeReply> holds(NodeRequest.GetHolds request) {
+    Promise<NodeReply> holds(NodeRequest.GetHeldChunks request) {
         if (countOf(request.manifest()) != request.knownCount() || request.waitMillis() <= 0) {
             return Promise.of(holdsReply(request.manifest()));
         }
@@ -92,6 +92,6 @@
     private NodeReply holdsReply(String manifest) {
         ChunkFile file = served.get(manifest);
         BitSet kept = file == null ? new BitSet() : file.storedChunks();
-        return new NodeReply.Holds(kept.toLongArray(), kept.cardinality());
+        return new NodeReply.HeldChunks(kept.toLongArray(), kept.cardinality());
     }
 }
--- a/daemon/src/main/java/org/bankturn/daemon/target/TargetServlet.java
+++ b/daemon/src/main/java/org/bankturn/daemon/target/TargetServlet.java
@@ -87,7 +87,7 @@
     }
 
     private Promise<HttpResponse> pass(HttpRequest request, String version) {
-        Span span = telemetry.startHop("target", request.getHeader(BankturnHeaders.TRACEPARENT));
+        Span span = telemetry.startServerSpan("target", request.getHeader(BankturnHeaders.TRACEPARENT));
         begin(version);
         return request.loadBody().then(body -> {
             BackendClient.Exchange exchange = client.send(copy(request, body, version, telemetry.traceparentOf(span)));
@@ -139,13 +139,13 @@
     private void begin(String version) {
         running++;
         runningByVersion.merge(version, 1, Integer::sum);
-        telemetry.inFlight(running);
+        telemetry.setInFlight(running);
     }
 
     private void end(String version, Span span) {
         running--;
         runningByVersion.computeIfPresent(version, (key, count) -> count == 1 ? null : count - 1);
-        telemetry.inFlight(running);
+        telemetry.setInFlight(running);
         span.end();
     }
 
--- a/daemon/src/main/java/org/bankturn/daemon/target/VersionCopy.java
+++ b/daemon/src/main/java/org/bankturn/daemon/target/VersionCopy.java
@@ -180,11 +180,11 @@
         if (stopped || whole.isComplete()) {
             return;
         }
-        NodeRequest request = new NodeRequest.GetHolds(version.manifest(), knownCount, HOLDS_WAIT_MILLIS);
+        NodeRequest request = new NodeRequest.GetHeldChunks(version.manifest(), knownCount, HOLDS_WAIT_MILLIS);
         context.clients()
                 .ask(nodeAddress(neighbour), request, HOLDS_TIMEOUT_MILLIS)
                 .whenComplete((reply, failure) -> {
-                    if (reply instanceof NodeReply.Holds holds) {
+                    if (reply instanceof NodeReply.HeldChunks holds) {
                         planner.updateNeighbour(neighbour.name(), BitSet.valueOf(holds.chunks()));
                         pump();
                         followHolds(neighbour, holds.count());
@@ -254,7 +254,7 @@
                 .then(nothing -> Promise.ofBlocking(context.files(), () -> file.store(chunk, bytes)))
                 .map(kept -> {
                     if (kept) {
-                        context.telemetry().chunkKept(source, bytes.length);
+                        context.telemetry().chunkVerified(source, bytes.length);
                         server.chunkKept();
                         return TransferOutcome.KEPT;
                     }
--- a/daemon/src/main/java/org/bankturn/daemon/wire/NodeClient.java
+++ b/daemon/src/main/java/org/bankturn/daemon/wire/NodeClient.java
@@ -16,11 +16,11 @@
 import org.bankturn.time.Clock;
 
 /**
- * Asks one other process, over one connection that is made when needed.
+ * Sends requests to one other process, over one connection that is opened on demand.
  *
- * <p>Replies are matched to requests by correlation, whatever order they come in; a lost connection fails everything
- * that waits on it. Open connections may go silent for good while new ones work, so one on which a request ran out of time
- * takes no further request, and one that is not trusted, by what was seen on others, is replaced before it is used.
+ * <p>Replies are matched to requests by correlation identifier, in any order; a lost connection fails all requests pending
+ * on it. An open connection may go silent while new connections work, so a connection on which a request timed out is not
+ * used for further requests, and one that the reuse policy rejects is replaced before use.
  *
  * <p>NodeClient is confined to its reactor's thread.
  */
@@ -30,15 +30,15 @@
     private final NioReactor reactor;
     private final Address address;
     private final Clock clock;
-    private final ConnectionReusePolicy trust;
+    private final ConnectionReusePolicy reusePolicy;
     private final ConnectionObserver observer;
-    private final Map<Long, Question> waiting = new HashMap<>();
+    private final Map<Long, PendingRequest> pending = new HashMap<>();
     private FrameChannel channel;
     private Promise<FrameChannel> connecting;
     private long lastCorrelation;
 
-    /** A request whose reply is waited for, and the connection that it went out on, null before that. */
-    private static final class Question {
+    /** A request that awaits its reply, and the connection it was sent on, null until it is sent. */
+    private static final class PendingRequest {
         private final SettablePromise<NodeReply> reply = new SettablePromise<>();
         private FrameChannel sentOn;
     }
@@ -47,82 +47,82 @@
             NioReactor reactor,
             Address address,
             Clock clock,
-            ConnectionReusePolicy trust,
+            ConnectionReusePolicy reusePolicy,
             ConnectionObserver observer) {
         this.reactor = reactor;
         this.address = address;
         this.clock = clock;
-        this.trust = trust;
+        this.reusePolicy = reusePolicy;
         this.observer = observer;
     }
 
     /**
-     * Asks.
+     * Sends a request.
      *
      * @param request the request, not null
-     * @param timeoutMillis how long to wait for the reply
-     * @return the reply; fails if there was no connection, it was lost, or time ran out
+     * @param timeoutMillis the timeout for the reply
+     * @return the reply; fails if the connection could not be established, was lost, or the request timed out
      */
     public Promise<NodeReply> ask(NodeRequest request, long timeoutMillis) {
         long correlation = ++lastCorrelation;
-        Question question = new Question();
-        waiting.put(correlation, question);
-        connected().whenComplete((open, failure) -> {
+        PendingRequest entry = new PendingRequest();
+        pending.put(correlation, entry);
+        connect().whenComplete((open, failure) -> {
             if (failure != null) {
-                question.reply.trySetException(failure);
-            } else if (waiting.containsKey(correlation)) {
-                question.sentOn = open;
+                entry.reply.trySetException(failure);
+            } else if (pending.containsKey(correlation)) {
+                entry.sentOn = open;
                 open.send(new Frame(correlation, request, null));
             }
         });
-        return Promises.timeout(timeoutMillis, question.reply)
-                .whenComplete(() -> waiting.remove(correlation))
-                .whenException(AsyncTimeoutException.class, timedOut -> ranOutOfTime(question, timeoutMillis));
+        return Promises.timeout(timeoutMillis, entry.reply)
+                .whenComplete(() -> pending.remove(correlation))
+                .whenException(AsyncTimeoutException.class, timedOut -> requestTimedOut(entry, timeoutMillis));
     }
 
-    /** Closes every connection; what waits fails. */
+    /** Closes every connection and fails the pending requests on them. */
     public void close() {
-        IOException reason = new IOException("closed here");
+        IOException reason = new IOException("connection closed locally");
         if (channel != null) {
             channel.close(reason);
         }
-        List.copyOf(waiting.values()).stream()
-                .filter(question -> question.sentOn != null)
-                .forEach(question -> question.sentOn.close(reason));
+        List.copyOf(pending.values()).stream()
+                .filter(entry -> entry.sentOn != null)
+                .forEach(entry -> entry.sentOn.close(reason));
     }
 
-    private void ranOutOfTime(Question question, long timeoutMillis) {
-        FrameChannel used = question.sentOn;
-        if (used == null || used.hasEnded()) {
+    private void requestTimedOut(PendingRequest timedOut, long timeoutMillis) {
+        FrameChannel used = timedOut.sentOn;
+        if (used == null || used.isClosed()) {
             return;
         }
         retire(used);
-        long silentMillis = clock.millis() - used.heardMillis();
+        long silentMillis = clock.millis() - used.lastReadMillis();
         if (silentMillis < timeoutMillis / 2) {
             return;
         }
-        boolean kept = used.reads() > 0;
-        observer.wentSilent(address, silentMillis, kept);
-        if (kept) {
-            // found out one by one, silent connections to control processes would cost their time-outs in turn
-            trust.timedOut(clock.millis() - timeoutMillis / 2);
+        boolean established = used.readCount() > 0;
+        observer.onSilentConnection(address, silentMillis, established);
+        if (established) {
+            // connections to other processes may be silent too; marking them avoids one timeout after another
+            reusePolicy.timedOut(clock.millis() - timeoutMillis / 2);
         }
         used.close(new IOException("silent for " + silentMillis + " ms"));
     }
 
-    /** Uses a connection for nothing new, and closes it once nothing waits on it. */
+    /** Stops using a connection for new requests, and closes it unless requests are pending on it. */
     private void retire(FrameChannel retired) {
         if (channel == retired) {
             channel = null;
         }
-        boolean awaited = waiting.values().stream().anyMatch(question -> question.sentOn == retired);
-        if (!awaited) {
+        boolean inUse = pending.values().stream().anyMatch(entry -> entry.sentOn == retired);
+        if (!inUse) {
             retired.close(new IOException("replaced"));
         }
     }
 
-    private Promise<FrameChannel> connected() {
-        if (channel != null && !trust.isReusable(channel.heardMillis())) {
+    private Promise<FrameChannel> connect() {
+        if (channel != null && !reusePolicy.isReusable(channel.lastReadMillis())) {
             retire(channel);
         }
         if (channel != null) {
@@ -131,42 +131,42 @@
         if (connecting != null) {
             return connecting;
         }
-        Promise<FrameChannel> begun = TcpSocket.connect(reactor, address.toSocketAddress(), CONNECT_TIMEOUT, null)
+        Promise<FrameChannel> attempt = TcpSocket.connect(reactor, address.toSocketAddress(), CONNECT_TIMEOUT, null)
                 .map(this::open);
-        if (!begun.isComplete()) {
-            connecting = begun.whenComplete(() -> connecting = null);
+        if (!attempt.isComplete()) {
+            connecting = attempt.whenComplete(() -> connecting = null);
         }
-        return begun;
+        return attempt;
     }
 
     private FrameChannel open(TcpSocket socket) {
         FrameChannel[] opened = new FrameChannel[1];
-        opened[0] = new FrameChannel(socket, clock, this::received, reason -> lost(opened[0], reason));
+        opened[0] = new FrameChannel(socket, clock, this::replyReceived, reason -> connectionLost(opened[0], reason));
         channel = opened[0];
         channel.start();
         return opened[0];
     }
 
-    private void received(Frame frame) {
-        Question question = waiting.remove(frame.correlation());
-        if (question == null || frame.reply() == null) {
+    private void replyReceived(Frame frame) {
+        PendingRequest entry = pending.remove(frame.correlation());
+        if (entry == null || frame.reply() == null) {
             return;
         }
-        question.reply.trySet(frame.reply());
-        if (question.sentOn != channel) {
-            retire(question.sentOn);
+        entry.reply.trySet(frame.reply());
+        if (entry.sentOn != channel) {
+            retire(entry.sentOn);
         }
     }
 
-    private void lost(FrameChannel ended, Exception reason) {
-        if (channel == ended) {
+    private void connectionLost(FrameChannel closed, Exception reason) {
+        if (channel == closed) {
             channel = null;
         }
-        IOException wrapped = new IOException("lost the connection to " + address, reason);
-        List<Question> failed = waiting.values().stream()
-                .filter(question -> question.sentOn == ended)
+        IOException wrapped = new IOException("connection lost to " + address, reason);
+        List<PendingRequest> failed = pending.values().stream()
+                .filter(entry -> entry.sentOn == closed)
                 .toList();
-        waiting.values().removeAll(failed);
-        failed.forEach(question -> question.reply.trySetException(wrapped));
+        pending.values().removeAll(failed);
+        failed.forEach(entry -> entry.reply.trySetException(wrapped));
     }
 }
--- a/daemon/src/test/java/org/bankturn/daemon/observe/DecisionLogTest.java
+++ b/daemon/src/test/java/org/bankturn/daemon/observe/DecisionLogTest.java
@@ -13,10 +13,10 @@
 @Timeout(30)
 class DecisionLogTest {
     private final ManualClock clock = ManualClock.startingAt(0);
-    private final CountDownLatch reads = new CountDownLatch(1);
-    private final ByteArrayOutputStream read = new ByteArrayOutputStream();
+    private final CountDownLatch readerReleased = new CountDownLatch(1);
+    private final ByteArrayOutputStream output = new ByteArrayOutputStream();
 
-    /** A pipe whose reader does not read until it is told to. */
+    /** A stream that blocks until the reader is released. */
     private final OutputStream pipe = new OutputStream() {
         @Override
         public void write(int value) {
@@ -26,18 +26,18 @@
         @Override
         public void write(byte[] bytes, int from, int length) {
             try {
-                reads.await();
+                readerReleased.await();
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
             }
-            synchronized (read) {
-                read.write(bytes, from, length);
+            synchronized (output) {
+                output.write(bytes, from, length);
             }
         }
     };
 
     @Test
-    void a_reader_that_does_not_read_holds_nobody_up_and_what_was_dropped_is_counted() {
+    void a_blocked_reader_does_not_block_callers_and_dropped_lines_are_counted() {
         DecisionLog log = DecisionLog.startTo(pipe, "p", clock);
         for (int line = 0; line < 5_000; line++) {
             clock.advance(100);
@@ -45,7 +45,7 @@
                     .with(DecisionField.REQUEST, "r" + line)
                     .write();
         }
-        reads.countDown();
+        readerReleased.countDown();
         while (!text().contains("lines_dropped")) {
             Thread.onSpinWait();
         }
@@ -53,7 +53,7 @@
     }
 
     @Test
-    void a_flood_of_one_kind_leaves_room_for_the_others() {
+    void a_flood_of_one_kind_does_not_displace_others() {
         DecisionLog log = DecisionLog.startTo(pipe, "p", clock);
         for (int line = 0; line < 500; line++) {
             log.line(DecisionKind.REFUSED)
@@ -61,7 +61,7 @@
                     .write();
         }
         log.line(DecisionKind.GROUP).with(DecisionField.EVENT, "leads \"now\"").write();
-        reads.countDown();
+        readerReleased.countDown();
         while (!text().contains("leads")) {
             Thread.onSpinWait();
         }
@@ -70,8 +70,8 @@
     }
 
     private String text() {
-        synchronized (read) {
-            return read.toString(StandardCharsets.UTF_8);
+        synchronized (output) {
+            return output.toString(StandardCharsets.UTF_8);
         }
     }
 }
--- a/daemon/src/test/java/org/bankturn/daemon/wire/NodeClientTest.java
+++ b/daemon/src/test/java/org/bankturn/daemon/wire/NodeClientTest.java
@@ -23,15 +23,15 @@
 
 @Timeout(30)
 class NodeClientTest {
-    private static final long SHORT_MILLIS = 200;
-    private static final long LONG_MILLIS = 10_000;
+    private static final long SHORT_TIMEOUT_MILLIS = 200;
+    private static final long LONG_TIMEOUT_MILLIS = 10_000;
 
     private final Eventloop reactor =
             Eventloop.builder().withThreadName("node-client-test").build();
-    private final List<Socket> open = new CopyOnWriteArrayList<>();
+    private final List<Socket> sockets = new CopyOnWriteArrayList<>();
     private final AtomicInteger connections = new AtomicInteger();
     private final Address server = FreeAddresses.next();
-    private ServerSocket entrance;
+    private ServerSocket proxy;
     private NodeClients clients;
 
     @BeforeEach
@@ -39,31 +39,31 @@
         reactor.keepAlive(true);
         new Thread(reactor, "node-client-test").start();
         reactor.submit(() -> {
-                    NodeServer.create(reactor, server, request -> Promise.of(new NodeReply.Received()))
+                    NodeServer.create(reactor, server, request -> Promise.of(new NodeReply.Acknowledged()))
                             .listen();
                     return Promise.complete();
                 })
                 .join();
-        entrance = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
+        proxy = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
         clients = NodeClients.on(reactor);
-        new Thread(this::admit, "entrance").start();
+        new Thread(this::acceptConnections, "proxy").start();
     }
 
     @AfterEach
     void stop() throws IOException {
-        entrance.close();
-        for (Socket socket : open) {
+        proxy.close();
+        for (Socket socket : sockets) {
             socket.close();
         }
         reactor.keepAlive(false);
         reactor.breakEventloop();
     }
 
-    /** A link that was cut may leave connections that carry nothing any more, while new ones work. */
+    /** A network failure may leave open connections dead while new ones work. */
     @Test
-    void a_connection_that_went_silent_is_replaced_by_a_new_one() {
-        assertThatThrownBy(() -> ask(SHORT_MILLIS)).hasRootCauseMessage("Promise timeout");
-        assertThat(ask(LONG_MILLIS)).isInstanceOf(NodeReply.Received.class);
+    void a_silent_connection_is_replaced_by_a_new_one() {
+        assertThatThrownBy(() -> ask(SHORT_TIMEOUT_MILLIS)).hasRootCauseMessage("Promise timeout");
+        assertThat(ask(LONG_TIMEOUT_MILLIS)).isInstanceOf(NodeReply.Acknowledged.class);
         assertThat(connections).hasValue(2);
     }
 
@@ -72,46 +72,46 @@
         clients = NodeClients.on(reactor);
         connections.set(1);
         for (int count = 0; count < 3; count++) {
-            assertThat(ask(LONG_MILLIS)).isInstanceOf(NodeReply.Received.class);
+            assertThat(ask(LONG_TIMEOUT_MILLIS)).isInstanceOf(NodeReply.Acknowledged.class);
         }
         assertThat(connections).hasValue(2);
     }
 
     private NodeReply ask(long timeoutMillis) {
-        Address address = new Address("127.0.0.1", entrance.getLocalPort());
+        Address address = new Address("127.0.0.1", proxy.getLocalPort());
         return clients.askFromAnyThread(address, new NodeRequest.GetLoad(), timeoutMillis)
                 .join();
     }
 
-    /** Takes the first connection and says nothing on it; passes the others on to the server. */
-    private void admit() {
+    /** Accepts the first connection without ever responding; forwards later ones to the server. */
+    private void acceptConnections() {
         try {
             while (true) {
-                Socket caller = entrance.accept();
-                open.add(caller);
+                Socket client = proxy.accept();
+                sockets.add(client);
                 if (connections.incrementAndGet() > 1) {
-                    Socket inner = new Socket(server.host(), server.port());
-                    open.add(inner);
-                    pump(caller, inner);
-                    pump(inner, caller);
+                    Socket backend = new Socket(server.host(), server.port());
+                    sockets.add(backend);
+                    forward(client, backend);
+                    forward(backend, client);
                 }
             }
         } catch (IOException e) {
-            // the test has ended
+            // the socket was closed
         }
     }
 
-    private static void pump(Socket from, Socket to) {
+    private static void forward(Socket from, Socket to) {
         new Thread(
                         () -> {
                             try (InputStream input = from.getInputStream();
                                     OutputStream output = to.getOutputStream()) {
                                 input.transferTo(output);
                             } catch (IOException e) {
-                                // the test has ended
+                                // the socket was closed
                             }
                         },
-                        "pump")
+                        "forwarder")
                 .start();
     }
 }
--- a/daemon/src/test/java/org/bankturn/daemon/wire/NodeServerTest.java
+++ b/daemon/src/test/java/org/bankturn/daemon/wire/NodeServerTest.java
@@ -13,16 +13,12 @@
 
 @Timeout(30)
 class NodeServerTest {
-    private static final int ANY_SWEEP_MILLIS = 15_000;
-    private static final long LONGER_THAN_ANY_PEER_RESTS_MILLIS = 60_000;
+    private static final int READ_TIMEOUT_MILLIS = 15_000;
+    private static final long SILENT_MILLIS = 60_000;
 
-    /**
-     * Peers replace connections that went silent, and the end of the old ones never reaches the server, which kept each of
-     * them for good. After every connection had gone silent once, one control process had 11 accepted connections open, from
-     * eight peers that use one each; descriptors are limited.
-     */
+    /** Connections whose clients vanished without closing them must not accumulate and exhaust file descriptors. */
     @Test
-    void a_connection_on_which_nothing_comes_any_more_is_closed() throws Exception {
+    void a_silent_connection_is_closed() throws Exception {
         Eventloop reactor =
                 Eventloop.builder().withThreadName("node-server-test").build();
         ManualClock clock = ManualClock.startingAt(1_000_000);
@@ -30,7 +26,7 @@
         reactor.keepAlive(true);
         new Thread(reactor, "node-server-test").start();
         reactor.submit(() -> {
-                    NodeServer.create(reactor, clock, address, request -> Promise.of(new NodeReply.Received()))
+                    NodeServer.create(reactor, clock, address, request -> Promise.of(new NodeReply.Acknowledged()))
                             .listen();
                     return Promise.complete();
                 })
@@ -39,9 +35,9 @@
             NodeReply reply = NodeClients.on(reactor)
                     .askFromAnyThread(address, new NodeRequest.GetLoad(), 10_000)
                     .join();
-            assertThat(reply).isInstanceOf(NodeReply.Received.class);
-            silent.setSoTimeout(ANY_SWEEP_MILLIS);
-            clock.advance(LONGER_THAN_ANY_PEER_RESTS_MILLIS);
+            assertThat(reply).isInstanceOf(NodeReply.Acknowledged.class);
+            silent.setSoTimeout(READ_TIMEOUT_MILLIS);
+            clock.advance(SILENT_MILLIS);
             assertThat(silent.getInputStream().read()).isNegative();
         } finally {
             reactor.keepAlive(false);
--- a/daemon/src/test/java/org/bankturn/daemon/wire/EarlierFormatTest.java
+++ b/daemon/src/test/java/org/bankturn/daemon/wire/SerializationCompatibilityTest.java
@@ -23,11 +23,11 @@
 import org.junit.jupiter.params.provider.Arguments;
 import org.junit.jupiter.params.provider.MethodSource;
 
-/** A record component that is renamed without keeping its outer name loses stored and received data silently. */
-class EarlierFormatTest {
+/** Guards against renamed record components that no longer match their serialized names, which loses data silently. */
+class SerializationCompatibilityTest {
     private record Samples(List<byte[]> messages) {}
 
-    static Stream<Arguments> writtenTypes() {
+    static Stream<Arguments> serializedTypes() {
         return Stream.of(
                 Arguments.of("agreement", RaftMessage.class),
                 Arguments.of("agreement-snapshot", Snapshot.class),
@@ -46,8 +46,8 @@
     }
 
     @ParameterizedTest(name = "{0}")
-    @MethodSource("writtenTypes")
-    void bytes_of_an_earlier_build_are_read_whole_and_written_the_same(String file, Class<?> type) throws IOException {
+    @MethodSource("serializedTypes")
+    void messages_of_an_earlier_build_survive_a_round_trip(String file, Class<?> type) throws IOException {
         MessagePackCodec codec = MessagePackCodec.instance();
         List<byte[]> messages = codec.decode(read(file), Samples.class).messages();
         assertThat(messages).isNotEmpty();
@@ -57,7 +57,8 @@
     }
 
     private static byte[] read(String file) throws IOException {
-        try (InputStream stream = EarlierFormatTest.class.getResourceAsStream("/earlier-format/" + file + ".msgpack")) {
+        try (InputStream stream =
+                SerializationCompatibilityTest.class.getResourceAsStream("/earlier-format/" + file + ".msgpack")) {
             return stream.readAllBytes();
         }
     }
--- a/daemon/src/test/java/org/bankturn/daemon/wire/SilencingRelay.java
+++ b/daemon/src/test/java/org/bankturn/daemon/wire/SilencingRelay.java
@@ -13,7 +13,7 @@
 import org.bankturn.daemon.settings.FreeAddresses;
 
 /**
- * A link whose open connections can go silent for good, without a reset, while new ones work.
+ * A TCP relay that can silence its open connections permanently without closing them, while new ones work.
  *
  * <p>SilencingRelay is thread-safe.
  */
@@ -25,15 +25,15 @@
     private final Address destination;
     private final ServerSocket listener;
     private final List<Link> links = new CopyOnWriteArrayList<>();
-    private final AtomicInteger opened = new AtomicInteger();
-    private final AtomicInteger usedWhenSilent = new AtomicInteger();
+    private final AtomicInteger openedConnections = new AtomicInteger();
+    private final AtomicInteger silentConnectionsUsed = new AtomicInteger();
 
-    /** Opens a relay at an address of its own. */
-    public static SilencingRelay before(Address destination) throws IOException {
+    /** Starts a relay at a free loopback address. */
+    public static SilencingRelay inFrontOf(Address destination) throws IOException {
         return at(FreeAddresses.next(), destination);
     }
 
-    /** Opens a relay at a loopback address. */
+    /** Starts a relay at the given loopback address. */
     public static SilencingRelay at(Address address, Address destination) throws IOException {
         return new SilencingRelay(address, destination);
     }
@@ -45,22 +45,22 @@
         BackgroundThread.start(THREAD, this::acceptAll);
     }
 
-    /** Returns where to connect. */
+    /** Returns the address that clients connect to. */
     public Address address() {
         return address;
     }
 
-    /** Returns how many connections were opened. */
-    public int opened() {
-        return opened.get();
+    /** Returns the number of connections accepted so far. */
+    public int openedConnections() {
+        return openedConnections.get();
     }
 
-    /** Returns how many silent connections somebody still sent something on. */
-    public int usedWhenSilent() {
-        return usedWhenSilent.get();
+    /** Returns the number of silenced connections on which clients sent data afterwards. */
+    public int silentConnectionsUsed() {
+        return silentConnectionsUsed.get();
     }
 
-    /** From now on the connections that are open carry nothing, and stay open. */
+    /** Stops forwarding on the connections that are open now, without closing them. */
     public void silence() {
         links.forEach(link -> link.silent.set(true));
     }
@@ -75,36 +75,36 @@
 
     private void acceptAll() throws IOException {
         while (!listener.isClosed()) {
-            Socket near = listener.accept();
-            Link link = new Link(near, new Socket(destination.host(), destination.port()));
-            opened.incrementAndGet();
+            Socket client = listener.accept();
+            Link link = new Link(client, new Socket(destination.host(), destination.port()));
+            openedConnections.incrementAndGet();
             links.add(link);
-            BackgroundThread.start(THREAD, () -> link.pass(link.near, link.far, true));
-            BackgroundThread.start(THREAD, () -> link.pass(link.far, link.near, false));
+            BackgroundThread.start(THREAD, () -> link.forward(link.client, link.server, true));
+            BackgroundThread.start(THREAD, () -> link.forward(link.server, link.client, false));
         }
     }
 
     private final class Link {
-        private final Socket near;
-        private final Socket far;
+        private final Socket client;
+        private final Socket server;
         private final AtomicBoolean silent = new AtomicBoolean();
         private final AtomicBoolean counted = new AtomicBoolean();
 
-        Link(Socket near, Socket far) throws IOException {
-            this.near = near;
-            this.far = far;
-            near.setTcpNoDelay(true);
-            far.setTcpNoDelay(true);
+        Link(Socket client, Socket server) throws IOException {
+            this.client = client;
+            this.server = server;
+            client.setTcpNoDelay(true);
+            server.setTcpNoDelay(true);
         }
 
-        void pass(Socket from, Socket to, boolean outward) throws IOException {
+        void forward(Socket from, Socket to, boolean fromClient) throws IOException {
             byte[] buffer = new byte[BUFFER_BYTES];
             InputStream input = from.getInputStream();
             for (int count = input.read(buffer); count >= 0; count = input.read(buffer)) {
                 if (!silent.get()) {
                     to.getOutputStream().write(buffer, 0, count);
-                } else if (outward && counted.compareAndSet(false, true)) {
-                    usedWhenSilent.incrementAndGet();
+                } else if (fromClient && counted.compareAndSet(false, true)) {
+                    silentConnectionsUsed.incrementAndGet();
                 }
             }
             if (!silent.get()) {
@@ -113,8 +113,8 @@
         }
 
         void close() throws IOException {
-            near.close();
-            far.close();
+            client.close();
+            server.close();
         }
     }
 }
