--- a/daemon/src/main/java/org/bankturn/daemon/serving/Rehearsal.java
+++ b/daemon/src/main/java/org/bankturn/daemon/serving/CdsTrainingRun.java
@@ -22,7 +22,7 @@
  * <p>The build does so once to learn which classes the programs load, and writes them to an archive that makes every start
  * cheaper. Nothing depends on its outcome.
  */
-public final class Rehearsal {
+public final class CdsTrainingRun {
     private static final long LENGTH_MILLIS = 3_000;
     private static final int ROUNDS = 3;
     private static final long CALL_MILLIS = 1_000;
@@ -48,7 +48,7 @@
      */
     public static void run(Dialects dialects, SettingsSource source, List<Call> controlCalls, List<Call> requests)
             throws IOException, InterruptedException {
-        new Rehearsal(dialects, source).run(controlCalls, requests);
+        new CdsTrainingRun(dialects, source).run(controlCalls, requests);
     }
 
     /**
@@ -70,14 +70,14 @@
             String type =
                     name.substring(0, name.length() - CLASS_SUFFIX.length()).replace('/', '.');
             try {
-                Class.forName(type, false, Rehearsal.class.getClassLoader());
+                Class.forName(type, false, CdsTrainingRun.class.getClassLoader());
             } catch (ClassNotFoundException | LinkageError e) {
                 System.err.println("not archived: " + type + ", " + e);
             }
         }
     }
 
-    private Rehearsal(Dialects dialects, SettingsSource source) throws IOException {
+    private CdsTrainingRun(Dialects dialects, SettingsSource source) throws IOException {
         this.dialects = dialects;
         this.source = source;
     }
