--- a/daemon/src/main/java/org/bankturn/daemon/serving/CdsTrainingRun.java
+++ b/daemon/src/main/java/org/bankturn/daemon/serving/CdsTrainingRun.java
@@ -58,7 +58,7 @@
      *
      * @param archive the archive that the programs are started from, not null
      */
-    public static void loadOwnClasses(Path archive) throws IOException {
+    public static void loadApplicationClasses(Path archive) throws IOException {
         List<String> names;
         try (JarFile jar = new JarFile(archive.toFile())) {
             names = jar.stream()
