--- a/daemon/src/main/java/org/bankturn/daemon/serving/ServingProcess.java
+++ b/daemon/src/main/java/org/bankturn/daemon/serving/ServingProcess.java
@@ -69,7 +69,7 @@
 
     /** Starts the process; the future completes when it listens. */
     public CompletableFuture<Void> start() throws IOException {
-        stamp = source.stamp();
+        stamp = source.modificationStamp();
         reactor.keepAlive(true);
         new Thread(reactor, "serving").start();
         return reactor.submit(() -> {
@@ -268,7 +268,7 @@
     private void checkSettingsLater() {
         reactor.delayBackground(SETTINGS_CHECK_MILLIS, () -> {
             try {
-                if (source.stamp() != stamp) {
+                if (source.modificationStamp() != stamp) {
                     readSettings();
                 }
             } catch (IOException e) {
@@ -283,7 +283,7 @@
 
     private void readSettings() {
         try {
-            stamp = source.stamp();
+            stamp = source.modificationStamp();
             SettingsSource.Result read = source.read();
             if (read.settings() == null) {
                 for (DocumentError error : read.errors()) {
--- a/daemon/src/main/java/org/bankturn/daemon/serving/SettingsSource.java
+++ b/daemon/src/main/java/org/bankturn/daemon/serving/SettingsSource.java
@@ -15,7 +15,7 @@
     record Result(ServingSettings settings, List<DocumentError> errors) {}
 
     /** Returns a number that changes when the settings may have changed. */
-    long stamp() throws IOException;
+    long modificationStamp() throws IOException;
 
     /** Reads the settings. */
     Result read() throws IOException;
--- a/daemon/src/test/java/org/bankturn/daemon/serving/SiteFixture.java
+++ b/daemon/src/test/java/org/bankturn/daemon/serving/SiteFixture.java
@@ -106,7 +106,7 @@
 
     private record UnchangedSettings(ServingSettings settings) implements SettingsSource {
         @Override
-        public long stamp() {
+        public long modificationStamp() {
             return 1;
         }
 
