--- a/daemon/src/main/java/org/bankturn/daemon/serving/ServingProcess.java
+++ b/daemon/src/main/java/org/bankturn/daemon/serving/ServingProcess.java
@@ -213,7 +213,7 @@
                         settings.nodeAddress(),
                         settings.nodeAddress(),
                         settings.dataFolder(),
-                        settings.formsGroup(),
+                        settings.bootstrapsGroup(),
                         settings.seeds(),
                         settings.bounds().heartbeatMillis()),
                 this::seeds,
--- a/daemon/src/main/java/org/bankturn/daemon/serving/ServingSettings.java
+++ b/daemon/src/main/java/org/bankturn/daemon/serving/ServingSettings.java
@@ -16,7 +16,7 @@
  * @param nodeAddress where other processes call, not null
  * @param metricsAddress where metrics are served, null if they are not
  * @param dataFolder where its files lie; null unless it is a control process
- * @param formsGroup true only at the very first start of all control boxes
+ * @param bootstrapsGroup true only at the very first start of all control boxes
  * @param seeds node addresses of control boxes, not null
  * @param engineAddress where the engine on the same box is called; null unless it is a target process
  * @param service the service of that engine; null unless it is a target process
@@ -32,7 +32,7 @@
         Address nodeAddress,
         Address metricsAddress,
         String dataFolder,
-        boolean formsGroup,
+        boolean bootstrapsGroup,
         List<Address> seeds,
         Address engineAddress,
         String service,
