--- a/daemon/src/main/java/org/bankturn/daemon/serving/ServingProcess.java
+++ b/daemon/src/main/java/org/bankturn/daemon/serving/ServingProcess.java
@@ -141,7 +141,7 @@
                 settings.nodeAddress(),
                 settings.bounds().retries(),
                 (long) (settings.bounds().weightsMillis() * WEIGHTS_DEADLINE_SHARE),
-                settings.bounds().stopMillis());
+                settings.bounds().stopTimeoutMillis());
     }
 
     private NodeClients nodeClients() {
--- a/daemon/src/main/java/org/bankturn/daemon/serving/ServingSettings.java
+++ b/daemon/src/main/java/org/bankturn/daemon/serving/ServingSettings.java
@@ -47,9 +47,9 @@
      * The times and shares that a deployment sets.
      *
      * @param heartbeatMillis how often targets say that they are there
-     * @param stopMillis how long a planned stop may take
+     * @param stopTimeoutMillis how long a planned stop may take
      * @param weightsMillis within which a named version must be everywhere
      * @param retries how often all gateways together may send a request again, not null
      */
-    public record Bounds(long heartbeatMillis, long stopMillis, long weightsMillis, RetryLimits retries) {}
+    public record Bounds(long heartbeatMillis, long stopTimeoutMillis, long weightsMillis, RetryLimits retries) {}
 }
