--- a/daemon/src/main/java/org/bankturn/daemon/serving/ServingProcess.java
+++ b/daemon/src/main/java/org/bankturn/daemon/serving/ServingProcess.java
@@ -140,7 +140,7 @@
                 settings.readyAddress(),
                 settings.nodeAddress(),
                 settings.bounds().retries(),
-                (long) (settings.bounds().weightsMillis() * WEIGHTS_DEADLINE_SHARE),
+                (long) (settings.bounds().weightsDeadlineMillis() * WEIGHTS_DEADLINE_SHARE),
                 settings.bounds().stopTimeoutMillis());
     }
 
@@ -235,7 +235,7 @@
                         settings.nodeAddress(),
                         settings.engineAddress(),
                         settings.service(),
-                        settings.bounds().weightsMillis(),
+                        settings.bounds().weightsDeadlineMillis(),
                         settings.linkBytesPerSecond()),
                 weightsWiring(clients));
         NodeServer server = NodeServer.create(reactor, settings.nodeAddress(), request -> answer(agent, request));
--- a/daemon/src/main/java/org/bankturn/daemon/serving/ServingSettings.java
+++ b/daemon/src/main/java/org/bankturn/daemon/serving/ServingSettings.java
@@ -48,8 +48,9 @@
      *
      * @param heartbeatMillis how often targets say that they are there
      * @param stopTimeoutMillis how long a planned stop may take
-     * @param weightsMillis within which a named version must be everywhere
+     * @param weightsDeadlineMillis within which a named version must be everywhere
      * @param retries how often all gateways together may send a request again, not null
      */
-    public record Bounds(long heartbeatMillis, long stopTimeoutMillis, long weightsMillis, RetryLimits retries) {}
+    public record Bounds(
+            long heartbeatMillis, long stopTimeoutMillis, long weightsDeadlineMillis, RetryLimits retries) {}
 }
