--- a/daemon/src/test/java/org/bankturn/daemon/serving/CrashingRequestAcrossGatewaysTest.java
+++ b/daemon/src/test/java/org/bankturn/daemon/serving/CrashingRequestAcrossGatewaysTest.java
@@ -20,7 +20,7 @@
  * <p>On a site with seven gateways 44 targets ended under one request within 8 s, while it came now to one gateway, now to
  * another: each sent it to two more targets ("failed ... attempts used up, sends 2"), and none told the others what it saw.
  */
-class CrashingRequestAcrossGatewaysTest extends SiteFixture {
+class CrashingRequestAcrossGatewaysTest extends ServingFixture {
     private static final int TARGETS = 24;
     private static final int CALLS_AFTERWARDS = 20;
     private static final int HOLDERS = 3;
--- a/daemon/src/test/java/org/bankturn/daemon/serving/SiteFixture.java
+++ b/daemon/src/test/java/org/bankturn/daemon/serving/ServingFixture.java
@@ -31,7 +31,7 @@
 
 /** A control process on loopback, and the gateways and targets that a test adds to it; tests extend it. */
 @Timeout(60)
-abstract class SiteFixture {
+abstract class ServingFixture {
     private static final ServingSettings.Bounds BOUNDS =
             new ServingSettings.Bounds(1_000, 2_000, 8_000, new RetryLimits(0.5, 96_000_000, 10_000));
 
