--- a/daemon/src/main/java/org/bankturn/daemon/serving/CdsTrainingRun.java
+++ b/daemon/src/main/java/org/bankturn/daemon/serving/CdsTrainingRun.java
@@ -17,34 +17,34 @@
 import org.bankturn.time.Clock;
 
 /**
- * Runs a process of each role on loopback, in one virtual machine, for a moment.
+ * Runs a process of each role on loopback, in one virtual machine, for a few seconds.
  *
- * <p>The build does so once to learn which classes the programs load, and writes them to an archive that makes every start
- * cheaper. Nothing depends on its outcome.
+ * <p>The build uses it to record the classes that the programs load, and writes them to a class data sharing (CDS) archive that
+ * shortens the start of each process. The responses are not checked.
  */
 public final class CdsTrainingRun {
-    private static final long LENGTH_MILLIS = 3_000;
+    private static final long DURATION_MILLIS = 3_000;
     private static final int ROUNDS = 3;
-    private static final long CALL_MILLIS = 1_000;
-    private static final long BYTES_PER_SECOND = 1_000_000;
-    private static final String HALL = "hall";
-    private static final String OWN_CLASSES = "org/bankturn/";
+    private static final long CALL_TIMEOUT_MILLIS = 1_000;
+    private static final long LINK_BYTES_PER_SECOND = 1_000_000;
+    private static final String DATA_HALL = "hall";
+    private static final String APPLICATION_PACKAGE_PATH = "org/bankturn/";
     private static final String CLASS_SUFFIX = ".class";
 
     private final Dialects dialects;
     private final SettingsSource source;
     private final Address control = freeAddress();
-    private final Address callers = freeAddress();
-    private final Address measured = freeAddress();
+    private final Address entry = freeAddress();
+    private final Address entryMetrics = freeAddress();
     private final Address controlNode = freeAddress();
 
     /**
-     * Runs the rehearsal.
+     * Starts the processes and sends the calls and requests to them.
      *
-     * @param dialects the platform's dialects, not null
-     * @param source where processes look for changed settings, not null
-     * @param controlCalls calls that operators and targets make, not null
-     * @param requests what callers ask, not null
+     * @param dialects the adapters of the platform, not null
+     * @param source the source that the processes poll for changed settings, not null
+     * @param controlCalls the calls to the control process, not null
+     * @param requests the requests to the entry process, not null
      */
     public static void run(Dialects dialects, SettingsSource source, List<Call> controlCalls, List<Call> requests)
             throws IOException, InterruptedException {
@@ -52,18 +52,18 @@
     }
 
     /**
-     * Loads every class of bankturn's own that lies in an archive, without running any of it.
+     * Loads all classes of bankturn in a JAR file without initializing them.
      *
-     * <p>What a rehearsal on loopback does not reach, such as an answer that is passed on, is archived as well.
+     * <p>The CDS archive thus includes classes that the processes do not use on loopback, such as those that forward responses.
      *
-     * @param archive the archive that the programs are started from, not null
+     * @param archive the JAR file from which the programs are started, not null
      */
     public static void loadApplicationClasses(Path archive) throws IOException {
         List<String> names;
         try (JarFile jar = new JarFile(archive.toFile())) {
             names = jar.stream()
                     .map(JarEntry::getName)
-                    .filter(name -> name.startsWith(OWN_CLASSES) && name.endsWith(CLASS_SUFFIX))
+                    .filter(name -> name.startsWith(APPLICATION_PACKAGE_PATH) && name.endsWith(CLASS_SUFFIX))
                     .toList();
         }
         for (String name : names) {
@@ -72,7 +72,7 @@
             try {
                 Class.forName(type, false, CdsTrainingRun.class.getClassLoader());
             } catch (ClassNotFoundException | LinkageError e) {
-                System.err.println("not archived: " + type + ", " + e);
+                System.err.println("class " + type + " could not be loaded: " + e);
             }
         }
     }
@@ -89,44 +89,47 @@
         Eventloop reactor = Eventloop.builder().withThreadName("rehearsal").build();
         reactor.keepAlive(true);
         new Thread(reactor, "rehearsal").start();
-        HttpCalls caller = HttpCalls.on(reactor, Clock.system());
+        HttpCalls client = HttpCalls.on(reactor, Clock.system());
         for (int round = 0; round < ROUNDS; round++) {
-            Thread.sleep(LENGTH_MILLIS / ROUNDS);
+            Thread.sleep(DURATION_MILLIS / ROUNDS);
             reactor.execute(() -> {
-                controlCalls.forEach(call -> call.send(caller, control));
-                requests.forEach(call -> call.send(caller, callers));
-                new Call("GET", "/metrics", new byte[0]).send(caller, measured);
+                controlCalls.forEach(call -> call.send(client, control));
+                requests.forEach(call -> call.send(client, entry));
+                new Call("GET", "/metrics", new byte[0]).send(client, entryMetrics);
             });
         }
-        Thread.sleep(CALL_MILLIS);
+        Thread.sleep(CALL_TIMEOUT_MILLIS);
     }
 
     private ServingSettings settings(ProcessRole role) throws IOException {
-        boolean controls = role == ProcessRole.CONTROL;
-        boolean entry = role == ProcessRole.ENTRY;
-        Address callAddress = controls ? control : entry ? callers : null;
+        boolean isControl = role == ProcessRole.CONTROL;
+        boolean isEntry = role == ProcessRole.ENTRY;
+        Address callAddress = isControl ? control : isEntry ? entry : null;
         return new ServingSettings(
                 "rehearsal-" + role,
                 role,
-                HALL,
+                DATA_HALL,
                 callAddress,
-                entry ? freeAddress() : null,
-                controls ? controlNode : freeAddress(),
-                entry ? measured : null,
-                controls ? Files.createTempDirectory("rehearsal").toString() : null,
-                controls,
+                isEntry ? freeAddress() : null,
+                isControl ? controlNode : freeAddress(),
+                isEntry ? entryMetrics : null,
+                isControl ? Files.createTempDirectory("rehearsal").toString() : null,
+                isControl,
                 List.of(controlNode),
                 control,
                 "s",
-                BYTES_PER_SECOND,
+                LINK_BYTES_PER_SECOND,
                 new ServingSettings.Bounds(
-                        CALL_MILLIS, CALL_MILLIS, CALL_MILLIS, new RetryLimits(0.1, 1, CALL_MILLIS)));
+                        CALL_TIMEOUT_MILLIS,
+                        CALL_TIMEOUT_MILLIS,
+                        CALL_TIMEOUT_MILLIS,
+                        new RetryLimits(0.1, 1, CALL_TIMEOUT_MILLIS)));
     }
 
-    /** A call to the control process or a request of a caller. */
+    /** An HTTP request with an empty header section. */
     public record Call(String method, String target, byte[] body) {
-        private void send(HttpCalls caller, Address to) {
-            caller.call(to.toSocketAddress(), HttpHead.request(method, target, List.of()), body, CALL_MILLIS);
+        private void send(HttpCalls client, Address to) {
+            client.call(to.toSocketAddress(), HttpHead.request(method, target, List.of()), body, CALL_TIMEOUT_MILLIS);
         }
     }
 
--- a/daemon/src/main/java/org/bankturn/daemon/serving/Dialects.java
+++ b/daemon/src/main/java/org/bankturn/daemon/serving/Dialects.java
@@ -6,12 +6,12 @@
 import org.bankturn.service.DocumentFormat;
 
 /**
- * How a platform speaks: names and formats, no decisions.
+ * The adapters between a platform's names and formats and the interfaces of bankturn.
  *
- * @param document reads operators' documents, not null
- * @param requests callers' requests and targets' answers, not null
- * @param control operators' and targets' calls, not null
- * @param weights engines and origins of weights, not null
+ * @param document parses operators' configuration documents, not null
+ * @param requests maps the headers of callers' requests and targets' responses, not null
+ * @param control maps the control calls of operators and targets, not null
+ * @param weights maps the messages of engines and weights origins, not null
  */
 public record Dialects(
         DocumentFormat document, RequestDialect requests, ControlDialect control, WeightsDialect weights) {}
--- a/daemon/src/main/java/org/bankturn/daemon/serving/MetricsServer.java
+++ b/daemon/src/main/java/org/bankturn/daemon/serving/MetricsServer.java
@@ -12,7 +12,7 @@
 import org.bankturn.daemon.settings.Address;
 import org.bankturn.time.Clock;
 
-/** Serves the metrics of a process as text, at any path; confined to its reactor's thread. */
+/** Serves the metrics of a process in the Prometheus text format at every path; confined to its reactor's thread. */
 final class MetricsServer {
     private static final HttpField CONTENT_TYPE =
             new HttpField("Content-Type", "text/plain; version=0.0.4; charset=utf-8");
--- a/daemon/src/main/java/org/bankturn/daemon/serving/ServingProcess.java
+++ b/daemon/src/main/java/org/bankturn/daemon/serving/ServingProcess.java
@@ -32,12 +32,12 @@
 import org.bankturn.registry.TargetSighting;
 import org.bankturn.time.Clock;
 
-/** One process that meets an outside platform; its settings say which role it has. */
+/** A process that serves a platform through its dialects, in the role that its settings name. */
 public final class ServingProcess {
     private static final long SETTINGS_CHECK_MILLIS = 1_000;
 
-    /** What is left of the time allowed is for requests that were sent just before and wait at an engine. */
-    private static final double WEIGHTS_DEADLINE_SHARE = 0.88;
+    /** The fraction of the weights deadline in which requests may start; the rest is for requests queued at engines. */
+    private static final double WEIGHTS_DEADLINE_FRACTION = 0.88;
 
     private final SettingsSource source;
     private final Dialects dialects;
@@ -46,11 +46,11 @@
     private final ServingMetrics metrics;
     private final Eventloop reactor;
     private volatile ServingSettings settings;
-    private long stamp;
+    private long settingsStamp;
     private Gateway gateway;
     private GroupNode group;
 
-    /** Returns a process that does not run yet, not null. */
+    /** Returns a process that is not started, not null. */
     public static ServingProcess of(ServingSettings settings, SettingsSource source, Dialects dialects) {
         return new ServingProcess(settings, source, dialects);
     }
@@ -67,9 +67,9 @@
                 .build();
     }
 
-    /** Starts the process; the future completes when it listens. */
+    /** Starts the process; the future completes once it accepts connections. */
     public CompletableFuture<Void> start() throws IOException {
-        stamp = source.modificationStamp();
+        settingsStamp = source.modificationStamp();
         reactor.keepAlive(true);
         new Thread(reactor, "serving").start();
         return reactor.submit(() -> {
@@ -78,7 +78,7 @@
                 MetricsServer.of(reactor, clock, settings.metricsAddress(), metrics)
                         .listen();
             }
-            checkSettingsLater();
+            scheduleSettingsCheck();
             log.line(DecisionKind.START)
                     .with(DecisionField.ROLE, settings.role())
                     .with(DecisionField.HALL, settings.dataHall())
@@ -88,7 +88,7 @@
         });
     }
 
-    /** Stops as planned and returns when nothing is under way, or time is up. */
+    /** Stops gracefully; returns when no request is in progress, or after the stop timeout. */
     public void stop() {
         log.line(DecisionKind.STOP).with(DecisionField.EVENT, "planned stop").write();
         if (gateway != null) {
@@ -99,9 +99,9 @@
         }
     }
 
-    /** Reads the settings again now. */
+    /** Reloads the settings without waiting for the next check. */
     public void reload() {
-        reactor.execute(this::readSettings);
+        reactor.execute(this::reloadSettings);
     }
 
     private List<Address> seeds() {
@@ -120,7 +120,7 @@
         NodeClients clients = nodeClients();
         WeightsRelay relay = startRelay(clients);
         PublicationFollower follower =
-                PublicationFollower.of(followerWiring(clients), (published, changedSinceMillis) -> {
+                PublicationFollower.of(followerDependencies(clients), (published, changedSinceMillis) -> {
                     gateway.update(published, changedSinceMillis);
                     relay.update(published);
                 });
@@ -140,7 +140,7 @@
                 settings.readyAddress(),
                 settings.nodeAddress(),
                 settings.bounds().retries(),
-                (long) (settings.bounds().weightsDeadlineMillis() * WEIGHTS_DEADLINE_SHARE),
+                (long) (settings.bounds().weightsDeadlineMillis() * WEIGHTS_DEADLINE_FRACTION),
                 settings.bounds().stopTimeoutMillis());
     }
 
@@ -148,12 +148,12 @@
         return NodeClients.on(reactor, clock, SilentConnections.of(log, metrics));
     }
 
-    /** An entry box has a wide link, and so hands weights on as well. */
+    /** Starts the relay of weights, which uses the entry box's faster link. */
     private WeightsRelay startRelay(NodeClients clients) throws IOException {
         WeightsRelay relay = WeightsRelay.of(
                 new WeightsRelay.RelaySettings(
                         settings.dataHall(), settings.nodeAddress(), settings.linkBytesPerSecond()),
-                weightsWiring(clients));
+                weightsDependencies(clients));
         NodeServer.create(reactor, settings.nodeAddress(), request -> answer(relay, request))
                 .listen();
         return relay;
@@ -187,19 +187,19 @@
                 sequence);
     }
 
-    private WeightsDependencies weightsWiring(NodeClients clients) {
+    private WeightsDependencies weightsDependencies(NodeClients clients) {
         return new WeightsDependencies(reactor, clients, dialects.weights(), clock, log, metrics);
     }
 
     private Promise<NodeReply> answer(WeightsRelay relay, NodeRequest request) {
-        if (request instanceof NodeRequest.AskPermit asked) {
-            return Promise.of(gateway.handlePermitRequest(asked));
+        if (request instanceof NodeRequest.AskPermit permit) {
+            return Promise.of(gateway.handlePermitRequest(permit));
         }
-        if (request instanceof NodeRequest.GetPiece asked) {
-            return relay.sendPiece(asked);
+        if (request instanceof NodeRequest.GetPiece get) {
+            return relay.sendPiece(get);
         }
-        if (request instanceof NodeRequest.AwaitPiece asked) {
-            return relay.awaitPiece(asked);
+        if (request instanceof NodeRequest.AwaitPiece await) {
+            return relay.awaitPiece(await);
         }
         return Promise.of(new NodeReply.Failed("not for an entry process"));
     }
@@ -237,20 +237,21 @@
                         settings.service(),
                         settings.bounds().weightsDeadlineMillis(),
                         settings.linkBytesPerSecond()),
-                weightsWiring(clients));
+                weightsDependencies(clients));
         NodeServer server = NodeServer.create(reactor, settings.nodeAddress(), request -> answer(agent, request));
         server.listen();
-        PublicationFollower.of(followerWiring(clients), (published, changedSinceMillis) -> agent.update(published))
+        PublicationFollower.of(
+                        followerDependencies(clients), (published, changedSinceMillis) -> agent.update(published))
                 .start();
         agent.start();
     }
 
     private static Promise<NodeReply> answer(WeightsAgent agent, NodeRequest request) {
-        if (request instanceof NodeRequest.GetPiece asked) {
-            return agent.sendPiece(asked);
+        if (request instanceof NodeRequest.GetPiece get) {
+            return agent.sendPiece(get);
         }
-        if (request instanceof NodeRequest.AwaitPiece asked) {
-            return agent.awaitPiece(asked);
+        if (request instanceof NodeRequest.AwaitPiece await) {
+            return agent.awaitPiece(await);
         }
         if (request instanceof NodeRequest.GetLoad) {
             return agent.reportLoad();
@@ -258,18 +259,18 @@
         return Promise.of(new NodeReply.Failed("not for a weights process"));
     }
 
-    private PublicationFollower.Wiring followerWiring(NodeClients clients) {
+    private PublicationFollower.Wiring followerDependencies(NodeClients clients) {
         return new PublicationFollower.Wiring(
                 reactor, clients, this::seeds, settings.dataHall(), dialects.document(), clock, log, metrics);
     }
 
-    // ---- settings that change
+    // ---- settings reload
 
-    private void checkSettingsLater() {
+    private void scheduleSettingsCheck() {
         reactor.delayBackground(SETTINGS_CHECK_MILLIS, () -> {
             try {
-                if (source.modificationStamp() != stamp) {
-                    readSettings();
+                if (source.modificationStamp() != settingsStamp) {
+                    reloadSettings();
                 }
             } catch (IOException e) {
                 log.line(DecisionKind.RELOAD)
@@ -277,13 +278,13 @@
                         .with(DecisionField.ERROR, e.getMessage())
                         .write();
             }
-            checkSettingsLater();
+            scheduleSettingsCheck();
         });
     }
 
-    private void readSettings() {
+    private void reloadSettings() {
         try {
-            stamp = source.modificationStamp();
+            settingsStamp = source.modificationStamp();
             SettingsSource.Result read = source.read();
             if (read.settings() == null) {
                 for (DocumentError error : read.errors()) {
--- a/daemon/src/main/java/org/bankturn/daemon/serving/ServingSettings.java
+++ b/daemon/src/main/java/org/bankturn/daemon/serving/ServingSettings.java
@@ -6,22 +6,22 @@
 import org.bankturn.routing.RetryLimits;
 
 /**
- * The checked settings of one process.
+ * The validated settings of one process.
  *
- * @param process its name, not null
- * @param role what it does, not null
- * @param dataHall the data hall it is in, not null
- * @param callAddress where callers, or operators and targets, connect; null for a target process
- * @param readyAddress where the platform asks whether it is ready; null unless it is an entry process
- * @param nodeAddress where other processes call, not null
- * @param metricsAddress where metrics are served, null if they are not
- * @param dataFolder where its files lie; null unless it is a control process
- * @param bootstrapsGroup true only at the very first start of all control boxes
- * @param seeds node addresses of control boxes, not null
- * @param engineAddress where the engine on the same box is called; null unless it is a target process
+ * @param process the name of the process, not null
+ * @param role the role of the process, not null
+ * @param dataHall the data hall of the process, not null
+ * @param callAddress the address for callers (entry) or for operators and targets (control); null for a target process
+ * @param readyAddress the address of the readiness check; null unless it is an entry process
+ * @param nodeAddress the address for messages of other processes, not null
+ * @param metricsAddress the address of the metrics endpoint, null if metrics are not served
+ * @param dataFolder the folder of the persistent files; null unless it is a control process
+ * @param bootstrapsGroup true if a new control group may be formed; only at the first start of all control boxes
+ * @param seeds the node addresses of control boxes, not null
+ * @param engineAddress the address of the engine on the same box; null unless it is a target process
  * @param service the service of that engine; null unless it is a target process
- * @param linkBytesPerSecond the rate of the box's link
- * @param bounds the times and shares that the deployment sets, not null
+ * @param linkBytesPerSecond the bandwidth of the box's network link
+ * @param bounds the timeouts and limits of the deployment, not null
  */
 public record ServingSettings(
         String process,
@@ -38,18 +38,18 @@
         String service,
         long linkBytesPerSecond,
         Bounds bounds) {
-    /** Copies the seeds. */
+    /** Makes a defensive copy of the seeds. */
     public ServingSettings {
         seeds = List.copyOf(seeds);
     }
 
     /**
-     * The times and shares that a deployment sets.
+     * The timeouts and limits of a deployment.
      *
-     * @param heartbeatMillis how often targets say that they are there
-     * @param stopTimeoutMillis how long a planned stop may take
-     * @param weightsDeadlineMillis within which a named version must be everywhere
-     * @param retries how often all gateways together may send a request again, not null
+     * @param heartbeatMillis the interval between heartbeats
+     * @param stopTimeoutMillis the longest duration of a planned stop
+     * @param weightsDeadlineMillis the time within which all targets must hold a named weights version
+     * @param retries the retry budget of all gateways together, not null
      */
     public record Bounds(
             long heartbeatMillis, long stopTimeoutMillis, long weightsDeadlineMillis, RetryLimits retries) {}
--- a/daemon/src/main/java/org/bankturn/daemon/serving/SettingsSource.java
+++ b/daemon/src/main/java/org/bankturn/daemon/serving/SettingsSource.java
@@ -4,19 +4,19 @@
 import java.util.List;
 import org.bankturn.document.DocumentError;
 
-/** Reads a process's settings from wherever the platform keeps them. */
+/** Reads the settings of a process in the platform's format. */
 public interface SettingsSource {
     /**
      * The outcome of reading settings.
      *
      * @param settings the settings, null if there are errors
-     * @param errors what is wrong, empty if nothing is, not null
+     * @param errors the errors in the settings, not null
      */
     record Result(ServingSettings settings, List<DocumentError> errors) {}
 
-    /** Returns a number that changes when the settings may have changed. */
+    /** Returns a value that differs from its last value if the settings may have changed. */
     long modificationStamp() throws IOException;
 
-    /** Reads the settings. */
+    /** Reads and validates the settings. */
     Result read() throws IOException;
 }
--- a/daemon/src/main/java/org/bankturn/daemon/serving/package-info.java
+++ b/daemon/src/main/java/org/bankturn/daemon/serving/package-info.java
@@ -1,2 +1,2 @@
-/** Processes that meet an outside platform through dialects: a gateway, a control process, a weights process. */
+/** Gateway, control and weights processes that serve a platform through dialects. */
 package org.bankturn.daemon.serving;
