--- a/daemon/src/test/java/org/bankturn/daemon/serving/CrashingRequestAcrossGatewaysTest.java
+++ b/daemon/src/test/java/org/bankturn/daemon/serving/CrashingRequestAcrossGatewaysTest.java
@@ -14,79 +14,74 @@
 import org.bankturn.daemon.settings.Address;
 import org.junit.jupiter.api.Test;
 
-/**
- * A request that ends its targets and comes to one gateway after the other.
- *
- * <p>On a site with seven gateways 44 targets ended under one request within 8 s, while it came now to one gateway, now to
- * another: each sent it to two more targets ("failed ... attempts used up, sends 2"), and none told the others what it saw.
- */
+/** Gateways must share the crashes that a request causes, so that it is not retried through each gateway in turn. */
 class CrashingRequestAcrossGatewaysTest extends ServingFixture {
     private static final int TARGETS = 24;
-    private static final int CALLS_AFTERWARDS = 20;
-    private static final int HOLDERS = 3;
-    private static final int STOPPED = 429;
-    private static final String DEADLY = "deadly";
+    private static final int CALLS_AFTER_CONDEMNATION = 20;
+    private static final int STALLING_TARGETS = 3;
+    private static final int STATUS_CONDEMNED = 429;
+    private static final String CRASHING = "deadly";
     private static final String POPULAR = "popular";
 
-    /** What two gateways send before each knows of the third end: three each, and a further send under way at both. */
-    private static final int ENDS_BEFORE_BOTH_KNOW = 8;
+    /** Three crashes observed by each of the two gateways, and one further attempt in progress at each. */
+    private static final int MAX_CRASHES = 8;
 
-    /** All calls must be under way together, however few processors there are. */
-    private static final Executor EACH_IN_ITS_OWN_THREAD = call -> new Thread(call, "caller").start();
+    /** Runs all calls concurrently, regardless of the number of processors. */
+    private static final Executor THREAD_PER_CALL = call -> new Thread(call, "caller").start();
 
-    private final AtomicInteger ended = new AtomicInteger();
+    private final AtomicInteger crashes = new AtomicInteger();
 
     @Test
-    void three_ends_at_different_gateways_condemn_a_request_at_all_of_them() throws Exception {
+    void three_crashes_at_different_gateways_condemn_a_request_at_all_gateways() throws Exception {
         for (int target = 0; target < TARGETS; target++) {
-            announce(CrashingTarget.crashingOn(DEADLY, ended));
+            announce(CrashingTarget.crashingOn(CRASHING, crashes));
         }
         configure();
         Address one = startGateway();
         Address other = startGateway();
         List<Integer> answers;
         do {
-            answers = List.of(call(one, DEADLY), call(other, DEADLY));
-            assertThat(ended.get()).isLessThanOrEqualTo(ENDS_BEFORE_BOTH_KNOW);
-        } while (!answers.equals(List.of(STOPPED, STOPPED)));
-        assertThat(ended.get()).isBetween(3, ENDS_BEFORE_BOTH_KNOW);
-        int endedBefore = ended.get();
-        // both gateways may know of an end that the control group has still to agree on
+            answers = List.of(call(one, CRASHING), call(other, CRASHING));
+            assertThat(crashes.get()).isLessThanOrEqualTo(MAX_CRASHES);
+        } while (!answers.equals(List.of(STATUS_CONDEMNED, STATUS_CONDEMNED)));
+        assertThat(crashes.get()).isBetween(3, MAX_CRASHES);
+        int crashesBefore = crashes.get();
+        // The gateways may have observed a crash that the control group has not yet committed.
         String unused = awaitCondemned();
         Address startedLater = startGateway();
-        for (int call = 0; call < CALLS_AFTERWARDS; call++) {
-            assertThat(call(one, DEADLY)).isEqualTo(429);
-            assertThat(call(other, DEADLY)).isEqualTo(429);
-            assertThat(call(startedLater, DEADLY)).isEqualTo(429);
+        for (int call = 0; call < CALLS_AFTER_CONDEMNATION; call++) {
+            assertThat(call(one, CRASHING)).isEqualTo(429);
+            assertThat(call(other, CRASHING)).isEqualTo(429);
+            assertThat(call(startedLater, CRASHING)).isEqualTo(429);
         }
-        assertThat(ended.get()).isEqualTo(endedBefore);
+        assertThat(crashes.get()).isEqualTo(crashesBefore);
         assertThat(call(startedLater, "sound")).isEqualTo(200);
     }
 
-    /** Copies of a popular request were under way at three targets that lost their power together. */
+    /** Copies of a harmless request run on three targets that crash at the same time. */
     @Test
-    void a_bystander_of_three_ends_at_the_same_moment_is_refused_and_then_cleared_by_a_trial() throws Exception {
-        List<ScriptedTarget> holders = new ArrayList<>();
-        for (int target = 0; target < HOLDERS; target++) {
-            holders.add(announce(holder()));
+    void a_harmless_request_on_three_crashing_targets_is_refused_and_then_cleared_by_a_trial() throws Exception {
+        List<ScriptedTarget> stalling = new ArrayList<>();
+        for (int target = 0; target < STALLING_TARGETS; target++) {
+            stalling.add(announce(stallingTarget()));
         }
         configure();
         Address gateway = startGateway();
-        List<CompletableFuture<Integer>> underWay = new ArrayList<>();
-        for (int call = 0; call < 4 * HOLDERS; call++) {
-            underWay.add(CompletableFuture.supplyAsync(() -> callUnchecked(gateway), EACH_IN_ITS_OWN_THREAD));
+        List<CompletableFuture<Integer>> inProgress = new ArrayList<>();
+        for (int call = 0; call < 4 * STALLING_TARGETS; call++) {
+            inProgress.add(CompletableFuture.supplyAsync(() -> callUnchecked(gateway), THREAD_PER_CALL));
         }
-        for (ScriptedTarget holder : holders) {
-            while (!holder.bodies.contains(POPULAR)) {
+        for (ScriptedTarget target : stalling) {
+            while (!target.bodies.contains(POPULAR)) {
                 Thread.onSpinWait();
             }
         }
-        for (ScriptedTarget holder : holders) {
-            holder.crash();
+        for (ScriptedTarget target : stalling) {
+            target.crash();
         }
-        underWay.forEach(CompletableFuture::join);
+        inProgress.forEach(CompletableFuture::join);
         assertThat(call(gateway, POPULAR)).isEqualTo(429);
-        announce(CrashingTarget.crashingOn(DEADLY, ended));
+        announce(CrashingTarget.crashingOn(CRASHING, crashes));
         while (call(gateway, POPULAR) != 200) {
             Thread.onSpinWait();
         }
@@ -97,24 +92,24 @@
     }
 
     @Test
-    void operators_see_a_condemned_request_and_have_it_run_again() throws Exception {
+    void operators_list_a_condemned_request_and_clear_it() throws Exception {
         for (int target = 0; target < TARGETS; target++) {
-            announce(CrashingTarget.crashingOn(DEADLY, ended));
+            announce(CrashingTarget.crashingOn(CRASHING, crashes));
         }
         configure();
         Address gateway = startGateway();
-        while (call(gateway, DEADLY) != 429) {
+        while (call(gateway, CRASHING) != 429) {
             Thread.onSpinWait();
         }
         String fingerprint = awaitCondemned().replaceAll("(?s).*\"fingerprint\":\"(\\w+)\".*", "$1");
         assertThat(operator("DELETE", "/suspects/" + fingerprint)).startsWith("HTTP/1.1 200");
-        while (call(gateway, DEADLY) != 502) {
+        while (call(gateway, CRASHING) != 502) {
             Thread.onSpinWait();
         }
         assertThat(operator("DELETE", "/suspects/12")).startsWith("HTTP/1.1 400");
     }
 
-    /** Returns what operators are shown once the control group has agreed that a request is sent to no target. */
+    /** Returns the operators' list of suspects once the control group has condemned a request, not null. */
     private String awaitCondemned() throws IOException {
         String listed = operator("GET", "/suspects");
         while (!listed.contains("\"sentToNoTarget\":true")) {
@@ -123,8 +118,8 @@
         return listed;
     }
 
-    /** Returns a target that answers a popular request never and any other at once. */
-    private static ScriptedTarget holder() throws IOException {
+    /** Returns a target that never answers the popular request and answers all others immediately. */
+    private static ScriptedTarget stallingTarget() throws IOException {
         ScriptedTarget[] self = new ScriptedTarget[1];
         self[0] = new ScriptedTarget((number, id, socket) -> {
             if (self[0].bodies.get(number - 1).equals(POPULAR)) {
--- a/daemon/src/test/java/org/bankturn/daemon/serving/ServingFixture.java
+++ b/daemon/src/test/java/org/bankturn/daemon/serving/ServingFixture.java
@@ -29,7 +29,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A control process on loopback, and the gateways and targets that a test adds to it; tests extend it. */
+/** Base class of tests with a control process on loopback and the gateways and targets that a test adds. */
 @Timeout(60)
 abstract class ServingFixture {
     private static final ServingSettings.Bounds BOUNDS =
@@ -56,21 +56,21 @@
 
     // ---- targets and configuration
 
-    /** Has the control process know a target. */
+    /** Registers a target with the control process. */
     ScriptedTarget announce(ScriptedTarget target) throws IOException {
         targets.add(target);
-        untilAccepted("/beat/t" + targets.size() + "/ready/1/" + target.address(), "");
+        postUntilAccepted("/beat/t" + targets.size() + "/ready/1/" + target.address(), "");
         return target;
     }
 
-    /** Puts the configuration in force, so that gateways serve. */
+    /** Publishes the configuration that routes requests to the targets. */
     void configure() throws IOException {
-        untilAccepted("/put", "1");
+        postUntilAccepted("/put", "1");
     }
 
     // ---- processes
 
-    /** Starts a gateway, and returns where it is called once it knows the targets, not null. */
+    /** Starts a gateway and returns its address for callers once it serves requests, not null. */
     Address startGateway() throws Exception {
         Address callers = FreeAddresses.next();
         start(ProcessRole.ENTRY, callers);
@@ -81,17 +81,17 @@
     }
 
     private void start(ProcessRole role, Address callAddress) throws IOException {
-        boolean controls = role == ProcessRole.CONTROL;
+        boolean isControl = role == ProcessRole.CONTROL;
         ServingSettings settings = new ServingSettings(
                 "test-" + callAddress.port(),
                 role,
                 "north",
                 callAddress,
-                controls ? null : FreeAddresses.next(),
-                controls ? controlNode : FreeAddresses.next(),
+                isControl ? null : FreeAddresses.next(),
+                isControl ? controlNode : FreeAddresses.next(),
                 null,
-                controls ? folder.toString() : null,
-                controls,
+                isControl ? folder.toString() : null,
+                isControl,
                 List.of(controlNode),
                 null,
                 null,
@@ -138,7 +138,7 @@
 
     // ---- calls
 
-    private void untilAccepted(String target, String body) throws IOException {
+    private void postUntilAccepted(String target, String body) throws IOException {
         while (post(control, target, body) != 200) {
             Thread.onSpinWait();
         }
@@ -148,7 +148,7 @@
         return post(gateway, "/x/1", body);
     }
 
-    /** Returns the whole answer to a call of an operator, not null. */
+    /** Returns the whole HTTP response to an operator's request, not null. */
     String operator(String method, String target) throws IOException {
         return exchange(control, method, target, "");
     }
