--- a/daemon/src/main/java/org/bankturn/daemon/control/ControlMember.java
+++ b/daemon/src/main/java/org/bankturn/daemon/control/ControlMember.java
@@ -18,8 +18,8 @@
 import org.bankturn.codec.MessagePackCodec;
 import org.bankturn.configuration.ConfigurationHolder;
 import org.bankturn.daemon.member.MemberLoop;
+import org.bankturn.daemon.member.MemberLoopSettings;
 import org.bankturn.daemon.member.MemberState;
-import org.bankturn.daemon.member.MemberTiming;
 import org.bankturn.lease.LeaseExpiry;
 import org.bankturn.result.ResultCode;
 import org.bankturn.state.ReplicatedState;
@@ -101,7 +101,7 @@
         this.clock = clock;
         this.wiring = wiring;
         Controlling controlling = new Controlling();
-        MemberTiming timing = new MemberTiming(
+        MemberLoopSettings timing = new MemberLoopSettings(
                 TICK_MILLIS, PROPOSAL_TIMEOUT_MILLIS, JOIN_RETRY_MILLIS, false, wiring.snapshotEvery());
         this.loop = MemberLoop.of(controlling, timing, clock, "control");
         controlling.restore(agreement.snapshot().state());
--- a/daemon/src/main/java/org/bankturn/daemon/group/GroupMember.java
+++ b/daemon/src/main/java/org/bankturn/daemon/group/GroupMember.java
@@ -15,8 +15,8 @@
 import org.bankturn.agreement.Role;
 import org.bankturn.codec.MessagePackCodec;
 import org.bankturn.daemon.member.MemberLoop;
+import org.bankturn.daemon.member.MemberLoopSettings;
 import org.bankturn.daemon.member.MemberState;
-import org.bankturn.daemon.member.MemberTiming;
 import org.bankturn.daemon.observe.DecisionField;
 import org.bankturn.daemon.observe.DecisionKind;
 import org.bankturn.daemon.observe.DecisionLog;
@@ -35,7 +35,7 @@
     private static final long SUBMISSION_MILLIS = 3_000;
 
     /** The step is a quarter of a heartbeat; a snapshot is taken every 512 entries. */
-    private static final MemberTiming TIMING = new MemberTiming(25, SUBMISSION_MILLIS, 400, true, 512);
+    private static final MemberLoopSettings TIMING = new MemberLoopSettings(25, SUBMISSION_MILLIS, 400, true, 512);
 
     private final Wiring wiring;
     private final MemberLoop<Outcome> loop;
--- a/daemon/src/main/java/org/bankturn/daemon/member/MemberLoop.java
+++ b/daemon/src/main/java/org/bankturn/daemon/member/MemberLoop.java
@@ -32,7 +32,7 @@
     private static final int ALONE_AFTER_JOIN_RETRIES = 4;
 
     private final MemberState<R> state;
-    private final MemberTiming timing;
+    private final MemberLoopSettings timing;
     private final Clock clock;
     private final BlockingQueue<Runnable> queue = new LinkedBlockingQueue<>();
     private final Map<Long, Submission<R>> submissions = new HashMap<>();
@@ -48,11 +48,12 @@
     private record Submission<R>(long term, long dueMillis, CompletableFuture<R> result) {}
 
     /** Returns a loop that does not run yet, not null. */
-    public static <R> MemberLoop<R> of(MemberState<R> state, MemberTiming timing, Clock clock, String threadName) {
+    public static <R> MemberLoop<R> of(
+            MemberState<R> state, MemberLoopSettings timing, Clock clock, String threadName) {
         return new MemberLoop<>(state, timing, clock, threadName);
     }
 
-    private MemberLoop(MemberState<R> state, MemberTiming timing, Clock clock, String threadName) {
+    private MemberLoop(MemberState<R> state, MemberLoopSettings timing, Clock clock, String threadName) {
         this.state = state;
         this.timing = timing;
         this.clock = clock;
--- a/daemon/src/main/java/org/bankturn/daemon/member/MemberTiming.java
+++ b/daemon/src/main/java/org/bankturn/daemon/member/MemberLoopSettings.java
@@ -10,5 +10,5 @@
  *     may have been removed without having heard of it
  * @param snapshotEvery the number of applied entries between two snapshots
  */
-public record MemberTiming(
+public record MemberLoopSettings(
         long tickMillis, long submissionMillis, long joinRetryMillis, boolean joinsWhenAlone, int snapshotEvery) {}
