--- a/daemon/src/main/java/org/bankturn/daemon/member/MemberLoop.java
+++ b/daemon/src/main/java/org/bankturn/daemon/member/MemberLoop.java
@@ -126,7 +126,7 @@
         if (index.isEmpty()) {
             return false;
         }
-        long due = clock.millis() + timing.submissionMillis();
+        long due = clock.millis() + timing.submissionTimeoutMillis();
         submissions.put(index.getAsLong(), new Submission<>(agreement.term(), due, result));
         return true;
     }
