--- a/daemon/src/main/java/org/bankturn/daemon/member/MemberLoop.java
+++ b/daemon/src/main/java/org/bankturn/daemon/member/MemberLoop.java
@@ -210,7 +210,7 @@
             heardLeaderMillis = now;
         }
         boolean outside = agreement.members().stream().noneMatch(agreement.self()::equals);
-        boolean alone = timing.joinsWhenAlone()
+        boolean alone = timing.rejoinsWithoutLeader()
                 && now - heardLeaderMillis > ALONE_AFTER_JOIN_RETRIES * timing.joinRetryMillis();
         if ((outside || alone) && now - joinAskedMillis >= timing.joinRetryMillis()) {
             joinAskedMillis = now;
--- a/daemon/src/main/java/org/bankturn/daemon/member/MemberLoopSettings.java
+++ b/daemon/src/main/java/org/bankturn/daemon/member/MemberLoopSettings.java
@@ -6,7 +6,7 @@
  * @param tickMillis the longest pause between two steps
  * @param submissionTimeoutMillis how long a submission waits for its entry to be committed
  * @param joinRetryMillis the pause between two requests to join
- * @param joinsWhenAlone true if a member that hears from no leader for four such pauses asks to join as well, since it
+ * @param rejoinsWithoutLeader true if a member that hears from no leader for four such pauses asks to join as well, since it
  *     may have been removed without having heard of it
  * @param snapshotEvery the number of applied entries between two snapshots
  */
@@ -14,5 +14,5 @@
         long tickMillis,
         long submissionTimeoutMillis,
         long joinRetryMillis,
-        boolean joinsWhenAlone,
+        boolean rejoinsWithoutLeader,
         int snapshotEvery) {}
