--- a/daemon/src/main/java/org/bankturn/daemon/control/ControlMember.java
+++ b/daemon/src/main/java/org/bankturn/daemon/control/ControlMember.java
@@ -245,7 +245,7 @@
         }
 
         @Override
-        public void advanced() {
+        public void stateChanged() {
             // every entry and every snapshot has been told to the holder already
         }
 
--- a/daemon/src/main/java/org/bankturn/daemon/group/GroupMember.java
+++ b/daemon/src/main/java/org/bankturn/daemon/group/GroupMember.java
@@ -166,7 +166,7 @@
         }
 
         @Override
-        public void advanced() {
+        public void stateChanged() {
             wiring.applied().accept(state);
         }
 
--- a/daemon/src/main/java/org/bankturn/daemon/member/MemberLoop.java
+++ b/daemon/src/main/java/org/bankturn/daemon/member/MemberLoop.java
@@ -229,7 +229,7 @@
         }
         ready.committed().forEach(this::apply);
         if (ready.installed() != null || !ready.committed().isEmpty()) {
-            state.advanced();
+            state.stateChanged();
         }
         if (appliedIndex - agreement.snapshot().index() >= timing.snapshotEvery()) {
             storage.compact(agreement.compact(appliedIndex, state.snapshot()));
--- a/daemon/src/main/java/org/bankturn/daemon/member/MemberState.java
+++ b/daemon/src/main/java/org/bankturn/daemon/member/MemberState.java
@@ -29,7 +29,7 @@
     R apply(LogEntry entry);
 
     /** Hears that committed entries or a snapshot have been taken in. */
-    void advanced();
+    void stateChanged();
 
     /** Returns what is told of a command whose fate is unknown. */
     R unknown(RaftNode agreement);
