--- a/daemon/src/main/java/org/bankturn/daemon/control/ControlMember.java
+++ b/daemon/src/main/java/org/bankturn/daemon/control/ControlMember.java
@@ -250,7 +250,7 @@
         }
 
         @Override
-        public CommandResult unknown(RaftNode at) {
+        public CommandResult unknownOutcome(RaftNode at) {
             return notDone(ResultCode.NO_QUORUM);
         }
 
--- a/daemon/src/main/java/org/bankturn/daemon/group/GroupMember.java
+++ b/daemon/src/main/java/org/bankturn/daemon/group/GroupMember.java
@@ -171,7 +171,7 @@
         }
 
         @Override
-        public Outcome unknown(RaftNode agreement) {
+        public Outcome unknownOutcome(RaftNode agreement) {
             return Outcome.UNKNOWN;
         }
 
--- a/daemon/src/main/java/org/bankturn/daemon/member/MemberLoop.java
+++ b/daemon/src/main/java/org/bankturn/daemon/member/MemberLoop.java
@@ -168,7 +168,7 @@
     }
 
     private void forget() {
-        submissions.values().forEach(each -> each.result().complete(state.unknown(agreement)));
+        submissions.values().forEach(each -> each.result().complete(state.unknownOutcome(agreement)));
         submissions.clear();
         agreement = null;
     }
@@ -242,7 +242,7 @@
         Submission<R> submission = submissions.remove(entry.index());
         if (submission != null) {
             boolean own = submission.term() == entry.term();
-            submission.result().complete(own ? applied : state.unknown(agreement));
+            submission.result().complete(own ? applied : state.unknownOutcome(agreement));
         }
     }
 
@@ -260,7 +260,7 @@
             boolean lost = agreement.role() != Role.LEADER
                     || submission.term() != agreement.term()
                     || now >= submission.dueMillis();
-            return lost && submission.result().complete(state.unknown(agreement));
+            return lost && submission.result().complete(state.unknownOutcome(agreement));
         });
     }
 }
--- a/daemon/src/main/java/org/bankturn/daemon/member/MemberState.java
+++ b/daemon/src/main/java/org/bankturn/daemon/member/MemberState.java
@@ -32,7 +32,7 @@
     void stateChanged();
 
     /** Returns what is told of a command whose fate is unknown. */
-    R unknown(RaftNode agreement);
+    R unknownOutcome(RaftNode agreement);
 
     /** Sends a message to a member; may lose it. */
     void send(Ready.Outbound message);
