--- a/daemon/src/main/java/org/bankturn/daemon/group/GroupMember.java
+++ b/daemon/src/main/java/org/bankturn/daemon/group/GroupMember.java
@@ -110,7 +110,7 @@
     }
 
     private void propose(PublicationCommand command, CompletableFuture<Outcome> result) {
-        RaftNode agreement = loop.agreement();
+        RaftNode agreement = loop.raftNode();
         boolean proposed = agreement != null
                 && agreement.isEstablishedLeader()
                 && loop.propose(MessagePackCodec.instance().encode(command), result);
@@ -134,7 +134,7 @@
         @Override
         public Recovered recover() throws IOException {
             Recovered recovered = wiring.recovery().recover();
-            RaftNode agreement = recovered.agreement();
+            RaftNode agreement = recovered.raftNode();
             wiring.log()
                     .line(DecisionKind.GROUP)
                     .with(DecisionField.EVENT, "recovered")
--- a/daemon/src/main/java/org/bankturn/daemon/member/MemberLoop.java
+++ b/daemon/src/main/java/org/bankturn/daemon/member/MemberLoop.java
@@ -110,7 +110,7 @@
     // ---- on the member's thread only
 
     /** Returns the state machine, null while nothing is recovered; on the member's thread only. */
-    public RaftNode agreement() {
+    public RaftNode raftNode() {
         return agreement;
     }
 
@@ -158,10 +158,10 @@
 
     private void recover() throws IOException {
         MemberState.Recovered recovered = state.recover();
-        state.restore(recovered.agreement().snapshot().state());
-        appliedIndex = recovered.agreement().snapshot().index();
+        state.restore(recovered.raftNode().snapshot().state());
+        appliedIndex = recovered.raftNode().snapshot().index();
         storage = recovered.storage();
-        agreement = recovered.agreement();
+        agreement = recovered.raftNode();
         // before anything is asked: without this it would be shown the snapshot, hundreds of changes old
         carryOut(agreement.ready());
         state.publishView(agreement);
--- a/daemon/src/main/java/org/bankturn/daemon/member/MemberState.java
+++ b/daemon/src/main/java/org/bankturn/daemon/member/MemberState.java
@@ -56,8 +56,8 @@
     /**
      * A member as its folder holds it.
      *
-     * @param agreement the state machine, not null
+     * @param raftNode the state machine, not null
      * @param storage its storage, not null
      */
-    record Recovered(RaftNode agreement, RaftStorage storage) {}
+    record Recovered(RaftNode raftNode, RaftStorage storage) {}
 }
