--- a/daemon/src/main/java/org/bankturn/daemon/control/ControlMember.java
+++ b/daemon/src/main/java/org/bankturn/daemon/control/ControlMember.java
@@ -19,7 +19,7 @@
 import org.bankturn.configuration.ConfigurationHolder;
 import org.bankturn.daemon.member.MemberLoop;
 import org.bankturn.daemon.member.MemberLoopSettings;
-import org.bankturn.daemon.member.MemberState;
+import org.bankturn.daemon.member.ReplicatedStateMachine;
 import org.bankturn.lease.LeaseExpiry;
 import org.bankturn.result.ResultCode;
 import org.bankturn.state.ReplicatedState;
@@ -216,7 +216,7 @@
     }
 
     /** The replicated state, as the loop drives it. */
-    private final class Controlling implements MemberState<CommandResult> {
+    private final class Controlling implements ReplicatedStateMachine<CommandResult> {
         @Override
         public Recovered recover() {
             return new Recovered(agreement, storage);
--- a/daemon/src/main/java/org/bankturn/daemon/group/GroupMember.java
+++ b/daemon/src/main/java/org/bankturn/daemon/group/GroupMember.java
@@ -16,7 +16,7 @@
 import org.bankturn.codec.MessagePackCodec;
 import org.bankturn.daemon.member.MemberLoop;
 import org.bankturn.daemon.member.MemberLoopSettings;
-import org.bankturn.daemon.member.MemberState;
+import org.bankturn.daemon.member.ReplicatedStateMachine;
 import org.bankturn.daemon.observe.DecisionField;
 import org.bankturn.daemon.observe.DecisionKind;
 import org.bankturn.daemon.observe.DecisionLog;
@@ -56,7 +56,7 @@
     @FunctionalInterface
     public interface Recovery {
         /** Returns the recovered member; throws if the folder cannot be read or initialized. */
-        MemberState.Recovered recover() throws IOException;
+        ReplicatedStateMachine.Recovered recover() throws IOException;
     }
 
     /**
@@ -130,7 +130,7 @@
     }
 
     /** The replicated state machine that the member loop drives. */
-    private final class PublicationStateMachine implements MemberState<Outcome> {
+    private final class PublicationStateMachine implements ReplicatedStateMachine<Outcome> {
         @Override
         public Recovered recover() throws IOException {
             Recovered recovered = wiring.recovery().recover();
--- a/daemon/src/main/java/org/bankturn/daemon/group/GroupNode.java
+++ b/daemon/src/main/java/org/bankturn/daemon/group/GroupNode.java
@@ -20,7 +20,7 @@
 import org.bankturn.daemon.http.HttpListener;
 import org.bankturn.daemon.http.ServerExchange;
 import org.bankturn.daemon.http.ServerLimits;
-import org.bankturn.daemon.member.MemberState;
+import org.bankturn.daemon.member.ReplicatedStateMachine;
 import org.bankturn.daemon.observe.DecisionField;
 import org.bankturn.daemon.observe.DecisionKind;
 import org.bankturn.daemon.observe.DecisionLog;
@@ -163,7 +163,7 @@
 
     // ---- member recovery and group formation
 
-    private MemberState.Recovered openFolder() throws IOException {
+    private ReplicatedStateMachine.Recovered openFolder() throws IOException {
         FileSystemDirectory device = FileSystemDirectory.open(Path.of(settings.dataFolder()));
         Optional<Long> storedIncarnation = RaftStorage.readIncarnation(device);
         RaftStorage storage = storedIncarnation.isPresent() ? RaftStorage.recover(device) : initializeFolder(device);
@@ -175,7 +175,7 @@
                 clock,
                 RandomSource.XO_RO_SHI_RO_128_PP.create(),
                 joining -> true);
-        return new MemberState.Recovered(agreement, storage);
+        return new ReplicatedStateMachine.Recovered(agreement, storage);
     }
 
     /** Initializes an empty folder, with the seeds as members of a new group or without members to join a group. */
--- a/daemon/src/main/java/org/bankturn/daemon/member/MemberLoop.java
+++ b/daemon/src/main/java/org/bankturn/daemon/member/MemberLoop.java
@@ -31,7 +31,7 @@
     private static final long STORAGE_RETRY_MILLIS = 300;
     private static final int ALONE_AFTER_JOIN_RETRIES = 4;
 
-    private final MemberState<R> state;
+    private final ReplicatedStateMachine<R> state;
     private final MemberLoopSettings timing;
     private final Clock clock;
     private final BlockingQueue<Runnable> queue = new LinkedBlockingQueue<>();
@@ -49,11 +49,11 @@
 
     /** Returns a loop that does not run yet, not null. */
     public static <R> MemberLoop<R> of(
-            MemberState<R> state, MemberLoopSettings timing, Clock clock, String threadName) {
+            ReplicatedStateMachine<R> state, MemberLoopSettings timing, Clock clock, String threadName) {
         return new MemberLoop<>(state, timing, clock, threadName);
     }
 
-    private MemberLoop(MemberState<R> state, MemberLoopSettings timing, Clock clock, String threadName) {
+    private MemberLoop(ReplicatedStateMachine<R> state, MemberLoopSettings timing, Clock clock, String threadName) {
         this.state = state;
         this.timing = timing;
         this.clock = clock;
@@ -157,7 +157,7 @@
     }
 
     private void recover() throws IOException {
-        MemberState.Recovered recovered = state.recover();
+        ReplicatedStateMachine.Recovered recovered = state.recover();
         state.restore(recovered.raftNode().snapshot().state());
         appliedIndex = recovered.raftNode().snapshot().index();
         storage = recovered.storage();
--- a/daemon/src/main/java/org/bankturn/daemon/member/MemberState.java
+++ b/daemon/src/main/java/org/bankturn/daemon/member/ReplicatedStateMachine.java
@@ -15,7 +15,7 @@
  *
  * @param <R> what is told of a command once it is applied
  */
-public interface MemberState<R> {
+public interface ReplicatedStateMachine<R> {
     /** Opens the data folder and returns what it holds; throws if it cannot be read or prepared. */
     Recovered recover() throws IOException;
 
