--- a/daemon/src/main/java/org/bankturn/daemon/member/MemberLoop.java
+++ b/daemon/src/main/java/org/bankturn/daemon/member/MemberLoop.java
@@ -20,42 +20,43 @@
 import org.bankturn.time.Clock;
 
 /**
- * Drives one member of an agreement group: stores before it sends, applies what is committed, answers submissions.
+ * Drives one member of a Raft group: stores before it sends, applies committed entries, completes submissions.
  *
- * <p>All of it happens on one thread, which takes everything that has queued up, stores it with one sync, then sends.
- * Methods that say so may be called on that thread only; the others are thread-safe.
+ * <p>A single thread processes all queued input, stores the result with one sync, then sends the messages. Methods are
+ * thread-safe unless documented to be confined to the member's thread.
  *
- * @param <R> what is told of a command once it is applied
+ * @param <R> the result of an applied command
  */
 public final class MemberLoop<R> {
     private static final long STORAGE_RETRY_MILLIS = 300;
-    private static final int ALONE_AFTER_JOIN_RETRIES = 4;
+    private static final int LEADERLESS_JOIN_RETRIES = 4;
 
-    private final ReplicatedStateMachine<R> state;
-    private final MemberLoopSettings timing;
+    private final ReplicatedStateMachine<R> stateMachine;
+    private final MemberLoopSettings settings;
     private final Clock clock;
     private final BlockingQueue<Runnable> queue = new LinkedBlockingQueue<>();
     private final Map<Long, Submission<R>> submissions = new HashMap<>();
     private final Thread thread;
-    private RaftNode agreement;
+    private RaftNode raftNode;
     private RaftStorage storage;
     private long appliedIndex;
-    private long joinAskedMillis;
-    private long heardLeaderMillis;
-    private boolean wasLeading;
+    private long lastJoinRequestMillis;
+    private long lastLeaderContactMillis;
+    private boolean wasLeader;
     private volatile boolean stopping;
 
-    private record Submission<R>(long term, long dueMillis, CompletableFuture<R> result) {}
+    private record Submission<R>(long term, long deadlineMillis, CompletableFuture<R> result) {}
 
-    /** Returns a loop that does not run yet, not null. */
+    /** Returns a loop that is not started, not null. */
     public static <R> MemberLoop<R> of(
-            ReplicatedStateMachine<R> state, MemberLoopSettings timing, Clock clock, String threadName) {
-        return new MemberLoop<>(state, timing, clock, threadName);
+            ReplicatedStateMachine<R> stateMachine, MemberLoopSettings settings, Clock clock, String threadName) {
+        return new MemberLoop<>(stateMachine, settings, clock, threadName);
     }
 
-    private MemberLoop(ReplicatedStateMachine<R> state, MemberLoopSettings timing, Clock clock, String threadName) {
-        this.state = state;
-        this.timing = timing;
+    private MemberLoop(
+            ReplicatedStateMachine<R> stateMachine, MemberLoopSettings settings, Clock clock, String threadName) {
+        this.stateMachine = stateMachine;
+        this.settings = settings;
         this.clock = clock;
         this.thread = new Thread(this::run, threadName);
     }
@@ -65,26 +66,26 @@
         thread.start();
     }
 
-    /** Takes in a message of the group. */
+    /** Processes a message from another member. */
     public void receive(RaftMessage message) {
         queue.add(() -> {
-            if (agreement != null) {
-                agreement.receive(message);
+            if (raftNode != null) {
+                raftNode.receive(message);
             }
         });
     }
 
-    /** Runs an action on the member's thread, once something has been recovered or while nothing is. */
+    /** Runs an action on the member's thread, whether or not the member has recovered. */
     public void execute(Runnable action) {
         queue.add(action);
     }
 
-    /** Reads something on the member's thread; fails while nothing is recovered. */
+    /** Evaluates a query on the member's thread; fails if the member has not recovered. */
     public <T> CompletableFuture<T> query(Supplier<T> query) {
         CompletableFuture<T> result = new CompletableFuture<>();
         queue.add(() -> {
-            if (agreement == null) {
-                result.completeExceptionally(new IOException("nothing recovered yet"));
+            if (raftNode == null) {
+                result.completeExceptionally(new IOException("the member has not recovered from its data folder"));
             } else {
                 result.complete(query.get());
             }
@@ -92,11 +93,11 @@
         return result;
     }
 
-    /** Hands leadership over and stops the thread; waits for it no longer than {@code waitMillis}. */
+    /** Transfers leadership and stops the thread; waits for it at most {@code waitMillis}. */
     public void stop(long waitMillis) {
         queue.add(() -> {
-            if (agreement != null) {
-                agreement.transferLeadership();
+            if (raftNode != null) {
+                raftNode.transferLeadership();
             }
         });
         queue.add(() -> stopping = true);
@@ -107,38 +108,38 @@
         }
     }
 
-    // ---- on the member's thread only
+    // ---- confined to the member's thread
 
-    /** Returns the state machine, null while nothing is recovered; on the member's thread only. */
+    /** Returns the Raft node, null if the member has not recovered; confined to the member's thread. */
     public RaftNode raftNode() {
-        return agreement;
+        return raftNode;
     }
 
     /**
-     * Puts a command into the log; on the member's thread only.
+     * Proposes a command; confined to the member's thread.
      *
      * @param command the encoded command, not null
-     * @param result is completed once the entry is applied, or its fate is unknown
-     * @return false if this member does not lead: nothing happened
+     * @param result completed once the entry is applied or its outcome is unknown, not null
+     * @return false if this member is not the leader and the command was not proposed
      */
     public boolean propose(byte[] command, CompletableFuture<R> result) {
-        OptionalLong index = agreement == null ? OptionalLong.empty() : agreement.propose(command);
+        OptionalLong index = raftNode == null ? OptionalLong.empty() : raftNode.propose(command);
         if (index.isEmpty()) {
             return false;
         }
-        long due = clock.millis() + timing.submissionTimeoutMillis();
-        submissions.put(index.getAsLong(), new Submission<>(agreement.term(), due, result));
+        long deadline = clock.millis() + settings.submissionTimeoutMillis();
+        submissions.put(index.getAsLong(), new Submission<>(raftNode.term(), deadline, result));
         return true;
     }
 
     private void run() {
-        boolean again = true;
-        while (again && !stopping) {
-            again = runUntilStorageFails();
+        boolean restart = true;
+        while (restart && !stopping) {
+            restart = runUntilStorageFails();
         }
     }
 
-    /** Returns true if the member shall start anew. */
+    /** Returns true if the member must recover from storage again. */
     private boolean runUntilStorageFails() {
         try {
             recover();
@@ -147,33 +148,33 @@
             }
             return false;
         } catch (IOException e) {
-            forget();
-            boolean again = state.storageFailed(e);
-            if (again) {
-                pause();
+            discardState();
+            boolean restart = stateMachine.storageFailed(e);
+            if (restart) {
+                pauseBeforeRecovery();
             }
-            return again;
+            return restart;
         }
     }
 
     private void recover() throws IOException {
-        ReplicatedStateMachine.Recovered recovered = state.recover();
-        state.restore(recovered.raftNode().snapshot().state());
+        ReplicatedStateMachine.Recovered recovered = stateMachine.recover();
+        stateMachine.restore(recovered.raftNode().snapshot().state());
         appliedIndex = recovered.raftNode().snapshot().index();
         storage = recovered.storage();
-        agreement = recovered.raftNode();
-        // before anything is asked: without this it would be shown the snapshot, hundreds of changes old
-        carryOut(agreement.ready());
-        state.publishView(agreement);
+        raftNode = recovered.raftNode();
+        // Applies the committed entries after the snapshot, so that no query sees the older state of the snapshot.
+        processReady(raftNode.ready());
+        stateMachine.publishView(raftNode);
     }
 
-    private void forget() {
-        submissions.values().forEach(each -> each.result().complete(state.unknownOutcome(agreement)));
+    private void discardState() {
+        submissions.values().forEach(each -> each.result().complete(stateMachine.unknownOutcome(raftNode)));
         submissions.clear();
-        agreement = null;
+        raftNode = null;
     }
 
-    private void pause() {
+    private void pauseBeforeRecovery() {
         long until = clock.millis() + STORAGE_RETRY_MILLIS;
         while (!stopping && clock.millis() < until) {
             runQueued();
@@ -182,85 +183,85 @@
 
     private void step() throws IOException {
         runQueued();
-        agreement.tick();
-        askToJoinIfNeeded();
-        carryOut(agreement.ready());
-        noteLeadership();
+        raftNode.tick();
+        requestJoinIfNeeded();
+        processReady(raftNode.ready());
+        notifyLeadershipChange();
         failOverdueSubmissions();
-        state.publishView(agreement);
+        stateMachine.publishView(raftNode);
     }
 
     private void runQueued() {
-        List<Runnable> waiting = new ArrayList<>();
+        List<Runnable> actions = new ArrayList<>();
         try {
-            Runnable first = queue.poll(timing.tickMillis(), TimeUnit.MILLISECONDS);
+            Runnable first = queue.poll(settings.tickMillis(), TimeUnit.MILLISECONDS);
             if (first != null) {
-                waiting.add(first);
-                queue.drainTo(waiting);
+                actions.add(first);
+                queue.drainTo(actions);
             }
         } catch (InterruptedException e) {
             stopping = true;
         }
-        waiting.forEach(Runnable::run);
+        actions.forEach(Runnable::run);
     }
 
-    private void askToJoinIfNeeded() {
+    private void requestJoinIfNeeded() {
         long now = clock.millis();
-        if (agreement.leader().isPresent()) {
-            heardLeaderMillis = now;
+        if (raftNode.leader().isPresent()) {
+            lastLeaderContactMillis = now;
         }
-        boolean outside = agreement.members().stream().noneMatch(agreement.self()::equals);
-        boolean alone = timing.rejoinsWithoutLeader()
-                && now - heardLeaderMillis > ALONE_AFTER_JOIN_RETRIES * timing.joinRetryMillis();
-        if ((outside || alone) && now - joinAskedMillis >= timing.joinRetryMillis()) {
-            joinAskedMillis = now;
-            agreement.requestJoin(state.contacts());
+        boolean notMember = raftNode.members().stream().noneMatch(raftNode.self()::equals);
+        boolean leaderless = settings.rejoinsWithoutLeader()
+                && now - lastLeaderContactMillis > LEADERLESS_JOIN_RETRIES * settings.joinRetryMillis();
+        if ((notMember || leaderless) && now - lastJoinRequestMillis >= settings.joinRetryMillis()) {
+            lastJoinRequestMillis = now;
+            raftNode.requestJoin(stateMachine.contacts());
         }
     }
 
-    private void carryOut(Ready ready) throws IOException {
+    private void processReady(Ready ready) throws IOException {
         if (ready.mustSync()) {
             storage.store(ready);
         }
-        ready.messages().forEach(state::send);
+        ready.messages().forEach(stateMachine::send);
         if (ready.installed() != null) {
-            state.restore(ready.installed().state());
+            stateMachine.restore(ready.installed().state());
             appliedIndex = ready.installed().index();
         }
         ready.committed().forEach(this::apply);
         if (ready.installed() != null || !ready.committed().isEmpty()) {
-            state.stateChanged();
+            stateMachine.stateChanged();
         }
-        if (appliedIndex - agreement.snapshot().index() >= timing.snapshotEvery()) {
-            storage.compact(agreement.compact(appliedIndex, state.snapshot()));
+        if (appliedIndex - raftNode.snapshot().index() >= settings.snapshotEvery()) {
+            storage.compact(raftNode.compact(appliedIndex, stateMachine.snapshot()));
         }
     }
 
     private void apply(LogEntry entry) {
         appliedIndex = entry.index();
-        R applied = state.apply(entry);
+        R applied = stateMachine.apply(entry);
         Submission<R> submission = submissions.remove(entry.index());
         if (submission != null) {
             boolean own = submission.term() == entry.term();
-            submission.result().complete(own ? applied : state.unknownOutcome(agreement));
+            submission.result().complete(own ? applied : stateMachine.unknownOutcome(raftNode));
         }
     }
 
-    private void noteLeadership() {
-        boolean leading = agreement.role() == Role.LEADER;
-        if (leading != wasLeading) {
-            wasLeading = leading;
-            state.leadershipChanged(agreement);
+    private void notifyLeadershipChange() {
+        boolean leader = raftNode.role() == Role.LEADER;
+        if (leader != wasLeader) {
+            wasLeader = leader;
+            stateMachine.leadershipChanged(raftNode);
         }
     }
 
     private void failOverdueSubmissions() {
         long now = clock.millis();
         submissions.values().removeIf(submission -> {
-            boolean lost = agreement.role() != Role.LEADER
-                    || submission.term() != agreement.term()
-                    || now >= submission.dueMillis();
-            return lost && submission.result().complete(state.unknownOutcome(agreement));
+            boolean lost = raftNode.role() != Role.LEADER
+                    || submission.term() != raftNode.term()
+                    || now >= submission.deadlineMillis();
+            return lost && submission.result().complete(stateMachine.unknownOutcome(raftNode));
         });
     }
 }
--- a/daemon/src/main/java/org/bankturn/daemon/member/ReplicatedStateMachine.java
+++ b/daemon/src/main/java/org/bankturn/daemon/member/ReplicatedStateMachine.java
@@ -9,55 +9,55 @@
 import org.bankturn.storage.RaftStorage;
 
 /**
- * What a {@link MemberLoop} drives: the state that the group replicates, and the process around it.
+ * The replicated state that a {@link MemberLoop} drives, and the callbacks to the process of the member.
  *
- * <p>Every method is called on the member's thread.
+ * <p>All methods are called on the member's thread.
  *
- * @param <R> what is told of a command once it is applied
+ * @param <R> the result of an applied command
  */
 public interface ReplicatedStateMachine<R> {
-    /** Opens the data folder and returns what it holds; throws if it cannot be read or prepared. */
+    /** Recovers the member from its data folder; throws if the folder cannot be read or initialized. */
     Recovered recover() throws IOException;
 
-    /** Takes the state from a snapshot, in place of what there was. */
+    /** Replaces the state with that of a snapshot. */
     void restore(byte[] snapshot);
 
-    /** Returns the whole state, encoded, not null. */
+    /** Returns an encoded snapshot of the state, not null. */
     byte[] snapshot();
 
-    /** Applies a committed entry and returns what is told to the one that submitted it. */
+    /** Applies a committed entry and returns the result for its submitter. */
     R apply(LogEntry entry);
 
-    /** Hears that committed entries or a snapshot have been taken in. */
+    /** Called after committed entries or a snapshot have been applied. */
     void stateChanged();
 
-    /** Returns what is told of a command whose fate is unknown. */
-    R unknownOutcome(RaftNode agreement);
+    /** Returns the result of a command that may or may not be committed. */
+    R unknownOutcome(RaftNode raftNode);
 
-    /** Sends a message to a member; may lose it. */
+    /** Sends a message to a member without a delivery guarantee. */
     void send(Ready.Outbound message);
 
-    /** Returns the boxes to ask when this one must join, not null. */
+    /** Returns the members to contact for joining the group, not null. */
     List<Member> contacts();
 
-    /** Hears that this member began or ceased to lead. */
-    void leadershipChanged(RaftNode agreement);
+    /** Called after this member became the leader or lost leadership. */
+    void leadershipChanged(RaftNode raftNode);
 
-    /** Lets other threads know where the member stands. */
-    void publishView(RaftNode agreement);
+    /** Publishes the status of the member to other threads. */
+    void publishView(RaftNode raftNode);
 
     /**
-     * Hears that the data folder failed; what the loop held in memory is forgotten.
+     * Called after a failure of the data folder; the loop has discarded its state in memory.
      *
-     * @return true if the member shall start anew from what the folder holds, false if it shall end
+     * @return true to recover from the folder again, false to end the loop
      */
     boolean storageFailed(IOException failure);
 
     /**
-     * A member as its folder holds it.
+     * A member recovered from its data folder.
      *
-     * @param raftNode the state machine, not null
-     * @param storage its storage, not null
+     * @param raftNode the Raft node, not null
+     * @param storage the persistent storage, not null
      */
     record Recovered(RaftNode raftNode, RaftStorage storage) {}
 }
--- a/daemon/src/main/java/org/bankturn/daemon/member/package-info.java
+++ b/daemon/src/main/java/org/bankturn/daemon/member/package-info.java
@@ -1,2 +1,2 @@
-/** One member of an agreement group on a thread of its own, whatever state the group replicates. */
+/** Runs a member of a Raft group on its own thread, independent of the replicated state. */
 package org.bankturn.daemon.member;
