--- a/daemon/src/main/java/org/bankturn/daemon/BankturnProcess.java
+++ b/daemon/src/main/java/org/bankturn/daemon/BankturnProcess.java
@@ -87,13 +87,13 @@
                 clients,
                 settings.controlBoxes().stream().map(ControlBox::nodeAddress).toList(),
                 clock);
-        this.controlRole = settings.has(ProcessRole.CONTROL)
+        this.controlRole = settings.hasRole(ProcessRole.CONTROL)
                 ? ControlRole.open(settings, formsGroup, clients, holder, reports, clock)
                 : null;
-        this.entryRole = settings.has(ProcessRole.ENTRY)
+        this.entryRole = settings.hasRole(ProcessRole.ENTRY)
                 ? EntryRole.of(settings, new EntryRole.Wiring(reactor, holder, clients, control, telemetry, clock))
                 : null;
-        this.targetRole = settings.has(ProcessRole.TARGET)
+        this.targetRole = settings.hasRole(ProcessRole.TARGET)
                 ? TargetRole.of(
                         settings,
                         new TargetRole.Wiring(reactor, holder, clients, control, telemetry, clock),
--- a/daemon/src/main/java/org/bankturn/daemon/settings/DaemonSettings.java
+++ b/daemon/src/main/java/org/bankturn/daemon/settings/DaemonSettings.java
@@ -92,7 +92,7 @@
      * @param role the role, not null
      * @return true if it has
      */
-    public boolean has(ProcessRole role) {
+    public boolean hasRole(ProcessRole role) {
         return roles.contains(role);
     }
 }
