--- a/daemon/src/main/java/org/bankturn/daemon/settings/DaemonSettings.java
+++ b/daemon/src/main/java/org/bankturn/daemon/settings/DaemonSettings.java
@@ -5,19 +5,19 @@
 import java.util.Set;
 
 /**
- * Everything that one process learns from its settings.
+ * The validated settings of one process.
  *
- * @param process the process's name; for a target process, its box's name, not null
- * @param dataHall the hall that it stands in, not null
- * @param roles what it does, not empty
- * @param httpAddress where it takes HTTP, not null
- * @param nodeAddress where it takes messages of other processes, not null
+ * @param process the name of the process; the name of its box for a target process, not null
+ * @param dataHall the data hall of the process, not null
+ * @param roles the roles of the process, not empty
+ * @param httpAddress the address of the HTTP server, not null
+ * @param nodeAddress the address for messages of other processes, not null
  * @param controlBoxes the boxes that may be members of the agreement group, not empty
- * @param configurationSources node addresses to learn the configuration from, not null
- * @param control settings of the control role, null without it
- * @param entry settings of the entry role, null without it
- * @param target settings of the target role, null without it
- * @param traces true if spans are written to the log
+ * @param configurationSources the node addresses from which the configuration is fetched, not null
+ * @param control the settings of the control role, null if the process does not have it
+ * @param entry the settings of the entry role, null if the process does not have it
+ * @param target the settings of the target role, null if the process does not have it
+ * @param traces true if trace spans are written to the log
  */
 public record DaemonSettings(
         String process,
@@ -34,7 +34,7 @@
     /**
      * A box that may be a member of the agreement group.
      *
-     * @param name the process's name on that box, not null
+     * @param name the name of the control process on that box, not null
      * @param nodeAddress its node address, not null
      */
     public record ControlBox(String name, Address nodeAddress) {}
@@ -42,10 +42,10 @@
     /**
      * Settings of the control role.
      *
-     * @param dataFolder the one folder that lasts, not null
-     * @param electionTimeoutMillis silence after which a new leader is sought
-     * @param heartbeatMillis time between a leader's messages
-     * @param snapshotEvery log entries between snapshots
+     * @param dataFolder the folder of the persistent files, not null
+     * @param electionTimeoutMillis the time without a message of the leader before an election starts
+     * @param heartbeatMillis the interval between the leader's heartbeats
+     * @param snapshotEvery the number of log entries between snapshots
      */
     public record ControlSettings(
             Path dataFolder, long electionTimeoutMillis, long heartbeatMillis, int snapshotEvery) {}
@@ -53,12 +53,12 @@
     /**
      * Settings of the entry role.
      *
-     * @param workerThreads threads that serve callers
-     * @param defaultDeadlineMillis the time a request has if its caller names none
+     * @param workerThreads the number of threads that serve callers
+     * @param defaultDeadlineMillis the deadline of requests that specify none
      * @param keyLifetimeMillis how long an idempotency key is remembered
-     * @param retryPercent retries per hundred requests at most
-     * @param boxList where the platform lists leaving boxes, null if it does not
-     * @param stopGraceMillis how long a stopping process still takes requests, so that the balancer notices
+     * @param retryPercent the maximum number of retries per hundred requests
+     * @param boxList the address of the platform's list of leaving boxes, null if there is none
+     * @param stopGraceMillis how long a stopping process accepts requests until the load balancer has removed it
      */
     public record EntrySettings(
             int workerThreads,
@@ -71,12 +71,12 @@
     /**
      * Settings of the target role.
      *
-     * @param chunkFolder where weights are kept, not null
-     * @param backend the engine or plain service on this box, not null
-     * @param backendChecksFence true if the engine itself refuses orders with old fences
-     * @param uploadBytesPerSecond what peers may draw from this box
-     * @param downloadBytesPerSecond what this box may draw
-     * @param leaseMillis how long the right to order the engine lasts
+     * @param chunkFolder the folder of the weights' chunks, not null
+     * @param backend the address of the engine or plain service on this box, not null
+     * @param backendChecksFence true if the engine refuses orders with a stale fencing token
+     * @param uploadBytesPerSecond the upload rate limit of this box
+     * @param downloadBytesPerSecond the download rate limit of this box
+     * @param leaseMillis the duration of the lease for sending orders to the engine
      */
     public record TargetSettings(
             Path chunkFolder,
@@ -87,10 +87,10 @@
             long leaseMillis) {}
 
     /**
-     * Tells whether the process has a role.
+     * Returns whether the process has a role.
      *
      * @param role the role, not null
-     * @return true if it has
+     * @return true if the process has the role
      */
     public boolean hasRole(ProcessRole role) {
         return roles.contains(role);
--- a/daemon/src/main/java/org/bankturn/daemon/settings/DaemonSettingsReader.java
+++ b/daemon/src/main/java/org/bankturn/daemon/settings/DaemonSettingsReader.java
@@ -15,35 +15,33 @@
 import org.bankturn.document.Fields;
 
 /**
- * Reads a process's settings and lists every error in them.
- *
- * <p>DaemonSettingsReader is used for one document.
+ * Parses the settings of a process and collects all errors in them.
  */
 public final class DaemonSettingsReader {
     private static final String NAME_PATTERN = "[A-Za-z0-9][A-Za-z0-9._-]{0,62}";
-    private static final String NAME_WORDS = "a name of letters, digits, dots and hyphens";
+    private static final String NAME_DESCRIPTION = "a name of letters, digits, dots and hyphens";
     private static final String ADDRESS_PATTERN = "[0-9A-Fa-f.:\\[\\]]+:[1-9][0-9]{0,4}";
-    private static final String ADDRESS_WORDS = "an IP number and port, such as 10.0.0.1:7000";
-    private static final Address NO_ADDRESS = new Address("0.0.0.0", 1);
-    private static final long DAY_MILLIS = 86_400_000L;
+    private static final String ADDRESS_DESCRIPTION = "an IP address and port, such as 10.0.0.1:7000";
+    private static final Address PLACEHOLDER_ADDRESS = new Address("0.0.0.0", 1);
+    private static final long MILLIS_PER_DAY = 86_400_000L;
     private static final long GIGABYTE = 1_000_000_000L;
 
     /**
-     * What came of reading.
+     * The parsed settings or the errors.
      *
      * @param settings the settings, null if there are errors
-     * @param errors every error, empty if the settings are good, not null
+     * @param errors all errors, empty if the settings are valid, not null
      */
     public record Result(DaemonSettings settings, List<DocumentError> errors) {}
 
     private DaemonSettingsReader() {}
 
     /**
-     * Reads settings.
+     * Parses settings.
      *
-     * @param file the name to use in errors, not null
+     * @param file the file name for error messages, not null
      * @param text the YAML text, not null
-     * @return the settings or what is wrong with them, not null
+     * @return the settings or the errors, not null
      */
     public static Result read(String file, String text) {
         DocumentReader reader = DocumentReader.of(file);
@@ -59,8 +57,8 @@
     private static DaemonSettings readAll(Fields fields) {
         Set<ProcessRole> roles = readRoles(fields);
         return new DaemonSettings(
-                fields.text("process", NAME_PATTERN, NAME_WORDS),
-                fields.text("dataHall", NAME_PATTERN, NAME_WORDS),
+                fields.text("process", NAME_PATTERN, NAME_DESCRIPTION),
+                fields.text("dataHall", NAME_PATTERN, NAME_DESCRIPTION),
                 roles,
                 readAddress(fields, "httpAddress"),
                 readAddress(fields, "nodeAddress"),
@@ -78,14 +76,14 @@
             try {
                 roles.add(ProcessRole.valueOf(text.toUpperCase(Locale.ROOT)));
             } catch (IllegalArgumentException e) {
-                fields.contradictory("roles", "roles are entry, control and target, not " + text);
+                fields.contradictory("roles", "roles must be entry, control or target, not " + text);
             }
         }
         if (roles.isEmpty()) {
             fields.contradictory("roles", "roles must list at least one of entry, control and target");
         }
         if (roles.contains(ProcessRole.TARGET) && roles.size() > 1) {
-            fields.contradictory("roles", "a target process has no other role");
+            fields.contradictory("roles", "the role target cannot be combined with other roles");
         }
         return roles;
     }
@@ -93,7 +91,8 @@
     private static List<ControlBox> readControlBoxes(Fields fields) {
         List<ControlBox> boxes = new ArrayList<>();
         for (Fields box : fields.objects("controlBoxes")) {
-            boxes.add(new ControlBox(box.text("name", NAME_PATTERN, NAME_WORDS), readAddress(box, "nodeAddress")));
+            boxes.add(
+                    new ControlBox(box.text("name", NAME_PATTERN, NAME_DESCRIPTION), readAddress(box, "nodeAddress")));
             box.finish();
         }
         if (boxes.isEmpty()) {
@@ -110,7 +109,7 @@
                 (int) fields.number("snapshotEvery", 16, 1_000_000, 4_096));
         if (settings.electionTimeoutMillis() < 3 * settings.heartbeatMillis()) {
             fields.contradictory(
-                    "electionTimeoutMillis", "electionTimeoutMillis must be three times heartbeatMillis or more");
+                    "electionTimeoutMillis", "electionTimeoutMillis must be at least three times heartbeatMillis");
         }
         return settings;
     }
@@ -118,8 +117,8 @@
     private static EntrySettings readEntry(Fields fields) {
         return new EntrySettings(
                 (int) fields.number("workerThreads", 1, 64, 2),
-                fields.number("defaultDeadlineMillis", 100, DAY_MILLIS, 30_000),
-                fields.number("keyLifetimeMillis", 1_000, 7 * DAY_MILLIS, DAY_MILLIS),
+                fields.number("defaultDeadlineMillis", 100, MILLIS_PER_DAY, 30_000),
+                fields.number("keyLifetimeMillis", 1_000, 7 * MILLIS_PER_DAY, MILLIS_PER_DAY),
                 (int) fields.number("retryPercent", 1, 100, 10),
                 fields.has("boxList") ? readAddress(fields, "boxList") : null,
                 fields.number("stopGraceMillis", 0, 600_000, 1_000));
@@ -139,14 +138,17 @@
         T read(Fields section);
     }
 
-    /** Reads a mapping that must be there exactly if the process has the role. */
-    private static <T> T readSection(Fields fields, String name, boolean wanted, SectionReader<T> reader) {
+    /** Reads the section of a role, which must be present if and only if the process has the role. */
+    private static <T> T readSection(Fields fields, String name, boolean required, SectionReader<T> reader) {
         boolean present = fields.has(name);
-        if (present != wanted) {
+        if (present != required) {
             fields.contradictory(
-                    name, wanted ? "the role " + name + " needs a section " + name : "there is no role " + name);
+                    name,
+                    required
+                            ? "the role " + name + " requires a section " + name
+                            : "the section " + name + " requires the role " + name);
         }
-        if (!present || !wanted) {
+        if (!present || !required) {
             return null;
         }
         Fields section = fields.object(name);
@@ -156,7 +158,7 @@
     }
 
     private static Address readAddress(Fields fields, String name) {
-        String text = fields.text(name, ADDRESS_PATTERN, ADDRESS_WORDS);
+        String text = fields.text(name, ADDRESS_PATTERN, ADDRESS_DESCRIPTION);
         return toAddress(fields, name, text);
     }
 
@@ -170,13 +172,13 @@
 
     private static Address toAddress(Fields fields, String name, String text) {
         if (text.isEmpty()) {
-            return NO_ADDRESS;
+            return PLACEHOLDER_ADDRESS;
         }
         try {
             return Address.parse(text);
         } catch (IllegalArgumentException e) {
-            fields.contradictory(name, "must be " + ADDRESS_WORDS + ", not " + text);
-            return NO_ADDRESS;
+            fields.contradictory(name, "must be " + ADDRESS_DESCRIPTION + ", not " + text);
+            return PLACEHOLDER_ADDRESS;
         }
     }
 }
--- a/daemon/src/main/java/org/bankturn/daemon/settings/ProcessRole.java
+++ b/daemon/src/main/java/org/bankturn/daemon/settings/ProcessRole.java
@@ -1,11 +1,11 @@
 package org.bankturn.daemon.settings;
 
-/** What a process does; an entry process may be a control process as well. */
+/** A role of a process; an entry process may also be a control process. */
 public enum ProcessRole {
-    /** Takes callers' requests. */
+    /** Accepts requests of callers. */
     ENTRY,
-    /** Keeps the agreed state on a disk. */
+    /** Stores the replicated state on disk. */
     CONTROL,
-    /** Serves one target box. */
+    /** Manages the weights and backend of one target box. */
     TARGET
 }
--- a/daemon/src/main/java/org/bankturn/daemon/settings/package-info.java
+++ b/daemon/src/main/java/org/bankturn/daemon/settings/package-info.java
@@ -1,4 +1,4 @@
 /**
- * A process's settings, read from YAML and checked whole before anything starts. Times in milliseconds, sizes in bytes.
+ * The settings of a process, parsed from YAML and validated before startup. Times are in milliseconds, sizes in bytes.
  */
 package org.bankturn.daemon.settings;
--- a/daemon/src/test/java/org/bankturn/daemon/settings/DaemonSettingsTest.java
+++ b/daemon/src/test/java/org/bankturn/daemon/settings/DaemonSettingsTest.java
@@ -27,37 +27,37 @@
 
     @ParameterizedTest
     @ValueSource(strings = {"entry-settings.yaml", "target-settings.yaml"})
-    void the_examples_are_good(String name) throws IOException {
+    void the_examples_are_valid(String name) throws IOException {
         assertThat(errorsOf(example(name))).isEmpty();
     }
 
     @Test
-    void an_unknown_key_a_wrong_unit_and_a_missing_value_are_listed_together() throws IOException {
-        String bad = example("target-settings.yaml")
+    void all_errors_of_a_document_are_reported_together() throws IOException {
+        String invalid = example("target-settings.yaml")
                 .replace("800000000", "800 MB")
                 .replace("chunkFolder: /var/cache/bankturn", "chunkfolder: /var/cache/bankturn");
-        assertThat(errorsOf(bad))
+        assertThat(errorsOf(invalid))
                 .extracting(DocumentError::code)
                 .containsExactlyInAnyOrder(
                         ResultCode.FIELD_MISSING,
                         ResultCode.FIELD_INVALID,
                         ResultCode.FIELD_INVALID,
                         ResultCode.FIELD_UNKNOWN);
-        assertThat(errorsOf(bad))
+        assertThat(errorsOf(invalid))
                 .allSatisfy(error -> assertThat(error.location().line()).isGreaterThan(11));
     }
 
     @Test
-    void a_role_without_its_section_and_a_section_without_its_role_contradict() throws IOException {
-        String bad = example("entry-settings.yaml").replace("roles: [entry, control]", "roles: [entry, target]");
-        assertThat(errorsOf(bad))
+    void a_role_without_its_section_and_a_section_without_its_role_are_contradictory() throws IOException {
+        String invalid = example("entry-settings.yaml").replace("roles: [entry, control]", "roles: [entry, target]");
+        assertThat(errorsOf(invalid))
                 .extracting(DocumentError::code)
                 .containsOnly(ResultCode.FIELD_CONTRADICTORY)
                 .hasSize(3);
     }
 
     @Property(tries = 200, seed = "20261202")
-    void no_text_makes_the_reader_fail(@ForAll String text) {
+    void invalid_text_yields_errors_and_no_exception(@ForAll String text) {
         assertThat(errorsOf(text)).isNotEmpty();
     }
 }
--- a/daemon/src/test/java/org/bankturn/daemon/settings/FreeAddresses.java
+++ b/daemon/src/test/java/org/bankturn/daemon/settings/FreeAddresses.java
@@ -6,23 +6,23 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /**
- * Loopback addresses for tests, below the range from which the system takes ports for outgoing connections.
+ * Allocates loopback addresses for tests below the ephemeral port range.
  *
- * <p>A port out of that range may be taken by any connection while the process that listened on it restarts.
+ * <p>An ephemeral port could be taken by an outgoing connection while the process that listened on it restarts.
  */
 public final class FreeAddresses {
     private static final int FIRST_PORT = 21_000;
-    private static final int PORTS = 9_000;
-    private static final AtomicInteger NEXT =
-            new AtomicInteger((int) (ProcessHandle.current().pid() * 37 % PORTS));
+    private static final int PORT_COUNT = 9_000;
+    private static final AtomicInteger NEXT_OFFSET =
+            new AtomicInteger((int) (ProcessHandle.current().pid() * 37 % PORT_COUNT));
 
     private FreeAddresses() {}
 
-    /** Returns an address on which nothing listens. */
+    /** Returns an address that is not in use, not null. */
     public static Address next() {
-        int port = FIRST_PORT + NEXT.getAndIncrement() % PORTS;
+        int port = FIRST_PORT + NEXT_OFFSET.getAndIncrement() % PORT_COUNT;
         while (isTaken(port)) {
-            port = FIRST_PORT + NEXT.getAndIncrement() % PORTS;
+            port = FIRST_PORT + NEXT_OFFSET.getAndIncrement() % PORT_COUNT;
         }
         return new Address("127.0.0.1", port);
     }
