--- a/daemon/src/main/java/org/bankturn/daemon/BankturnProcess.java
+++ b/daemon/src/main/java/org/bankturn/daemon/BankturnProcess.java
@@ -10,8 +10,8 @@
 import io.activej.promise.Promise;
 import io.activej.promise.Promises;
 import java.io.IOException;
-import java.lang.System.Logger;
 import java.lang.System.Logger.Level;
+import java.lang.System.Logger;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Locale;
@@ -27,8 +27,8 @@
 import org.bankturn.daemon.follow.ConfigurationFollower;
 import org.bankturn.daemon.follow.ConfigurationPublisher;
 import org.bankturn.daemon.observe.Telemetry;
-import org.bankturn.daemon.settings.DaemonSettings;
 import org.bankturn.daemon.settings.DaemonSettings.ControlBox;
+import org.bankturn.daemon.settings.DaemonSettings;
 import org.bankturn.daemon.settings.ProcessRole;
 import org.bankturn.daemon.target.TargetRole;
 import org.bankturn.daemon.wire.NodeClients;
@@ -87,13 +87,13 @@
                 clients,
                 settings.controlBoxes().stream().map(ControlBox::nodeAddress).toList(),
                 clock);
-        this.controlRole = settings.has(ProcessRole.CONTROL)
+        this.controlRole = settings.hasRole(ProcessRole.CONTROL)
                 ? ControlRole.open(settings, formsGroup, clients, holder, reports, clock)
                 : null;
-        this.entryRole = settings.has(ProcessRole.ENTRY)
+        this.entryRole = settings.hasRole(ProcessRole.ENTRY)
                 ? EntryRole.of(settings, new EntryRole.Wiring(reactor, holder, clients, control, telemetry, clock))
                 : null;
-        this.targetRole = settings.has(ProcessRole.TARGET)
+        this.targetRole = settings.hasRole(ProcessRole.TARGET)
                 ? TargetRole.of(
                         settings,
                         new TargetRole.Wiring(reactor, holder, clients, control, telemetry, clock),
--- a/daemon/src/main/java/org/bankturn/daemon/control/ControlMember.java
+++ b/daemon/src/main/java/org/bankturn/daemon/control/ControlMember.java
@@ -18,8 +18,8 @@
 import org.bankturn.codec.MessagePackCodec;
 import org.bankturn.configuration.ConfigurationHolder;
 import org.bankturn.daemon.member.MemberLoop;
-import org.bankturn.daemon.member.MemberState;
-import org.bankturn.daemon.member.MemberTiming;
+import org.bankturn.daemon.member.MemberLoopSettings;
+import org.bankturn.daemon.member.ReplicatedStateMachine;
 import org.bankturn.lease.LeaseExpiry;
 import org.bankturn.result.ResultCode;
 import org.bankturn.state.ReplicatedState;
@@ -101,7 +101,7 @@
         this.clock = clock;
         this.wiring = wiring;
         Controlling controlling = new Controlling();
-        MemberTiming timing = new MemberTiming(
+        MemberLoopSettings timing = new MemberLoopSettings(
                 TICK_MILLIS, PROPOSAL_TIMEOUT_MILLIS, JOIN_RETRY_MILLIS, false, wiring.snapshotEvery());
         this.loop = MemberLoop.of(controlling, timing, clock, "control");
         controlling.restore(agreement.snapshot().state());
@@ -216,7 +216,7 @@
     }
 
     /** The replicated state, as the loop drives it. */
-    private final class Controlling implements MemberState<CommandResult> {
+    private final class Controlling implements ReplicatedStateMachine<CommandResult> {
         @Override
         public Recovered recover() {
             return new Recovered(agreement, storage);
@@ -245,12 +245,12 @@
         }
 
         @Override
-        public void advanced() {
+        public void stateChanged() {
             // every entry and every snapshot has been told to the holder already
         }
 
         @Override
-        public CommandResult unknown(RaftNode at) {
+        public CommandResult unknownOutcome(RaftNode at) {
             return notDone(ResultCode.NO_QUORUM);
         }
 
--- a/daemon/src/test/java/org/bankturn/daemon/serving/SiteFixture.java
+++ b/daemon/src/test/java/org/bankturn/daemon/serving/ServingFixture.java
@@ -29,9 +29,9 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A control process on loopback, and the gateways and targets that a test adds to it; tests extend it. */
+/** Base class of tests with a control process on loopback and the gateways and targets that a test adds. */
 @Timeout(60)
-abstract class SiteFixture {
+abstract class ServingFixture {
     private static final ServingSettings.Bounds BOUNDS =
             new ServingSettings.Bounds(1_000, 2_000, 8_000, new RetryLimits(0.5, 96_000_000, 10_000));
 
@@ -56,21 +56,21 @@
 
     // ---- targets and configuration
 
-    /** Has the control process know a target. */
+    /** Registers a target with the control process. */
     ScriptedTarget announce(ScriptedTarget target) throws IOException {
         targets.add(target);
-        untilAccepted("/beat/t" + targets.size() + "/ready/1/" + target.address(), "");
+        postUntilAccepted("/beat/t" + targets.size() + "/ready/1/" + target.address(), "");
         return target;
     }
 
-    /** Puts the configuration in force, so that gateways serve. */
+    /** Publishes the configuration that routes requests to the targets. */
     void configure() throws IOException {
-        untilAccepted("/put", "1");
+        postUntilAccepted("/put", "1");
     }
 
     // ---- processes
 
-    /** Starts a gateway, and returns where it is called once it knows the targets, not null. */
+    /** Starts a gateway and returns its address for callers once it serves requests, not null. */
     Address startGateway() throws Exception {
         Address callers = FreeAddresses.next();
         start(ProcessRole.ENTRY, callers);
@@ -81,17 +81,17 @@
     }
 
     private void start(ProcessRole role, Address callAddress) throws IOException {
-        boolean controls = role == ProcessRole.CONTROL;
+        boolean isControl = role == ProcessRole.CONTROL;
         ServingSettings settings = new ServingSettings(
                 "test-" + callAddress.port(),
                 role,
                 "north",
                 callAddress,
-                controls ? null : FreeAddresses.next(),
-                controls ? controlNode : FreeAddresses.next(),
+                isControl ? null : FreeAddresses.next(),
+                isControl ? controlNode : FreeAddresses.next(),
                 null,
-                controls ? folder.toString() : null,
-                controls,
+                isControl ? folder.toString() : null,
+                isControl,
                 List.of(controlNode),
                 null,
                 null,
@@ -106,7 +106,7 @@
 
     private record UnchangedSettings(ServingSettings settings) implements SettingsSource {
         @Override
-        public long stamp() {
+        public long modificationStamp() {
             return 1;
         }
 
@@ -138,7 +138,7 @@
 
     // ---- calls
 
-    private void untilAccepted(String target, String body) throws IOException {
+    private void postUntilAccepted(String target, String body) throws IOException {
         while (post(control, target, body) != 200) {
             Thread.onSpinWait();
         }
@@ -148,7 +148,7 @@
         return post(gateway, "/x/1", body);
     }
 
-    /** Returns the whole answer to a call of an operator, not null. */
+    /** Returns the whole HTTP response to an operator's request, not null. */
     String operator(String method, String target) throws IOException {
         return exchange(control, method, target, "");
     }
