--- a/daemon/src/main/java/org/bankturn/daemon/target/TargetRole.java
+++ b/daemon/src/main/java/org/bankturn/daemon/target/TargetRole.java
@@ -39,7 +39,7 @@
     private final NioReactor reactor;
     private final ExecutorService files = Executors.newFixedThreadPool(FILE_THREADS, task -> new Thread(task, "files"));
     private final ChunkServer chunkServer;
-    private final VersionKeeper keeper;
+    private final VersionManager versionManager;
     private final TargetServlet servlet;
     private boolean leaving;
 
@@ -95,9 +95,9 @@
                 context, client, backend, leaseHolder, target.leaseMillis(), firstOrderMillis(target, startMillis));
         this.chunkServer = new ChunkServer(
                 files, LinkRateLimiter.of(target.uploadBytesPerSecond(), LINK_BURST_MILLIS, wiring.clock()));
-        this.keeper = new VersionKeeper(context, chunkServer, orders, holder, this::runningOn);
+        this.versionManager = new VersionManager(context, chunkServer, orders, holder, this::runningOn);
         this.servlet = new TargetServlet(
-                client, backend, wiring.telemetry(), keeper::loaded, () -> leaving, this::requestsAtOnce);
+                client, backend, wiring.telemetry(), versionManager::loaded, () -> leaving, this::requestsAtOnce);
     }
 
     /** Before an engine that does not check fences, an order of an earlier start of this process must be over first. */
@@ -109,8 +109,8 @@
 
     /** Begins to keep versions as the configuration wants them. */
     public void start() {
-        keeper.start();
-        holder.onAdvance(configuration -> reactor.execute(keeper::checkNow));
+        versionManager.start();
+        holder.onAdvance(configuration -> reactor.execute(versionManager::checkNow));
     }
 
     /** Returns what takes requests of entry processes, not null. */
@@ -120,12 +120,12 @@
 
     /** Returns the manifests that the engine serves whole, not null. */
     public List<String> loaded() {
-        return keeper.loaded();
+        return versionManager.loaded();
     }
 
     /** Returns what operators should know, empty if nothing, not null. */
     public String note() {
-        return keeper.note();
+        return versionManager.note();
     }
 
     /** Returns true if this process takes no new work. */
@@ -141,7 +141,8 @@
      */
     public Optional<Promise<NodeReply>> handle(NodeRequest request) {
         if (request instanceof NodeRequest.GetTargetStatus) {
-            TargetStatus status = new TargetStatus(settings.process(), keeper.loaded(), leaving, servlet.running());
+            TargetStatus status =
+                    new TargetStatus(settings.process(), versionManager.loaded(), leaving, servlet.running());
             return Optional.of(Promise.of(new NodeReply.Target(status)));
         }
         if (request instanceof NodeRequest.GetManifest manifest) {
@@ -163,7 +164,7 @@
      */
     public Promise<Void> drain() {
         leaving = true;
-        keeper.close();
+        versionManager.close();
         return awaitIdle();
     }
 
--- a/daemon/src/main/java/org/bankturn/daemon/target/VersionKeeper.java
+++ b/daemon/src/main/java/org/bankturn/daemon/target/VersionManager.java
@@ -26,10 +26,10 @@
  * <p>A version that is no longer wanted while its copy is under way is cancelled. A loaded version stays until another is
  * in service, a while has passed, and no request runs on it.
  *
- * <p>VersionKeeper is confined to its reactor's thread; {@link #loaded()} may be read from any thread.
+ * <p>VersionManager is confined to its reactor's thread; {@link #loaded()} may be read from any thread.
  */
-final class VersionKeeper {
-    private static final Logger LOG = System.getLogger(VersionKeeper.class.getName());
+final class VersionManager {
+    private static final Logger LOG = System.getLogger(VersionManager.class.getName());
     private static final long CHECK_MILLIS = 200;
     private static final long UNLOAD_AFTER_MILLIS = 3_000;
     private static final long RETRY_MILLIS = 1_000;
@@ -51,7 +51,7 @@
     private long unneededSinceMillis;
     private boolean closed;
 
-    VersionKeeper(
+    VersionManager(
             TargetContext context,
             ChunkServer server,
             EngineOrders orders,
