--- a/daemon/src/main/java/org/bankturn/daemon/target/TargetRole.java
+++ b/daemon/src/main/java/org/bankturn/daemon/target/TargetRole.java
@@ -110,7 +110,7 @@
     /** Begins to keep versions as the configuration wants them. */
     public void start() {
         versionManager.start();
-        holder.onAdvance(configuration -> reactor.execute(versionManager::checkNow));
+        holder.onAdvance(configuration -> reactor.execute(versionManager::reconcileNow));
     }
 
     /** Returns what takes requests of entry processes, not null. */
--- a/daemon/src/main/java/org/bankturn/daemon/target/VersionManager.java
+++ b/daemon/src/main/java/org/bankturn/daemon/target/VersionManager.java
@@ -84,7 +84,7 @@
     }
 
     /** Looks at the configuration at once, as when it has changed. */
-    void checkNow() {
+    void reconcileNow() {
         if (closed) {
             return;
         }
@@ -99,7 +99,7 @@
         if (closed) {
             return;
         }
-        checkNow();
+        reconcileNow();
         Promises.delay(CHECK_MILLIS).whenResult(this::check);
     }
 
