--- a/daemon/src/main/java/org/bankturn/daemon/target/ChunkServer.java
+++ b/daemon/src/main/java/org/bankturn/daemon/target/ChunkServer.java
@@ -41,7 +41,7 @@
     }
 
     /** Tells peers that wait that there is a new chunk. */
-    void chunkKept() {
+    void notifyChunkStored() {
         List<SettablePromise<Void>> woken = waiting;
         waiting = new ArrayList<>();
         woken.forEach(news -> news.trySet(null));
--- a/daemon/src/main/java/org/bankturn/daemon/target/VersionCopy.java
+++ b/daemon/src/main/java/org/bankturn/daemon/target/VersionCopy.java
@@ -255,7 +255,7 @@
                 .map(kept -> {
                     if (kept) {
                         context.telemetry().chunkKept(source, bytes.length);
-                        server.chunkKept();
+                        server.notifyChunkStored();
                         return TransferOutcome.KEPT;
                     }
                     context.telemetry().chunkRejected(source);
