--- a/daemon/src/main/java/org/bankturn/daemon/target/OriginClient.java
+++ b/daemon/src/main/java/org/bankturn/daemon/target/OriginClient.java
@@ -31,7 +31,7 @@
     }
 
     /** Fetches a manifest's text and checks it; empty if it does not match the digest. */
-    Promise<Optional<Manifest>> manifest(String origin, String digest) {
+    Promise<Optional<Manifest>> fetchManifest(String origin, String digest) {
         HttpRequest request =
                 HttpRequest.get("http://" + origin + "/manifests/" + digest).build();
         return client.send(request)
@@ -41,7 +41,7 @@
     }
 
     /** Fetches a chunk's bytes, unchecked. */
-    Promise<byte[]> chunk(String origin, Manifest manifest, int chunk) {
+    Promise<byte[]> fetchChunk(String origin, Manifest manifest, int chunk) {
         long first = manifest.offsetOf(chunk);
         long last = first + manifest.sizeOf(chunk) - 1;
         HttpRequest request = HttpRequest.get("http://" + origin + "/weights/" + manifest.digest())
--- a/daemon/src/main/java/org/bankturn/daemon/target/VersionCopy.java
+++ b/daemon/src/main/java/org/bankturn/daemon/target/VersionCopy.java
@@ -147,7 +147,7 @@
 
     private Promise<Manifest> askOriginForManifest(long patientUntil) {
         return context.origin()
-                .manifest(version.origin(), version.manifest())
+                .fetchManifest(version.origin(), version.manifest())
                 .then(
                         manifest -> manifest.isPresent()
                                 ? Promise.of(manifest.get())
@@ -321,7 +321,7 @@
         originDraws++;
         planner.originFetchStarted(chunk);
         context.origin()
-                .chunk(version.origin(), file.manifest(), chunk)
+                .fetchChunk(version.origin(), file.manifest(), chunk)
                 .then(bytes -> keep(chunk, bytes, "origin"), failure -> Promise.of(TransferOutcome.FAILED))
                 .whenComplete((ending, failure) -> {
                     originDraws--;
