--- a/daemon/src/main/java/org/bankturn/daemon/target/TargetRole.java
+++ b/daemon/src/main/java/org/bankturn/daemon/target/TargetRole.java
@@ -95,7 +95,7 @@
                 context, client, backend, leaseHolder, target.leaseMillis(), firstOrderMillis(target, startMillis));
         this.chunkServer = new ChunkServer(
                 files, LinkRateLimiter.of(target.uploadBytesPerSecond(), LINK_BURST_MILLIS, wiring.clock()));
-        this.versionManager = new VersionManager(context, chunkServer, orders, holder, this::runningOn);
+        this.versionManager = new VersionManager(context, chunkServer, orders, holder, this::runningRequestsOn);
         this.servlet = new TargetServlet(
                 client, backend, wiring.telemetry(), versionManager::loaded, () -> leaving, this::requestsAtOnce);
     }
@@ -142,7 +142,7 @@
     public Optional<Promise<NodeReply>> handle(NodeRequest request) {
         if (request instanceof NodeRequest.GetTargetStatus) {
             TargetStatus status =
-                    new TargetStatus(settings.process(), versionManager.loaded(), leaving, servlet.running());
+                    new TargetStatus(settings.process(), versionManager.loaded(), leaving, servlet.runningRequests());
             return Optional.of(Promise.of(new NodeReply.Target(status)));
         }
         if (request instanceof NodeRequest.GetManifest manifest) {
@@ -174,13 +174,13 @@
     }
 
     private Promise<Void> awaitIdle() {
-        return servlet.running() == 0
+        return servlet.runningRequests() == 0
                 ? Promise.complete()
                 : Promises.delay(DRAIN_CHECK_MILLIS).then(this::awaitIdle);
     }
 
-    private int runningOn(String manifest) {
-        return servlet.runningOn(manifest);
+    private int runningRequestsOn(String manifest) {
+        return servlet.runningRequestsOn(manifest);
     }
 
     private int requestsAtOnce() {
--- a/daemon/src/main/java/org/bankturn/daemon/target/TargetServlet.java
+++ b/daemon/src/main/java/org/bankturn/daemon/target/TargetServlet.java
@@ -58,12 +58,12 @@
     }
 
     /** Returns the requests under way, answers that still stream included. */
-    int running() {
+    int runningRequests() {
         return running;
     }
 
     /** Returns the requests under way on a version. */
-    int runningOn(String manifest) {
+    int runningRequestsOn(String manifest) {
         return runningByVersion.getOrDefault(manifest, 0);
     }
 
--- a/daemon/src/main/java/org/bankturn/daemon/target/VersionManager.java
+++ b/daemon/src/main/java/org/bankturn/daemon/target/VersionManager.java
@@ -38,7 +38,7 @@
     private final ChunkServer server;
     private final EngineOrders orders;
     private final ConfigurationHolder holder;
-    private final ToIntFunction<String> runningOn;
+    private final ToIntFunction<String> runningRequestsOn;
     private final Map<String, ChunkFile> files = new HashMap<>();
     private volatile List<String> loaded = List.of();
     private volatile String note = "";
@@ -56,12 +56,12 @@
             ChunkServer server,
             EngineOrders orders,
             ConfigurationHolder holder,
-            ToIntFunction<String> runningOn) {
+            ToIntFunction<String> runningRequestsOn) {
         this.context = context;
         this.server = server;
         this.orders = orders;
         this.holder = holder;
-        this.runningOn = runningOn;
+        this.runningRequestsOn = runningRequestsOn;
     }
 
     /** Returns the manifests that the engine serves whole, not null. */
@@ -223,7 +223,7 @@
         }
         String manifest = unneeded.get(0);
         boolean settled = now - unneededSinceMillis >= UNLOAD_AFTER_MILLIS;
-        if (settled && !ordering && runningOn.applyAsInt(manifest) == 0) {
+        if (settled && !ordering && runningRequestsOn.applyAsInt(manifest) == 0) {
             unload(manifest);
         }
     }
