--- a/daemon/src/main/java/org/bankturn/daemon/entry/Dispatcher.java
+++ b/daemon/src/main/java/org/bankturn/daemon/entry/Dispatcher.java
@@ -42,7 +42,7 @@
      * @param response headers, with the body as a stream, not null
      * @param load counts the request until its answer has ended, not null
      */
-    record Begun(Box box, HttpResponse response, TargetLoad load) {}
+    record StartedResponse(Box box, HttpResponse response, TargetLoad load) {}
 
     private record Attempt(CallerRequest request, TargetSelector selector, Set<String> tried, Span span) {}
 
@@ -53,12 +53,12 @@
     }
 
     /** Completes with the outcome after the last attempt that was allowed. */
-    Promise<AttemptOutcome<Begun>> dispatch(CallerRequest request, Span span) {
+    Promise<AttemptOutcome<StartedResponse>> dispatch(CallerRequest request, Span span) {
         TargetSelector selector = TargetSelector.of(state.holder().get(), state.targets(), state.dataHall());
         return next(new Attempt(request, selector, new HashSet<>(), span), null);
     }
 
-    private Promise<AttemptOutcome<Begun>> next(Attempt attempt, AttemptOutcome<Begun> last) {
+    private Promise<AttemptOutcome<StartedResponse>> next(Attempt attempt, AttemptOutcome<StartedResponse> last) {
         CallerRequest request = attempt.request();
         List<Box> candidates = attempt.selector().candidates(request.service(), request.account(), attempt.tried());
         Optional<Box> chosen = Balancer.choose(candidates, box -> state.loadOf(box.name()), random);
@@ -82,7 +82,7 @@
         });
     }
 
-    private Promise<AttemptOutcome<Begun>> send(Attempt attempt, Box box) {
+    private Promise<AttemptOutcome<StartedResponse>> send(Attempt attempt, Box box) {
         TargetLoad load = state.loadOf(box.name());
         load.requestStarted();
         long startNanos = System.nanoTime();
@@ -94,12 +94,12 @@
                     load.requestEnded();
                     state.targets().recordFailure(box.name());
                     return exchange.witness().neverConnected()
-                            ? new AttemptOutcome.NotRun<Begun>(NotRunProof.neverConnected())
-                            : new AttemptOutcome.Unknown<Begun>(String.valueOf(failure.getMessage()));
+                            ? new AttemptOutcome.NotRun<StartedResponse>(NotRunProof.neverConnected())
+                            : new AttemptOutcome.Unknown<StartedResponse>(String.valueOf(failure.getMessage()));
                 });
     }
 
-    private AttemptOutcome<Begun> began(Box box, HttpResponse response, TargetLoad load, long startNanos) {
+    private AttemptOutcome<StartedResponse> began(Box box, HttpResponse response, TargetLoad load, long startNanos) {
         Optional<ResultCode> rejected = rejection(response);
         if (rejected.isPresent()) {
             load.requestEnded();
@@ -111,7 +111,7 @@
                     : new AttemptOutcome.Unknown<>(rejected.get().description());
         }
         load.recordLatency((System.nanoTime() - startNanos) / NANOS_PER_MICRO);
-        return new AttemptOutcome.Answered<>(new Begun(box, response, load));
+        return new AttemptOutcome.Answered<>(new StartedResponse(box, response, load));
     }
 
     /** Only the target process itself sets the result header; it strips its engine's. */
@@ -143,7 +143,7 @@
         return builder.withBody(request.body()).build();
     }
 
-    private static AttemptOutcome<Begun> notRun(ResultCode code) {
+    private static AttemptOutcome<StartedResponse> notRun(ResultCode code) {
         return new AttemptOutcome.NotRun<>(NotRunProof.refusedBeforeSending(code));
     }
 }
--- a/daemon/src/main/java/org/bankturn/daemon/entry/EntryServlet.java
+++ b/daemon/src/main/java/org/bankturn/daemon/entry/EntryServlet.java
@@ -135,7 +135,7 @@
 
     private Promise<HttpResponse> run(Passage passage) {
         return dispatcher.dispatch(passage.request, passage.span).map(outcome -> {
-            if (outcome instanceof AttemptOutcome.Answered<Dispatcher.Begun> answered) {
+            if (outcome instanceof AttemptOutcome.Answered<Dispatcher.StartedResponse> answered) {
                 return stream(passage, answered.answer());
             }
             return giveUp(passage, outcome);
@@ -143,7 +143,7 @@
     }
 
     /** Streams the answer through; if the target's stream breaks off, so does the caller's, and it is seen as cut. */
-    private HttpResponse stream(Passage passage, Dispatcher.Begun begun) {
+    private HttpResponse stream(Passage passage, Dispatcher.StartedResponse begun) {
         noteFirstByte(passage);
         ChannelSupplier<ByteBuf> body = begun.response()
                 .takeBodyStream()
@@ -155,7 +155,7 @@
         return answerFrom(begun, body);
     }
 
-    private static HttpResponse answerFrom(Dispatcher.Begun begun, ChannelSupplier<ByteBuf> body) {
+    private static HttpResponse answerFrom(Dispatcher.StartedResponse begun, ChannelSupplier<ByteBuf> body) {
         HttpResponse.Builder builder = BackendClient.passOn(begun.response(), body);
         String version = begun.response().getHeader(BankturnHeaders.VERSION);
         if (version != null) {
@@ -164,8 +164,8 @@
         return builder.build();
     }
 
-    private HttpResponse giveUp(Passage passage, AttemptOutcome<Dispatcher.Begun> outcome) {
-        if (outcome instanceof AttemptOutcome.NotRun<Dispatcher.Begun> notRun) {
+    private HttpResponse giveUp(Passage passage, AttemptOutcome<Dispatcher.StartedResponse> outcome) {
+        if (outcome instanceof AttemptOutcome.NotRun<Dispatcher.StartedResponse> notRun) {
             return passage.endWith(notRun.proof().code(), "", COME_BACK_MILLIS);
         }
         return passage.endWith(ResultCode.OUTCOME_UNKNOWN, "", COME_BACK_MILLIS);
@@ -209,7 +209,7 @@
 
     private Promise<HttpResponse> runClaimed(Passage passage, String attempt) {
         return dispatcher.dispatch(passage.request, passage.span).then(outcome -> {
-            if (outcome instanceof AttemptOutcome.Answered<Dispatcher.Begun> answered) {
+            if (outcome instanceof AttemptOutcome.Answered<Dispatcher.StartedResponse> answered) {
                 return recordThenAnswer(passage, attempt, answered.answer());
             }
             Promise<Void> settled = outcome instanceof AttemptOutcome.NotRun
@@ -219,7 +219,7 @@
         });
     }
 
-    private Promise<HttpResponse> recordThenAnswer(Passage passage, String attempt, Dispatcher.Begun begun) {
+    private Promise<HttpResponse> recordThenAnswer(Passage passage, String attempt, Dispatcher.StartedResponse begun) {
         noteFirstByte(passage);
         HttpResponse response = begun.response();
         return response.loadBody(MAXIMUM_KEYED_ANSWER_BYTES)
