--- a/daemon/src/main/java/org/bankturn/daemon/entry/EntryServlet.java
+++ b/daemon/src/main/java/org/bankturn/daemon/entry/EntryServlet.java
@@ -182,7 +182,7 @@
         String attempt = keyed.newAttempt();
         return keyed.claim(passage.request, attempt).then(result -> {
             if (!(result instanceof CommandResult.ClaimDecision claim)) {
-                keyed.releaseLater(passage.request, attempt);
+                keyed.releaseInBackground(passage.request, attempt);
                 return passage.endWith(ResultCode.NOT_RUN_NO_CLAIM, "", COME_BACK_MILLIS)
                         .toPromise();
             }
--- a/daemon/src/main/java/org/bankturn/daemon/entry/KeyedRequests.java
+++ b/daemon/src/main/java/org/bankturn/daemon/entry/KeyedRequests.java
@@ -63,7 +63,7 @@
     }
 
     /** Takes back a claim whose grant was never heard of, in the background. */
-    void releaseLater(CallerRequest request, String attempt) {
+    void releaseInBackground(CallerRequest request, String attempt) {
         Command command = new Command.ReleaseClaim(request.account().name(), request.idempotencyKey(), attempt);
         Promise<CommandResult> released = Promise.ofFuture(control.submit(command, CLEAN_UP_MILLIS));
         released.toVoid();
