--- a/daemon/src/main/java/org/bankturn/daemon/entry/CallerRequest.java
+++ b/daemon/src/main/java/org/bankturn/daemon/entry/CallerRequest.java
@@ -15,7 +15,7 @@
  * @param accept what the caller accepts, null if it named nothing
  * @param body the whole body, not null
  * @param priority 0 to 9
- * @param dueMillis the time by which an answer must begin
+ * @param deadlineMillis the time by which an answer must begin
  * @param safeToRepeat true if it may run more than once
  * @param idempotencyKey the caller's key, null if it gave none
  */
@@ -28,7 +28,7 @@
         String accept,
         byte[] body,
         int priority,
-        long dueMillis,
+        long deadlineMillis,
         boolean safeToRepeat,
         String idempotencyKey) {
     /** Returns true if the request has a key under which it runs at most once. */
--- a/daemon/src/main/java/org/bankturn/daemon/entry/Dispatcher.java
+++ b/daemon/src/main/java/org/bankturn/daemon/entry/Dispatcher.java
@@ -65,7 +65,7 @@
         if (chosen.isEmpty()) {
             return Promise.of(last != null ? last : notRun(ResultCode.NOT_RUN_NO_TARGET));
         }
-        if (state.clock().millis() >= request.dueMillis()) {
+        if (state.clock().millis() >= request.deadlineMillis()) {
             return Promise.of(last != null ? last : notRun(ResultCode.NOT_RUN_DEADLINE));
         }
         if (last != null && !state.retryBudget().tryRetry()) {
@@ -87,7 +87,7 @@
         load.requestStarted();
         long startNanos = System.nanoTime();
         long remaining =
-                Math.max(1, attempt.request().dueMillis() - state.clock().millis());
+                Math.max(1, attempt.request().deadlineMillis() - state.clock().millis());
         BackendClient.Exchange exchange = client.send(requestTo(box, attempt));
         return Promises.timeout(remaining, exchange.response())
                 .map(response -> began(box, response, load, startNanos), failure -> {
--- a/daemon/src/main/java/org/bankturn/daemon/entry/EntryServlet.java
+++ b/daemon/src/main/java/org/bankturn/daemon/entry/EntryServlet.java
@@ -126,7 +126,7 @@
                 .mapToLong(hall -> hall.getValue().size())
                 .sum();
         int capacity = (int) Math.max(1, boxes * request.service().requestsAtOnce());
-        long remaining = request.dueMillis() - state.clock().millis();
+        long remaining = request.deadlineMillis() - state.clock().millis();
         return new FairAdmission.Candidate(
                 request.account().name(), request.account().weight(), weightOfAll, capacity, remaining);
     }
--- a/daemon/src/main/java/org/bankturn/daemon/entry/KeyedRequests.java
+++ b/daemon/src/main/java/org/bankturn/daemon/entry/KeyedRequests.java
@@ -37,7 +37,7 @@
 
     /** Asks for the claim; completes with NotExecuted if no majority answered within the request's time. */
     Promise<CommandResult> claim(CallerRequest request, String attempt) {
-        long remaining = Math.max(1, request.dueMillis() - clock.millis());
+        long remaining = Math.max(1, request.deadlineMillis() - clock.millis());
         Command command = new Command.ClaimRequest(
                 request.account().name(),
                 request.idempotencyKey(),
