--- a/daemon/src/main/java/org/bankturn/daemon/target/ChunkServer.java
+++ b/daemon/src/main/java/org/bankturn/daemon/target/ChunkServer.java
@@ -15,17 +15,18 @@
 import org.bankturn.distribution.LinkRateLimiter;
 
 /**
- * Serves the chunks that this box holds to its peers, no faster than its link allows.
+ * Serves the chunks stored on this box to its peers, within the upload rate limit of its link.
  *
- * <p>ChunkServer is confined to its reactor's thread; files are read on the executor.
+ * <p>ChunkServer is confined to its reactor's thread; files are read on the file executor.
  */
 final class ChunkServer {
-    private static final long NEWS_PAUSE_MILLIS = 20;
+    /** The delay before a long poll is answered, so that one reply covers several stored chunks. */
+    private static final long HOLDS_BATCH_DELAY_MILLIS = 20;
 
     private final Executor files;
     private final LinkRateLimiter upload;
-    private final Map<String, ChunkFile> served = new HashMap<>();
-    private List<SettablePromise<Void>> waiting = new ArrayList<>();
+    private final Map<String, ChunkFile> filesByManifest = new HashMap<>();
+    private List<SettablePromise<Void>> waiters = new ArrayList<>();
 
     ChunkServer(Executor files, LinkRateLimiter upload) {
         this.files = files;
@@ -33,42 +34,42 @@
     }
 
     void serve(ChunkFile file) {
-        served.put(file.manifest().digest(), file);
+        filesByManifest.put(file.manifest().digest(), file);
     }
 
     void stopServing(String manifest) {
-        served.remove(manifest);
+        filesByManifest.remove(manifest);
     }
 
-    /** Tells peers that wait that there is a new chunk. */
+    /** Completes the long polls that wait for a new chunk. */
     void notifyChunkStored() {
-        List<SettablePromise<Void>> woken = waiting;
-        waiting = new ArrayList<>();
-        woken.forEach(news -> news.trySet(null));
+        List<SettablePromise<Void>> completed = waiters;
+        waiters = new ArrayList<>();
+        completed.forEach(change -> change.trySet(null));
     }
 
     Promise<NodeReply> manifest(NodeRequest.GetManifest request) {
-        ChunkFile file = served.get(request.manifest());
+        ChunkFile file = filesByManifest.get(request.manifest());
         return Promise.of(
                 new NodeReply.ManifestText(file == null ? null : file.manifest().text()));
     }
 
     Promise<NodeReply> holds(NodeRequest.GetHolds request) {
-        if (countOf(request.manifest()) != request.knownCount() || request.waitMillis() <= 0) {
+        if (storedCount(request.manifest()) != request.knownCount() || request.waitMillis() <= 0) {
             return Promise.of(holdsReply(request.manifest()));
         }
-        SettablePromise<Void> news = new SettablePromise<>();
-        waiting.add(news);
-        return Promises.timeout(request.waitMillis(), news)
-                .then(nothing -> Promises.delay(NEWS_PAUSE_MILLIS), failure -> {
-                    waiting.remove(news);
+        SettablePromise<Void> change = new SettablePromise<>();
+        waiters.add(change);
+        return Promises.timeout(request.waitMillis(), change)
+                .then(nothing -> Promises.delay(HOLDS_BATCH_DELAY_MILLIS), failure -> {
+                    waiters.remove(change);
                     return Promise.complete();
                 })
                 .map(nothing -> holdsReply(request.manifest()));
     }
 
     Promise<NodeReply> chunk(NodeRequest.GetChunk request) {
-        ChunkFile file = served.get(request.manifest());
+        ChunkFile file = filesByManifest.get(request.manifest());
         if (file == null
                 || request.chunk() < 0
                 || request.chunk() >= file.manifest().chunkCount()) {
@@ -84,14 +85,14 @@
                 .map(bytes -> new NodeReply.Chunk(bytes, false));
     }
 
-    private int countOf(String manifest) {
-        ChunkFile file = served.get(manifest);
+    private int storedCount(String manifest) {
+        ChunkFile file = filesByManifest.get(manifest);
         return file == null ? 0 : file.storedChunks().cardinality();
     }
 
     private NodeReply holdsReply(String manifest) {
-        ChunkFile file = served.get(manifest);
-        BitSet kept = file == null ? new BitSet() : file.storedChunks();
-        return new NodeReply.Holds(kept.toLongArray(), kept.cardinality());
+        ChunkFile file = filesByManifest.get(manifest);
+        BitSet stored = file == null ? new BitSet() : file.storedChunks();
+        return new NodeReply.Holds(stored.toLongArray(), stored.cardinality());
     }
 }
--- a/daemon/src/main/java/org/bankturn/daemon/target/EngineOrders.java
+++ b/daemon/src/main/java/org/bankturn/daemon/target/EngineOrders.java
@@ -22,10 +22,10 @@
 import org.bankturn.state.command.CommandResult;
 
 /**
- * Gives fenced orders to this box's engine: load a verified version, unload one.
+ * Sends fenced load and unload orders to the engine on this box.
  *
- * <p>Each order is given under a lease from the control boxes, whose fence the order carries. The lease's validity is
- * checked right before the order leaves; a process that was frozen in between finds it expired.
+ * <p>Each order carries the fence of a lease granted by the control group. The lease is checked immediately before the
+ * order is sent, so that a process that was suspended after acquiring the lease does not send under an expired one.
  *
  * <p>EngineOrders is confined to its reactor's thread.
  */
@@ -34,11 +34,11 @@
     private static final ObjectMapper JSON = new ObjectMapper();
     private static final int OK = 200;
     private static final int CONFLICT = 409;
-    private static final int MAXIMUM_ANSWER_BYTES = 1 << 20;
+    private static final int MAX_REPLY_BYTES = 1 << 20;
     private static final long SUBMIT_TIMEOUT_MILLIS = 5_000;
     private static final long ORDER_TIMEOUT_MILLIS = 60_000;
-    private static final long SHORTEST_PAUSE_MILLIS = 50;
-    private static final long LONGEST_PAUSE_MILLIS = 1_000;
+    private static final long MIN_LEASE_RETRY_MILLIS = 50;
+    private static final long MAX_LEASE_RETRY_MILLIS = 1_000;
 
     private final TargetContext context;
     private final BackendClient client;
@@ -46,7 +46,7 @@
     private final String holder;
     private final long leaseMillis;
     private final FenceGuard guard = new FenceGuard();
-    private long settledMillis;
+    private long nextOrderMillis;
 
     EngineOrders(
             TargetContext context,
@@ -60,39 +60,39 @@
         this.backend = backend;
         this.holder = holder;
         this.leaseMillis = leaseMillis;
-        this.settledMillis = firstOrderMillis;
+        this.nextOrderMillis = firstOrderMillis;
     }
 
-    /** Asks the engine which versions it serves; the engine knows best, also after this process has restarted. */
+    /** Returns the versions that the engine serves. Only the engine knows them after a restart of this process. */
     Promise<List<String>> loaded() {
         HttpRequest request =
                 HttpRequest.get("http://" + backend + "/orders/loaded").build();
         return exchange(request).map(EngineOrders::manifestsOf);
     }
 
-    /** Orders the engine to load a version; completes with the versions that it then serves. */
+    /** Orders the engine to load a version; completes with the versions that the engine serves afterwards. */
     Promise<List<String>> load(String manifest, String path) {
         return order("load", Map.of("manifest", manifest, "path", path));
     }
 
-    /** Orders the engine to unload a version; completes with the versions that it then serves. */
+    /** Orders the engine to unload a version; completes with the versions that the engine serves afterwards. */
     Promise<List<String>> unload(String manifest) {
         return order("unload", Map.of("manifest", manifest));
     }
 
     /**
-     * Gives one order under a lease of its own. The lease is given up only once the engine has answered: an order without
-     * an answer may still be taken up, so until that is over there is no release and no next order.
+     * Sends one order under its own lease. The lease is released only after the engine has answered: an unanswered order
+     * may still be executed, so neither the release nor the next order happens until the maximum delivery time has passed.
      */
     private Promise<List<String>> order(String name, Map<String, String> fields) {
-        long wait = Math.max(0, settledMillis - context.clock().millis());
+        long wait = Math.max(0, nextOrderMillis - context.clock().millis());
         return Promises.delay(wait)
                 .then(nothing -> acquireLease())
-                .then(held -> give(name, fields, held).whenComplete((manifests, failure) -> {
-                    if (failure == null || failure instanceof OrderAnsweredException) {
+                .then(held -> send(name, fields, held).whenComplete((manifests, failure) -> {
+                    if (failure == null || failure instanceof OrderRejectedException) {
                         release(held);
                     } else {
-                        settledMillis = context.clock().millis() + HeldLease.maxDeliveryMillis(leaseMillis);
+                        nextOrderMillis = context.clock().millis() + HeldLease.maxDeliveryMillis(leaseMillis);
                     }
                 }));
     }
@@ -100,30 +100,30 @@
     private void release(HeldLease held) {
         Command command = new Command.ReleaseLease(context.box(), held.lease().fence());
         Promise.ofFuture(context.control().submit(command, SUBMIT_TIMEOUT_MILLIS))
-                .whenException(failure -> LOG.log(Level.WARNING, "lease not released: " + failure.getMessage()));
+                .whenException(failure -> LOG.log(Level.WARNING, "could not release lease: " + failure.getMessage()));
     }
 
     private Promise<HeldLease> acquireLease() {
-        long asked = context.clock().millis();
+        long requestedMillis = context.clock().millis();
         Command command = new Command.AcquireLease(context.box(), holder, leaseMillis, 0);
         return Promise.<CommandResult>ofFuture(context.control().submit(command, SUBMIT_TIMEOUT_MILLIS))
                 .then(result -> {
-                    if (!(result instanceof CommandResult.LeaseState answer)) {
-                        return Promise.ofException(new IOException("no lease: " + result));
+                    if (!(result instanceof CommandResult.LeaseState reply)) {
+                        return Promise.ofException(new IOException("could not acquire lease: " + result));
                     }
-                    if (answer.granted()) {
-                        return Promise.of(new HeldLease(answer.lease(), asked));
+                    if (reply.granted()) {
+                        return Promise.of(new HeldLease(reply.lease(), requestedMillis));
                     }
-                    long pause =
-                            Math.max(SHORTEST_PAUSE_MILLIS, Math.min(answer.retryAfterMillis(), LONGEST_PAUSE_MILLIS));
-                    return Promises.delay(pause).then(nothing -> acquireLease());
+                    long retryMillis = Math.max(
+                            MIN_LEASE_RETRY_MILLIS, Math.min(reply.retryAfterMillis(), MAX_LEASE_RETRY_MILLIS));
+                    return Promises.delay(retryMillis).then(nothing -> acquireLease());
                 });
     }
 
-    private Promise<List<String>> give(String name, Map<String, String> fields, HeldLease held) throws IOException {
+    private Promise<List<String>> send(String name, Map<String, String> fields, HeldLease held) throws IOException {
         long fence = held.lease().fence();
         if (!held.isValidAt(context.clock().millis()) || !guard.admits(fence)) {
-            return Promise.ofException(new IOException("the lease ran out before the order was given"));
+            return Promise.ofException(new IOException("lease expired before the order was sent"));
         }
         Map<String, Object> body = new LinkedHashMap<>(fields);
         body.put("fence", fence);
@@ -132,40 +132,40 @@
                 .withBody(JSON.writeValueAsBytes(body))
                 .build();
         return exchange(request)
-                .then(answer -> answer.path("fence").asLong() == fence
-                        ? Promise.of(manifestsOf(answer))
-                        : Promise.ofException(new IOException("the engine answered to another order")));
+                .then(reply -> reply.path("fence").asLong() == fence
+                        ? Promise.of(manifestsOf(reply))
+                        : Promise.ofException(new IOException("engine reply has the fence of another order")));
     }
 
     private Promise<JsonNode> exchange(HttpRequest request) {
-        Promise<JsonNode> answer = client.send(request)
+        Promise<JsonNode> reply = client.send(request)
                 .response()
-                .then(response -> response.loadBody(MAXIMUM_ANSWER_BYTES).then(body -> {
+                .then(response -> response.loadBody(MAX_REPLY_BYTES).then(body -> {
                     String text = body.getString(StandardCharsets.UTF_8);
                     if (response.getCode() == CONFLICT) {
                         return Promise.ofException(
-                                new OrderAnsweredException(ResultCode.FENCE_STALE.number() + " " + text));
+                                new OrderRejectedException(ResultCode.FENCE_STALE.number() + " " + text));
                     }
                     return response.getCode() == OK
                             ? Promise.of(JSON.readTree(text))
                             : Promise.ofException(
-                                    new OrderAnsweredException("the engine answered " + response.getCode()));
+                                    new OrderRejectedException("engine responded with status " + response.getCode()));
                 }));
-        return Promises.timeout(ORDER_TIMEOUT_MILLIS, answer);
+        return Promises.timeout(ORDER_TIMEOUT_MILLIS, reply);
     }
 
-    /** The engine answered the order, so it will not be taken up any more, but did not carry it out. */
-    private static final class OrderAnsweredException extends IOException {
+    /** Thrown when the engine rejected the order, which therefore can no longer take effect. */
+    private static final class OrderRejectedException extends IOException {
         private static final long serialVersionUID = 1L;
 
-        OrderAnsweredException(String message) {
+        OrderRejectedException(String message) {
             super(message);
         }
     }
 
-    private static List<String> manifestsOf(JsonNode answer) {
+    private static List<String> manifestsOf(JsonNode reply) {
         List<String> manifests = new ArrayList<>();
-        answer.path("loaded").forEach(manifest -> manifests.add(manifest.asText()));
+        reply.path("loaded").forEach(manifest -> manifests.add(manifest.asText()));
         return List.copyOf(manifests);
     }
 }
--- a/daemon/src/main/java/org/bankturn/daemon/target/OriginClient.java
+++ b/daemon/src/main/java/org/bankturn/daemon/target/OriginClient.java
@@ -13,7 +13,7 @@
 import org.bankturn.distribution.Manifest;
 
 /**
- * Draws manifests and chunks from the origin, by its HTTP protocol: {@code GET /manifests/DIGEST} and
+ * Fetches manifests and chunks from the origin over HTTP: {@code GET /manifests/DIGEST} and
  * {@code GET /weights/DIGEST} with a byte range.
  *
  * <p>OriginClient is confined to its reactor's thread.
@@ -21,8 +21,8 @@
 final class OriginClient {
     private static final int OK = 200;
     private static final int PARTIAL_CONTENT = 206;
-    private static final long TIMEOUT_MILLIS = 120_000;
-    private static final int MAXIMUM_MANIFEST_BYTES = 64 << 20;
+    private static final long CHUNK_TIMEOUT_MILLIS = 120_000;
+    private static final int MAX_MANIFEST_BYTES = 64 << 20;
 
     private final BackendClient client;
 
@@ -30,17 +30,17 @@
         this.client = client;
     }
 
-    /** Fetches a manifest's text and checks it; empty if it does not match the digest. */
+    /** Fetches a manifest and verifies it; empty if it does not match the digest. */
     Promise<Optional<Manifest>> fetchManifest(String origin, String digest) {
         HttpRequest request =
                 HttpRequest.get("http://" + origin + "/manifests/" + digest).build();
         return client.send(request)
                 .response()
-                .then(response -> load(response, OK, MAXIMUM_MANIFEST_BYTES))
+                .then(response -> load(response, OK, MAX_MANIFEST_BYTES))
                 .map(bytes -> Manifest.parse(new String(bytes, StandardCharsets.UTF_8), digest));
     }
 
-    /** Fetches a chunk's bytes, unchecked. */
+    /** Fetches a chunk's bytes without verifying them. */
     Promise<byte[]> fetchChunk(String origin, Manifest manifest, int chunk) {
         long first = manifest.offsetOf(chunk);
         long last = first + manifest.sizeOf(chunk) - 1;
@@ -50,13 +50,13 @@
         Promise<byte[]> bytes = client.send(request)
                 .response()
                 .then(response -> load(response, PARTIAL_CONTENT, manifest.sizeOf(chunk)));
-        return Promises.timeout(TIMEOUT_MILLIS, bytes);
+        return Promises.timeout(CHUNK_TIMEOUT_MILLIS, bytes);
     }
 
-    private static Promise<byte[]> load(HttpResponse response, int wantedCode, int maximumBytes) {
-        if (response.getCode() != wantedCode) {
-            return Promise.ofException(new IOException("origin answered " + response.getCode()));
+    private static Promise<byte[]> load(HttpResponse response, int expectedCode, int maxBytes) {
+        if (response.getCode() != expectedCode) {
+            return Promise.ofException(new IOException("origin responded with status " + response.getCode()));
         }
-        return response.loadBody(maximumBytes).map(ByteBuf::getArray);
+        return response.loadBody(maxBytes).map(ByteBuf::getArray);
     }
 }
--- a/daemon/src/main/java/org/bankturn/daemon/target/TargetContext.java
+++ b/daemon/src/main/java/org/bankturn/daemon/target/TargetContext.java
@@ -9,17 +9,17 @@
 import org.bankturn.time.Clock;
 
 /**
- * What the parts of a target process share.
+ * Dependencies shared by the components of a target process.
  *
  * @param box the box's name, not null
  * @param clients connections to other processes, not null
- * @param control the control boxes, not null
- * @param origin the origin of weights, not null
- * @param files runs what reads and writes files, not null
- * @param chunkFolder where weights are kept, not null
- * @param download the limit on what this box draws, not null
- * @param telemetry metrics and traces, not null
- * @param clock the time, not null
+ * @param control the client of the control group, not null
+ * @param origin the client of the weights origin, not null
+ * @param files the executor for blocking file I/O, not null
+ * @param chunkFolder the folder that stores weights, not null
+ * @param download the rate limiter of downloads to this box, not null
+ * @param telemetry records metrics and traces, not null
+ * @param clock the time source, not null
  */
 record TargetContext(
         String box,
--- a/daemon/src/main/java/org/bankturn/daemon/target/TargetRole.java
+++ b/daemon/src/main/java/org/bankturn/daemon/target/TargetRole.java
@@ -31,7 +31,7 @@
 public final class TargetRole {
     private static final int FILE_THREADS = 2;
     private static final long LINK_BURST_MILLIS = 50;
-    private static final int NOTHING_ALLOWED = 0;
+    private static final int NO_REQUESTS = 0;
     private static final long DRAIN_CHECK_MILLIS = 50;
 
     private final DaemonSettings settings;
@@ -44,14 +44,14 @@
     private boolean leaving;
 
     /**
-     * What the role needs from the process around it.
+     * The dependencies that the process supplies.
      *
-     * @param reactor the reactor whose thread it runs on, not null
-     * @param holder what is in force, not null
+     * @param reactor the reactor whose thread the role runs on, not null
+     * @param holder the current configuration, not null
      * @param clients connections to other processes, not null
-     * @param control the control boxes, not null
-     * @param telemetry metrics and traces, not null
-     * @param clock the time, not null
+     * @param control the client of the control group, not null
+     * @param telemetry records metrics and traces, not null
+     * @param clock the time source, not null
      */
     public record Wiring(
             NioReactor reactor,
@@ -65,8 +65,8 @@
      * Creates the role.
      *
      * @param settings the process's settings, with the target role, not null
-     * @param wiring the process around it, not null
-     * @param startMillis when this start of the process began; tells its leases from those of earlier starts
+     * @param wiring the dependencies, not null
+     * @param startMillis the start time of the process, which distinguishes its leases from those of earlier runs
      * @return the role, not started, not null
      */
     public static TargetRole of(DaemonSettings settings, Wiring wiring, long startMillis) {
@@ -97,47 +97,52 @@
                 files, LinkRateLimiter.of(target.uploadBytesPerSecond(), LINK_BURST_MILLIS, wiring.clock()));
         this.versionManager = new VersionManager(context, chunkServer, orders, holder, this::runningRequestsOn);
         this.servlet = new TargetServlet(
-                client, backend, wiring.telemetry(), versionManager::loaded, () -> leaving, this::requestsAtOnce);
+                client,
+                backend,
+                wiring.telemetry(),
+                versionManager::loaded,
+                () -> leaving,
+                this::maxConcurrentRequests);
     }
 
-    /** Before an engine that does not check fences, an order of an earlier start of this process must be over first. */
+    /** An engine that does not check fences must not receive an order while one of an earlier run may be in transit. */
     private static long firstOrderMillis(TargetSettings target, long startMillis) {
         return target.backendChecksFence()
                 ? startMillis
                 : startMillis + HeldLease.maxDeliveryMillis(target.leaseMillis());
     }
 
-    /** Begins to keep versions as the configuration wants them. */
+    /** Starts reconciling versions with the configuration. */
     public void start() {
         versionManager.start();
         holder.onAdvance(configuration -> reactor.execute(versionManager::reconcileNow));
     }
 
-    /** Returns what takes requests of entry processes, not null. */
+    /** Returns the servlet for requests from entry processes, not null. */
     public AsyncServlet servlet() {
         return servlet;
     }
 
-    /** Returns the manifests that the engine serves whole, not null. */
+    /** Returns the manifests of the versions that the engine serves, not null. */
     public List<String> loaded() {
         return versionManager.loaded();
     }
 
-    /** Returns what operators should know, empty if nothing, not null. */
+    /** Returns a message for operators, empty if there is none, not null. */
     public String note() {
         return versionManager.note();
     }
 
-    /** Returns true if this process takes no new work. */
+    /** Returns true if this process accepts no new requests. */
     public boolean isLeaving() {
         return leaving;
     }
 
     /**
-     * Answers a request that concerns this role.
+     * Handles a request from another process.
      *
      * @param request the request, not null
-     * @return the reply, or empty if the request is for another role
+     * @return the reply, or empty if this role does not handle the request
      */
     public Optional<Promise<NodeReply>> handle(NodeRequest request) {
         if (request instanceof NodeRequest.GetTargetStatus) {
@@ -158,9 +163,9 @@
     }
 
     /**
-     * Takes no new work from now on.
+     * Stops accepting new requests.
      *
-     * @return completes when every request that was under way has ended
+     * @return completes when all requests in progress have ended
      */
     public Promise<Void> drain() {
         leaving = true;
@@ -168,7 +173,7 @@
         return awaitIdle();
     }
 
-    /** Stops the threads that read and write files. */
+    /** Shuts down the file executor. */
     public void close() {
         files.shutdown();
     }
@@ -183,11 +188,11 @@
         return servlet.runningRequestsOn(manifest);
     }
 
-    private int requestsAtOnce() {
+    private int maxConcurrentRequests() {
         return holder.get()
                 .box(settings.process())
                 .flatMap(box -> holder.get().service(box.service()))
                 .map(Service::requestsAtOnce)
-                .orElse(NOTHING_ALLOWED);
+                .orElse(NO_REQUESTS);
     }
 }
--- a/daemon/src/main/java/org/bankturn/daemon/target/TargetServlet.java
+++ b/daemon/src/main/java/org/bankturn/daemon/target/TargetServlet.java
@@ -22,22 +22,21 @@
 import org.bankturn.result.ResultCode;
 
 /**
- * The last hop of a request: turns away what must not run, and passes the rest to the engine or service on this box.
+ * Admits requests from entry processes and forwards them to the engine or service on this box.
  *
- * <p>Whatever it turns away has certainly not reached the engine, and its answer says so by a code that entry processes
- * take as proof.
+ * <p>A rejected request has not reached the engine. The result code in the response proves this to the entry process.
  *
  * <p>TargetServlet is confined to its reactor's thread.
  */
 final class TargetServlet implements AsyncServlet {
-    private static final long COME_BACK_MILLIS = 100;
+    private static final long RETRY_AFTER_MILLIS = 100;
 
     private final BackendClient client;
     private final String backend;
     private final Telemetry telemetry;
     private final Supplier<List<String>> loaded;
     private final BooleanSupplier leaving;
-    private final IntSupplier mostAtOnce;
+    private final IntSupplier maxConcurrentRequests;
     private final RecentAttempts attempts = new RecentAttempts();
     private final Map<String, Integer> runningByVersion = new HashMap<>();
     private int running;
@@ -48,59 +47,60 @@
             Telemetry telemetry,
             Supplier<List<String>> loaded,
             BooleanSupplier leaving,
-            IntSupplier mostAtOnce) {
+            IntSupplier maxConcurrentRequests) {
         this.client = client;
         this.backend = backend;
         this.telemetry = telemetry;
         this.loaded = loaded;
         this.leaving = leaving;
-        this.mostAtOnce = mostAtOnce;
+        this.maxConcurrentRequests = maxConcurrentRequests;
     }
 
-    /** Returns the requests under way, answers that still stream included. */
+    /** Returns the number of requests in progress, including those whose response is still being streamed. */
     int runningRequests() {
         return running;
     }
 
-    /** Returns the requests under way on a version. */
+    /** Returns the number of requests in progress on a version. */
     int runningRequestsOn(String manifest) {
         return runningByVersion.getOrDefault(manifest, 0);
     }
 
     @Override
     public Promise<HttpResponse> serve(HttpRequest request) {
-        String version = text(request, BankturnHeaders.VERSION);
-        String attempt = text(request, BankturnHeaders.ATTEMPT);
+        String version = headerOrEmpty(request, BankturnHeaders.VERSION);
+        String attempt = headerOrEmpty(request, BankturnHeaders.ATTEMPT);
         if (leaving.getAsBoolean()) {
-            return refuse(ResultCode.NOT_RUN_LEAVING);
+            return reject(ResultCode.NOT_RUN_LEAVING);
         }
         if (!version.isEmpty() && !loaded.get().contains(version)) {
-            return refuse(ResultCode.NOT_RUN_NO_TARGET);
+            return reject(ResultCode.NOT_RUN_NO_TARGET);
         }
-        if (running >= mostAtOnce.getAsInt()) {
-            return refuse(ResultCode.NOT_RUN_OVERLOADED);
+        if (running >= maxConcurrentRequests.getAsInt()) {
+            return reject(ResultCode.NOT_RUN_OVERLOADED);
         }
         if (!attempt.isEmpty() && !attempts.addIfAbsent(attempt)) {
-            return refuse(ResultCode.ATTEMPT_DOUBLED);
+            return reject(ResultCode.ATTEMPT_DOUBLED);
         }
-        return pass(request, version);
+        return forward(request, version);
     }
 
-    private Promise<HttpResponse> pass(HttpRequest request, String version) {
+    private Promise<HttpResponse> forward(HttpRequest request, String version) {
         Span span = telemetry.startHop("target", request.getHeader(BankturnHeaders.TRACEPARENT));
-        begin(version);
+        requestStarted(version);
         return request.loadBody().then(body -> {
-            BackendClient.Exchange exchange = client.send(copy(request, body, version, telemetry.traceparentOf(span)));
-            return exchange.response().map(response -> answer(response, version, span), failure -> {
-                end(version, span);
+            BackendClient.Exchange exchange =
+                    client.send(backendRequest(request, body, version, telemetry.traceparentOf(span)));
+            return exchange.response().map(response -> forwardResponse(response, version, span), failure -> {
+                requestEnded(version, span);
                 ResultCode code =
                         exchange.witness().neverConnected() ? ResultCode.NOT_RUN_NO_TARGET : ResultCode.OUTCOME_UNKNOWN;
-                return Answers.of(code, "The engine did not answer.", COME_BACK_MILLIS);
+                return Answers.of(code, "The engine did not answer.", RETRY_AFTER_MILLIS);
             });
         });
     }
 
-    private HttpRequest copy(HttpRequest request, ByteBuf body, String version, String traceparent) {
+    private HttpRequest backendRequest(HttpRequest request, ByteBuf body, String version, String traceparent) {
         HttpRequest.Builder builder =
                 HttpRequest.builder(request.getMethod(), "http://" + backend + request.getPathAndQuery());
         request.getHeaders().forEach(header -> {
@@ -110,7 +110,7 @@
                 builder.withHeader(header.getKey(), header.getValue().toString());
             }
         });
-        String priority = text(request, BankturnHeaders.PRIORITY);
+        String priority = headerOrEmpty(request, BankturnHeaders.PRIORITY);
         if (!priority.isEmpty()) {
             builder.withHeader(BankturnHeaders.PRIORITY, priority);
         }
@@ -122,34 +122,34 @@
                 .build();
     }
 
-    private HttpResponse answer(HttpResponse response, String version, Span span) {
-        ChannelSupplier<ByteBuf> watched =
-                response.takeBodyStream().withEndOfStream(end -> end.whenComplete(() -> end(version, span)));
-        HttpResponse.Builder builder = BackendClient.passOn(response, watched);
+    private HttpResponse forwardResponse(HttpResponse response, String version, Span span) {
+        ChannelSupplier<ByteBuf> body =
+                response.takeBodyStream().withEndOfStream(end -> end.whenComplete(() -> requestEnded(version, span)));
+        HttpResponse.Builder builder = BackendClient.passOn(response, body);
         if (!version.isEmpty()) {
             builder.withHeader(BankturnHeaders.VERSION, version);
         }
         return builder.build();
     }
 
-    private Promise<HttpResponse> refuse(ResultCode code) {
-        return Answers.of(code, "", COME_BACK_MILLIS).toPromise();
+    private Promise<HttpResponse> reject(ResultCode code) {
+        return Answers.of(code, "", RETRY_AFTER_MILLIS).toPromise();
     }
 
-    private void begin(String version) {
+    private void requestStarted(String version) {
         running++;
         runningByVersion.merge(version, 1, Integer::sum);
         telemetry.inFlight(running);
     }
 
-    private void end(String version, Span span) {
+    private void requestEnded(String version, Span span) {
         running--;
         runningByVersion.computeIfPresent(version, (key, count) -> count == 1 ? null : count - 1);
         telemetry.inFlight(running);
         span.end();
     }
 
-    private static String text(HttpRequest request, HttpHeader header) {
+    private static String headerOrEmpty(HttpRequest request, HttpHeader header) {
         String value = request.getHeader(header);
         return value == null ? "" : value;
     }
--- a/daemon/src/main/java/org/bankturn/daemon/target/VersionCopy.java
+++ b/daemon/src/main/java/org/bankturn/daemon/target/VersionCopy.java
@@ -30,41 +30,43 @@
 import org.bankturn.state.command.CommandResult;
 
 /**
- * Brings one version's weights to this box, chunk by chunk, from peers and with grants from the origin.
+ * Copies the weights of one version to this box. Chunks come from peers, or from the origin under a grant of the control
+ * group.
  *
- * <p>VersionCopy is confined to its reactor's thread; files are written on the executor.
+ * <p>VersionCopy is confined to its reactor's thread; files are written on the file executor.
  */
 final class VersionCopy {
     private static final Logger LOG = System.getLogger(VersionCopy.class.getName());
-    private static final int TRANSFERS_AT_ONCE = 6;
-    private static final int ORIGIN_DRAWS_AT_ONCE = 4;
+    private static final int MAX_CONCURRENT_TRANSFERS = 6;
+    private static final int MAX_CONCURRENT_ORIGIN_FETCHES = 4;
     private static final int TRANSFERS_PER_NEIGHBOUR = 2;
-    private static final int ORIGIN_CORRUPT_LIMIT = 3;
+    private static final int MAX_CORRUPT_ORIGIN_CHUNKS = 3;
     private static final long HOLDS_WAIT_MILLIS = 1_000;
     private static final long HOLDS_TIMEOUT_MILLIS = 3_000;
     private static final long RETRY_MILLIS = 100;
     private static final long CHUNK_TIMEOUT_MILLIS = 8_000;
     private static final long MANIFEST_TIMEOUT_MILLIS = 2_000;
     private static final long GRANT_TIMEOUT_MILLIS = 3_000;
-    private static final int MANIFEST_ASKED_AT_ONCE = 3;
-    private static final long MANIFEST_PATIENCE_MILLIS = 600;
+    private static final int MANIFEST_NEIGHBOURS = 3;
+    /** The delay after which a box that is not first in its neighbourhood asks the origin for the manifest. */
+    private static final long ORIGIN_MANIFEST_DELAY_MILLIS = 600;
 
     private final TargetContext context;
     private final ChunkServer server;
     private final Model model;
     private final ModelVersion version;
     private final List<Box> neighbours;
-    private final SettablePromise<ChunkFile> whole = new SettablePromise<>();
+    private final SettablePromise<ChunkFile> completion = new SettablePromise<>();
     private ChunkFile file;
     private ChunkPlanner planner;
     private int transfers;
-    private int originDraws;
+    private int originFetches;
     private final BitSet originKept = new BitSet();
     private final BitSet originFailed = new BitSet();
     private int originCorrupt;
-    private long originAskedMillis;
-    private long originPauseMillis = RETRY_MILLIS;
-    private boolean askingOrigin;
+    private long grantRequestedMillis;
+    private long grantIntervalMillis = RETRY_MILLIS;
+    private boolean grantRequested;
     private boolean verifying;
     private boolean stopped;
 
@@ -76,96 +78,92 @@
         this.neighbours = neighbours;
     }
 
-    /** Begins, and completes with the file once every chunk is kept and the whole was read back and verified. */
+    /** Starts the copy; completes with the file once every chunk is stored and the complete file has been verified. */
     Promise<ChunkFile> start() {
-        long patientUntil = context.clock().millis() + MANIFEST_PATIENCE_MILLIS;
-        findManifest(patientUntil)
+        long originAllowedMillis = context.clock().millis() + ORIGIN_MANIFEST_DELAY_MILLIS;
+        findManifest(originAllowedMillis)
                 .then(manifest ->
                         Promise.ofBlocking(context.files(), () -> ChunkFile.open(context.chunkFolder(), manifest)))
                 .whenComplete((opened, failure) -> {
                     if (failure != null) {
                         fail(failure);
                     } else {
-                        begin(opened);
+                        startChunks(opened);
                     }
                 });
-        return whole;
+        return completion;
     }
 
-    /** Stops; transfers under way are let go of. */
+    /** Cancels the copy; the results of transfers in progress are ignored. */
     void stop() {
         stopped = true;
-        whole.trySetException(new CancellationException("the copy is no longer wanted"));
+        completion.trySetException(new CancellationException("version is no longer wanted"));
     }
 
-    // ---- the manifest
-
-    private Promise<Manifest> findManifest(long patientUntil) {
+    private Promise<Manifest> findManifest(long originAllowedMillis) {
         if (stopped) {
-            return Promise.ofException(new CancellationException("stopped"));
+            return Promise.ofException(new CancellationException("version is no longer wanted"));
         }
         return askNeighboursForManifest().then(found -> {
             if (found.isPresent()) {
                 return Promise.of(found.get());
             }
-            if (mayAskOrigin(patientUntil)) {
-                return askOriginForManifest(patientUntil);
+            if (mayAskOrigin(originAllowedMillis)) {
+                return askOriginForManifest(originAllowedMillis);
             }
-            return Promises.delay(RETRY_MILLIS).then(nothing -> findManifest(patientUntil));
+            return Promises.delay(RETRY_MILLIS).then(nothing -> findManifest(originAllowedMillis));
         });
     }
 
-    /** One box in each neighbourhood goes first; the others wait for it a little, then go themselves. */
-    private boolean mayAskOrigin(long patientUntil) {
+    /** Returns true for the lowest-ranked box of the neighbourhood, and for the others after a delay. */
+    private boolean mayAskOrigin(long originAllowedMillis) {
         int rank = (context.box() + version.manifest()).hashCode();
-        boolean first =
+        boolean lowest =
                 neighbours.stream().allMatch(neighbour -> (neighbour.name() + version.manifest()).hashCode() >= rank);
-        return first || context.clock().millis() >= patientUntil;
+        return lowest || context.clock().millis() >= originAllowedMillis;
     }
 
     private Promise<Optional<Manifest>> askNeighboursForManifest() {
-        List<Box> some = new ArrayList<>(neighbours);
-        Collections.shuffle(some);
-        List<Promise<Optional<Manifest>>> asked = some.stream()
-                .limit(MANIFEST_ASKED_AT_ONCE)
+        List<Box> shuffled = new ArrayList<>(neighbours);
+        Collections.shuffle(shuffled);
+        List<Promise<Optional<Manifest>>> asked = shuffled.stream()
+                .limit(MANIFEST_NEIGHBOURS)
                 .map(neighbour -> context.clients()
                         .ask(
                                 nodeAddress(neighbour),
                                 new NodeRequest.GetManifest(version.manifest()),
                                 MANIFEST_TIMEOUT_MILLIS)
-                        .map(this::checkedManifest, failure -> Optional.<Manifest>empty()))
+                        .map(this::parseManifest, failure -> Optional.<Manifest>empty()))
                 .toList();
         return Promises.toList(asked)
                 .map(answers -> answers.stream().flatMap(Optional::stream).findFirst());
     }
 
-    private Optional<Manifest> checkedManifest(NodeReply reply) {
+    private Optional<Manifest> parseManifest(NodeReply reply) {
         return reply instanceof NodeReply.ManifestText manifest && manifest.text() != null
                 ? Manifest.parse(manifest.text(), version.manifest())
                 : Optional.empty();
     }
 
-    private Promise<Manifest> askOriginForManifest(long patientUntil) {
+    private Promise<Manifest> askOriginForManifest(long originAllowedMillis) {
         return context.origin()
                 .fetchManifest(version.origin(), version.manifest())
                 .then(
                         manifest -> manifest.isPresent()
                                 ? Promise.of(manifest.get())
                                 : Promise.ofException(new CopyStoppedException(ResultCode.MANIFEST_CORRUPT)),
-                        failure -> Promises.delay(RETRY_MILLIS).then(nothing -> findManifest(patientUntil)));
+                        failure -> Promises.delay(RETRY_MILLIS).then(nothing -> findManifest(originAllowedMillis)));
     }
 
-    // ---- the chunks
-
-    private void begin(ChunkFile opened) {
+    private void startChunks(ChunkFile opened) {
         if (stopped) {
             return;
         }
         file = opened;
         planner = newPlanner();
         server.serve(file);
-        neighbours.forEach(neighbour -> followHolds(neighbour, -1));
-        pump();
+        neighbours.forEach(neighbour -> pollHolds(neighbour, -1));
+        startTransfers();
     }
 
     private ChunkPlanner newPlanner() {
@@ -176,8 +174,8 @@
                 RandomSource.XO_RO_SHI_RO_128_PP.create());
     }
 
-    private void followHolds(Box neighbour, int knownCount) {
-        if (stopped || whole.isComplete()) {
+    private void pollHolds(Box neighbour, int knownCount) {
+        if (stopped || completion.isComplete()) {
             return;
         }
         NodeRequest request = new NodeRequest.GetHolds(version.manifest(), knownCount, HOLDS_WAIT_MILLIS);
@@ -186,33 +184,33 @@
                 .whenComplete((reply, failure) -> {
                     if (reply instanceof NodeReply.Holds holds) {
                         planner.updateNeighbour(neighbour.name(), BitSet.valueOf(holds.chunks()));
-                        pump();
-                        followHolds(neighbour, holds.count());
+                        startTransfers();
+                        pollHolds(neighbour, holds.count());
                     } else {
                         planner.clearNeighbour(neighbour.name());
-                        Promises.delay(RETRY_MILLIS).whenResult(() -> followHolds(neighbour, -1));
+                        Promises.delay(RETRY_MILLIS).whenResult(() -> pollHolds(neighbour, -1));
                     }
                 });
     }
 
-    /** Starts whatever may be started now. */
-    private void pump() {
-        if (stopped || whole.isComplete()) {
+    /** Starts all transfers that the limits allow, and verifies the file once every chunk is stored. */
+    private void startTransfers() {
+        if (stopped || completion.isComplete()) {
             return;
         }
         if (planner.isComplete()) {
-            verifyWhole();
+            verifyFile();
             return;
         }
-        while (transfers < TRANSFERS_AT_ONCE) {
+        while (transfers < MAX_CONCURRENT_TRANSFERS) {
             Optional<Transfer> next = planner.nextTransfer(context.clock().millis());
             if (next.isEmpty()) {
                 break;
             }
             startTransfer(next.get());
         }
-        if (originDraws < ORIGIN_DRAWS_AT_ONCE || hasEndsToTell()) {
-            askForOriginGrant();
+        if (originFetches < MAX_CONCURRENT_ORIGIN_FETCHES || hasUnreportedResults()) {
+            requestOriginGrant();
         }
     }
 
@@ -225,61 +223,61 @@
         NodeRequest request = new NodeRequest.GetChunk(version.manifest(), transfer.chunk());
         context.clients()
                 .ask(nodeAddress(neighbour), request, CHUNK_TIMEOUT_MILLIS)
-                .then(reply -> receivedFromPeer(transfer.chunk(), reply), failure -> Promise.of(TransferOutcome.FAILED))
-                .whenComplete((ending, failure) -> {
-                    TransferOutcome known = failure == null ? ending : TransferOutcome.FAILED;
-                    planner.transferEnded(transfer, known, context.clock().millis());
+                .then(reply -> storePeerReply(transfer.chunk(), reply), failure -> Promise.of(TransferOutcome.FAILED))
+                .whenComplete((result, failure) -> {
+                    TransferOutcome outcome = failure == null ? result : TransferOutcome.FAILED;
+                    planner.transferEnded(transfer, outcome, context.clock().millis());
                     transfers--;
-                    pump();
-                    if (known == TransferOutcome.BUSY) {
-                        Promises.delay(ChunkPlanner.BUSY_MILLIS).whenResult(this::pump);
+                    startTransfers();
+                    if (outcome == TransferOutcome.BUSY) {
+                        Promises.delay(ChunkPlanner.BUSY_MILLIS).whenResult(this::startTransfers);
                     }
                 });
     }
 
-    private Promise<TransferOutcome> receivedFromPeer(int chunk, NodeReply reply) {
+    private Promise<TransferOutcome> storePeerReply(int chunk, NodeReply reply) {
         if (!(reply instanceof NodeReply.Chunk answer)) {
             return Promise.of(TransferOutcome.FAILED);
         }
         if (answer.bytes() == null) {
             return Promise.of(answer.busy() ? TransferOutcome.BUSY : TransferOutcome.FAILED);
         }
-        return keep(chunk, answer.bytes(), "peer");
+        return store(chunk, answer.bytes(), "peer");
     }
 
-    /** Waits until the own link would have let the bytes through, checks them and keeps them. */
-    private Promise<TransferOutcome> keep(int chunk, byte[] bytes, String source) {
+    /** Applies the download rate limit, then verifies and stores the bytes. */
+    private Promise<TransferOutcome> store(int chunk, byte[] bytes, String source) {
         long delay = context.download().arrivalDelayMillis(bytes.length);
         return Promises.delay(delay)
                 .then(nothing -> Promise.ofBlocking(context.files(), () -> file.store(chunk, bytes)))
-                .map(kept -> {
-                    if (kept) {
+                .map(stored -> {
+                    if (stored) {
                         context.telemetry().chunkKept(source, bytes.length);
                         server.notifyChunkStored();
                         return TransferOutcome.KEPT;
                     }
                     context.telemetry().chunkRejected(source);
-                    LOG.log(Level.WARNING, ResultCode.CHUNK_CORRUPT.number() + " chunk " + chunk + " from " + source);
+                    LOG.log(
+                            Level.WARNING,
+                            ResultCode.CHUNK_CORRUPT.number() + " corrupt chunk " + chunk + " from " + source);
                     return TransferOutcome.CORRUPT;
                 })
                 .whenException(IOException.class, this::fail);
     }
 
-    // ---- the origin
-
-    private void askForOriginGrant() {
+    private void requestOriginGrant() {
         BitSet unreachable = planner.unreachable();
         long now = context.clock().millis();
-        boolean tooSoon = now - originAskedMillis < originPauseMillis;
-        if (askingOrigin || (unreachable.isEmpty() && !hasEndsToTell())) {
+        boolean tooSoon = now - grantRequestedMillis < grantIntervalMillis;
+        if (grantRequested || (unreachable.isEmpty() && !hasUnreportedResults())) {
             return;
         }
-        if (tooSoon && !hasEndsToTell()) {
-            Promises.delay(originPauseMillis).whenResult(this::pump);
+        if (tooSoon && !hasUnreportedResults()) {
+            Promises.delay(grantIntervalMillis).whenResult(this::startTransfers);
             return;
         }
-        askingOrigin = true;
-        originAskedMillis = now;
+        grantRequested = true;
+        grantRequestedMillis = now;
         Command command = new Command.GrantOrigin(
                 version.manifest(),
                 file.manifest().chunkCount(),
@@ -287,78 +285,77 @@
                 originKept.toLongArray(),
                 originFailed.toLongArray(),
                 unreachable.toLongArray(),
-                Math.max(0, ORIGIN_DRAWS_AT_ONCE - originDraws),
+                Math.max(0, MAX_CONCURRENT_ORIGIN_FETCHES - originFetches),
                 model.policy(),
                 Set.of(),
                 0);
-        BitSet toldKept = (BitSet) originKept.clone();
-        BitSet toldFailed = (BitSet) originFailed.clone();
+        BitSet reportedKept = (BitSet) originKept.clone();
+        BitSet reportedFailed = (BitSet) originFailed.clone();
         Promise.<CommandResult>ofFuture(context.control().submit(command, GRANT_TIMEOUT_MILLIS))
                 .whenComplete((result, failure) -> {
-                    askingOrigin = false;
+                    grantRequested = false;
                     if (result instanceof CommandResult.OriginGranted) {
-                        originKept.andNot(toldKept);
-                        originFailed.andNot(toldFailed);
+                        originKept.andNot(reportedKept);
+                        originFailed.andNot(reportedFailed);
                     }
                     boolean granted = result instanceof CommandResult.OriginGranted grant
                             && !grant.chunks().isEmpty();
-                    originPauseMillis = granted ? 0 : Math.min(2 * originPauseMillis + RETRY_MILLIS, 10 * RETRY_MILLIS);
+                    grantIntervalMillis =
+                            granted ? 0 : Math.min(2 * grantIntervalMillis + RETRY_MILLIS, 10 * RETRY_MILLIS);
                     if (granted) {
-                        ((CommandResult.OriginGranted) result).chunks().forEach(this::drawFromOrigin);
+                        ((CommandResult.OriginGranted) result).chunks().forEach(this::fetchFromOrigin);
                     }
-                    pump();
+                    startTransfers();
                 });
     }
 
-    private boolean hasEndsToTell() {
+    private boolean hasUnreportedResults() {
         return !originKept.isEmpty() || !originFailed.isEmpty();
     }
 
-    private void drawFromOrigin(int chunk) {
+    private void fetchFromOrigin(int chunk) {
         if (stopped) {
             return;
         }
-        originDraws++;
+        originFetches++;
         planner.originFetchStarted(chunk);
         context.origin()
                 .fetchChunk(version.origin(), file.manifest(), chunk)
-                .then(bytes -> keep(chunk, bytes, "origin"), failure -> Promise.of(TransferOutcome.FAILED))
-                .whenComplete((ending, failure) -> {
-                    originDraws--;
-                    TransferOutcome known = failure == null ? ending : TransferOutcome.FAILED;
-                    (known == TransferOutcome.KEPT ? originKept : originFailed).set(chunk);
-                    planner.originFetchEnded(chunk, known);
-                    if (ending == TransferOutcome.CORRUPT && ++originCorrupt >= ORIGIN_CORRUPT_LIMIT) {
+                .then(bytes -> store(chunk, bytes, "origin"), failure -> Promise.of(TransferOutcome.FAILED))
+                .whenComplete((result, failure) -> {
+                    originFetches--;
+                    TransferOutcome outcome = failure == null ? result : TransferOutcome.FAILED;
+                    (outcome == TransferOutcome.KEPT ? originKept : originFailed).set(chunk);
+                    planner.originFetchEnded(chunk, outcome);
+                    if (result == TransferOutcome.CORRUPT && ++originCorrupt >= MAX_CORRUPT_ORIGIN_CHUNKS) {
                         fail(new CopyStoppedException(ResultCode.ORIGIN_CORRUPT));
                         return;
                     }
-                    pump();
+                    startTransfers();
                 });
     }
 
-    // ---- the end
-
-    private void verifyWhole() {
+    private void verifyFile() {
         if (verifying) {
             return;
         }
         verifying = true;
-        Promise.ofBlocking(context.files(), file::verifyAll).whenComplete((isWhole, failure) -> {
+        Promise.ofBlocking(context.files(), file::verifyAll).whenComplete((valid, failure) -> {
             verifying = false;
             if (failure != null) {
                 fail(failure);
-            } else if (isWhole) {
-                whole.trySet(file);
+            } else if (valid) {
+                completion.trySet(file);
             } else {
                 planner = newPlanner();
-                pump();
+                startTransfers();
             }
         });
     }
 
     private void fail(Exception reason) {
         stopped = true;
-        whole.trySetException(reason);
+        completion.trySetException(reason);
     }
 
     private static Address nodeAddress(Box box) {
--- a/daemon/src/main/java/org/bankturn/daemon/target/VersionManager.java
+++ b/daemon/src/main/java/org/bankturn/daemon/target/VersionManager.java
@@ -21,32 +21,33 @@
 import org.bankturn.distribution.NeighbourSelector;
 
 /**
- * Keeps this box's versions as the configuration wants them: copies, loads, and later unloads and deletes.
+ * Reconciles the model versions on this box with the configuration: copies and loads the wanted version, and unloads and
+ * deletes versions that are no longer needed.
  *
- * <p>A version that is no longer wanted while its copy is under way is cancelled. A loaded version stays until another is
- * in service, a while has passed, and no request runs on it.
+ * <p>The copy of a version that is no longer wanted is cancelled. A loaded version is unloaded when another version has
+ * been in service for a delay and no request is running on it.
  *
  * <p>VersionManager is confined to its reactor's thread; {@link #loaded()} may be read from any thread.
  */
 final class VersionManager {
     private static final Logger LOG = System.getLogger(VersionManager.class.getName());
-    private static final long CHECK_MILLIS = 200;
-    private static final long UNLOAD_AFTER_MILLIS = 3_000;
+    private static final long RECONCILE_INTERVAL_MILLIS = 200;
+    private static final long UNLOAD_DELAY_MILLIS = 3_000;
     private static final long RETRY_MILLIS = 1_000;
 
     private final TargetContext context;
     private final ChunkServer server;
     private final EngineOrders orders;
     private final ConfigurationHolder holder;
-    private final ToIntFunction<String> runningRequestsOn;
+    private final ToIntFunction<String> runningRequests;
     private final Map<String, ChunkFile> files = new HashMap<>();
     private volatile List<String> loaded = List.of();
     private volatile String note = "";
     private VersionCopy copy;
-    private String copying;
-    private String stoppedOn;
-    private boolean ordering;
-    private boolean engineAsked;
+    private String copyManifest;
+    private String failedManifest;
+    private boolean orderInProgress;
+    private boolean loadedVersionsKnown;
     private long retryAtMillis;
     private long unneededSinceMillis;
     private boolean closed;
@@ -56,26 +57,26 @@
             ChunkServer server,
             EngineOrders orders,
             ConfigurationHolder holder,
-            ToIntFunction<String> runningRequestsOn) {
+            ToIntFunction<String> runningRequests) {
         this.context = context;
         this.server = server;
         this.orders = orders;
         this.holder = holder;
-        this.runningRequestsOn = runningRequestsOn;
+        this.runningRequests = runningRequests;
     }
 
-    /** Returns the manifests that the engine serves whole, not null. */
+    /** Returns the manifests of the versions that the engine serves, not null. */
     List<String> loaded() {
         return loaded;
     }
 
-    /** Returns what operators should know, empty if nothing, not null. */
+    /** Returns a message for operators, empty if there is none, not null. */
     String note() {
         return note;
     }
 
     void start() {
-        check();
+        reconcilePeriodically();
     }
 
     void close() {
@@ -83,27 +84,27 @@
         cancelCopy();
     }
 
-    /** Looks at the configuration at once, as when it has changed. */
+    /** Reconciles immediately without waiting for the next interval. */
     void reconcileNow() {
         if (closed) {
             return;
         }
         try {
-            bringIntoLine(holder.get());
+            reconcile(holder.get());
         } catch (RuntimeException e) {
-            LOG.log(Level.WARNING, "check of versions failed", e);
+            LOG.log(Level.WARNING, "version reconciliation failed", e);
         }
     }
 
-    private void check() {
+    private void reconcilePeriodically() {
         if (closed) {
             return;
         }
         reconcileNow();
-        Promises.delay(CHECK_MILLIS).whenResult(this::check);
+        Promises.delay(RECONCILE_INTERVAL_MILLIS).whenResult(this::reconcilePeriodically);
     }
 
-    private void bringIntoLine(Configuration configuration) {
+    private void reconcile(Configuration configuration) {
         Optional<Box> self = configuration.box(context.box());
         Optional<Model> model = self.flatMap(configuration::modelOn);
         Optional<ModelVersion> wanted = model.flatMap(configuration::wantedVersion);
@@ -111,39 +112,39 @@
             cancelCopy();
             return;
         }
-        if (!engineAsked) {
-            askEngine();
+        if (!loadedVersionsKnown) {
+            queryLoadedVersions();
             return;
         }
         String manifest = wanted.get().manifest();
-        if (copying != null && !copying.equals(manifest)) {
+        if (copyManifest != null && !copyManifest.equals(manifest)) {
             cancelCopy();
         }
-        boolean due = context.clock().millis() >= retryAtMillis && !manifest.equals(stoppedOn);
-        if (copy == null && !ordering && due) {
-            advance(configuration, self.get(), model.get(), wanted.get());
+        boolean due = context.clock().millis() >= retryAtMillis && !manifest.equals(failedManifest);
+        if (copy == null && !orderInProgress && due) {
+            copyOrLoad(configuration, self.get(), model.get(), wanted.get());
         }
-        dropUnneeded(configuration, model.get(), manifest);
+        unloadUnneeded(configuration, model.get(), manifest);
     }
 
-    private void askEngine() {
-        if (ordering || context.clock().millis() < retryAtMillis) {
+    private void queryLoadedVersions() {
+        if (orderInProgress || context.clock().millis() < retryAtMillis) {
             return;
         }
-        ordering = true;
+        orderInProgress = true;
         orders.loaded().whenComplete((manifests, failure) -> {
-            ordering = false;
+            orderInProgress = false;
             retryAtMillis = context.clock().millis() + RETRY_MILLIS;
             if (failure == null) {
                 loaded = manifests;
-                engineAsked = true;
+                loadedVersionsKnown = true;
                 retryAtMillis = 0;
             }
         });
     }
 
-    /** Takes the next step: a whole copy first, then the order to load it. */
-    private void advance(Configuration configuration, Box self, Model model, ModelVersion version) {
+    /** Copies the version, or loads it if the copy is complete. */
+    private void copyOrLoad(Configuration configuration, Box self, Model model, ModelVersion version) {
         ChunkFile file = files.get(version.manifest());
         if (file == null) {
             startCopy(configuration, self, model, version);
@@ -156,19 +157,19 @@
         List<Box> neighbours = NeighbourSelector.select(self, configuration.boxesOf(model));
         VersionCopy started = new VersionCopy(context, server, model, version, neighbours);
         copy = started;
-        copying = version.manifest();
-        LOG.log(Level.INFO, "copy begins: " + version.model() + " " + version.name());
+        copyManifest = version.manifest();
+        LOG.log(Level.INFO, "copy started: " + version.model() + " " + version.name());
         started.start().whenComplete((file, failure) -> {
             if (copy != started) {
                 return;
             }
             copy = null;
-            copying = null;
+            copyManifest = null;
             if (failure != null) {
                 copyFailed(version, failure);
             } else {
                 files.put(version.manifest(), file);
-                bringIntoLine(holder.get());
+                reconcile(holder.get());
             }
         });
     }
@@ -178,20 +179,20 @@
             return;
         }
         note = version.name() + ": " + failure.getMessage();
-        LOG.log(Level.ERROR, "copy stopped: " + note);
+        LOG.log(Level.ERROR, "copy failed: " + note);
         retryAtMillis = context.clock().millis() + RETRY_MILLIS;
         if (failure instanceof CopyStoppedException) {
-            stoppedOn = version.manifest();
+            failedManifest = version.manifest();
         }
     }
 
     private void load(ChunkFile file, ModelVersion version) {
-        ordering = true;
+        orderInProgress = true;
         orders.load(version.manifest(), file.path().toAbsolutePath().toString()).whenComplete((manifests, failure) -> {
-            ordering = false;
+            orderInProgress = false;
             if (failure != null) {
                 LOG.log(Level.WARNING, "load of " + version.name() + " failed: " + failure.getMessage());
-                engineAsked = false;
+                loadedVersionsKnown = false;
                 retryAtMillis = context.clock().millis() + RETRY_MILLIS;
                 return;
             }
@@ -203,15 +204,15 @@
 
     private void cancelCopy() {
         if (copy != null) {
-            LOG.log(Level.INFO, "copy cancelled: " + copying);
+            LOG.log(Level.INFO, "copy cancelled: " + copyManifest);
             VersionCopy cancelled = copy;
             copy = null;
-            copying = null;
+            copyManifest = null;
             cancelled.stop();
         }
     }
 
-    private void dropUnneeded(Configuration configuration, Model model, String wanted) {
+    private void unloadUnneeded(Configuration configuration, Model model, String wanted) {
         String inService = configuration.inService().get(model.name());
         List<String> unneeded = new ArrayList<>(loaded);
         unneeded.remove(wanted);
@@ -222,14 +223,14 @@
             return;
         }
         String manifest = unneeded.get(0);
-        boolean settled = now - unneededSinceMillis >= UNLOAD_AFTER_MILLIS;
-        if (settled && !ordering && runningRequestsOn.applyAsInt(manifest) == 0) {
+        boolean delayElapsed = now - unneededSinceMillis >= UNLOAD_DELAY_MILLIS;
+        if (delayElapsed && !orderInProgress && runningRequests.applyAsInt(manifest) == 0) {
             unload(manifest);
         }
     }
 
     private void unload(String manifest) {
-        ordering = true;
+        orderInProgress = true;
         loaded = loaded.stream().filter(each -> !each.equals(manifest)).toList();
         orders.unload(manifest)
                 .then(manifests -> {
@@ -237,10 +238,10 @@
                     return delete(manifest);
                 })
                 .whenComplete((nothing, failure) -> {
-                    ordering = false;
+                    orderInProgress = false;
                     if (failure != null) {
-                        LOG.log(Level.WARNING, "unload failed: " + failure.getMessage());
-                        engineAsked = false;
+                        LOG.log(Level.WARNING, "unload of " + manifest + " failed: " + failure.getMessage());
+                        loadedVersionsKnown = false;
                         retryAtMillis = context.clock().millis() + RETRY_MILLIS;
                     }
                 });
@@ -259,7 +260,7 @@
         try {
             file.delete();
         } catch (IOException e) {
-            LOG.log(Level.WARNING, "cannot delete " + file, e);
+            LOG.log(Level.WARNING, "could not delete " + file, e);
         }
     }
 }
--- a/daemon/src/main/java/org/bankturn/daemon/target/package-info.java
+++ b/daemon/src/main/java/org/bankturn/daemon/target/package-info.java
@@ -1,4 +1,5 @@
 /**
- * The target role: copies weights and serves chunks, orders its engine, and guards the last hop of requests.
+ * The target role: replicates model weights, serves chunks to peers, loads versions into the engine and forwards
+ * admitted requests to it.
  */
 package org.bankturn.daemon.target;
