--- a/daemon/src/main/java/org/bankturn/daemon/entry/BoxListPoller.java
+++ b/daemon/src/main/java/org/bankturn/daemon/entry/BoxListPoller.java
@@ -12,14 +12,15 @@
 import org.bankturn.membership.TargetView;
 
 /**
- * Reads the platform's list of boxes, which lags: {@code GET /boxes} gives a JSON list of name and state.
+ * Polls the platform's list of boxes, which may be out of date: {@code GET /boxes} returns a JSON array of objects with a
+ * name and a state.
  *
  * <p>BoxListPoller is confined to its reactor's thread.
  */
 final class BoxListPoller {
     private static final ObjectMapper JSON = new ObjectMapper();
-    private static final long PAUSE_MILLIS = 1_000;
-    private static final int MAXIMUM_LIST_BYTES = 16 << 20;
+    private static final long POLL_INTERVAL_MILLIS = 1_000;
+    private static final int MAX_LIST_BYTES = 16 << 20;
     private static final int OK = 200;
 
     private final Address boxList;
@@ -47,16 +48,16 @@
         }
         client.send(HttpRequest.get("http://" + boxList + "/boxes").build())
                 .response()
-                .then(response -> response.loadBody(MAXIMUM_LIST_BYTES).map(body -> {
+                .then(response -> response.loadBody(MAX_LIST_BYTES).map(body -> {
                     if (response.getCode() == OK) {
-                        targets.setListedLeaving(leavingIn(body.getArray()));
+                        targets.setListedLeaving(leavingBoxes(body.getArray()));
                     }
                     return null;
                 }))
-                .whenComplete(() -> Promises.delay(PAUSE_MILLIS).whenResult(this::poll));
+                .whenComplete(() -> Promises.delay(POLL_INTERVAL_MILLIS).whenResult(this::poll));
     }
 
-    private static Set<String> leavingIn(byte[] list) throws IOException {
+    private static Set<String> leavingBoxes(byte[] list) throws IOException {
         Set<String> leaving = new HashSet<>();
         for (JsonNode box : JSON.readTree(list)) {
             if (box.path("state").asText().equals("leaving")) {
--- a/daemon/src/main/java/org/bankturn/daemon/entry/CallerRequest.java
+++ b/daemon/src/main/java/org/bankturn/daemon/entry/CallerRequest.java
@@ -5,19 +5,19 @@
 import org.bankturn.configuration.Service;
 
 /**
- * A caller's request as read from HTTP, with everything that decides how it is handled.
+ * A caller's HTTP request with the properties that determine how it is handled.
  *
- * @param service the service that it is for, not null
- * @param account the client account that it is for, not null
+ * @param service the requested service, not null
+ * @param account the client account, not null
  * @param method the HTTP method, not null
- * @param pathAndQuery what the target is asked for, not null
- * @param contentType the body's content type, null if it named none
- * @param accept what the caller accepts, null if it named nothing
- * @param body the whole body, not null
- * @param priority 0 to 9
- * @param deadlineMillis the time by which an answer must begin
- * @param safeToRepeat true if it may run more than once
- * @param idempotencyKey the caller's key, null if it gave none
+ * @param pathAndQuery the path and query to request from the target, not null
+ * @param contentType the content type of the body, null if absent
+ * @param accept the Accept header, null if absent
+ * @param body the complete body, not null
+ * @param priority the priority, from 0 to 9
+ * @param deadlineMillis the time by which the response must start
+ * @param safeToRepeat true if the request may be executed more than once
+ * @param idempotencyKey the idempotency key, null if absent
  */
 record CallerRequest(
         Service service,
@@ -31,7 +31,7 @@
         long deadlineMillis,
         boolean safeToRepeat,
         String idempotencyKey) {
-    /** Returns true if the request has a key under which it runs at most once. */
+    /** Returns true if the request has an idempotency key, and so must be executed at most once. */
     boolean hasKey() {
         return idempotencyKey != null;
     }
--- a/daemon/src/main/java/org/bankturn/daemon/entry/CallerRequestReader.java
+++ b/daemon/src/main/java/org/bankturn/daemon/entry/CallerRequestReader.java
@@ -14,20 +14,20 @@
 import org.bankturn.result.ResultCode;
 
 /**
- * Reads callers' requests.
+ * Parses and validates callers' requests.
  *
- * <p>The service is named by the path {@code /services/NAME/...}, by the header, or by the {@code model} of an
- * OpenAI-style body. A GET may be repeated; a request to a model may unless the caller says otherwise; any other request
- * may not unless the caller says so.
+ * <p>The service name is taken from the path {@code /services/NAME/...}, the service header, or the {@code model} field of
+ * an OpenAI-style body. By default, GET and HEAD requests and requests to a model are safe to repeat and all others are
+ * not. The repeat header overrides the default.
  */
 final class CallerRequestReader {
     private static final ObjectMapper JSON = new ObjectMapper();
     private static final String SERVICES = "/services/";
-    private static final int HIGHEST_PRIORITY = 9;
+    private static final int MAX_PRIORITY = 9;
     private static final int DEFAULT_PRIORITY = 5;
-    private static final int MAXIMUM_KEY_LENGTH = 255;
-    private static final long LONGEST_DEADLINE_MILLIS = 86_400_000L;
-    private static final long COME_BACK_MILLIS = 1_000;
+    private static final int MAX_KEY_LENGTH = 255;
+    private static final long MAX_DEADLINE_MILLIS = 86_400_000L;
+    private static final long RETRY_AFTER_MILLIS = 1_000;
 
     private CallerRequestReader() {}
 
@@ -35,25 +35,24 @@
             HttpRequest request, byte[] body, Configuration configuration, long nowMillis, long defaultDeadlineMillis)
             throws RefusedException {
         if (configuration.index() == 0) {
-            throw new RefusedException(ResultCode.NOT_RUN_OLD_CONFIGURATION, "", COME_BACK_MILLIS);
+            throw new RefusedException(ResultCode.NOT_RUN_OLD_CONFIGURATION, "", RETRY_AFTER_MILLIS);
         }
         ClientAccount account = readAccount(request, configuration);
         Service service = readService(request, body, configuration);
         String key = request.getHeader(BankturnHeaders.IDEMPOTENCY_KEY);
-        if (key != null && (key.isBlank() || key.length() > MAXIMUM_KEY_LENGTH)) {
-            throw bad("Idempotency-Key must have 1 to " + MAXIMUM_KEY_LENGTH + " characters");
+        if (key != null && (key.isBlank() || key.length() > MAX_KEY_LENGTH)) {
+            throw badRequest("Idempotency-Key must have 1 to " + MAX_KEY_LENGTH + " characters");
         }
-        long deadline =
-                readNumber(request, BankturnHeaders.DEADLINE, 1, LONGEST_DEADLINE_MILLIS, defaultDeadlineMillis);
+        long deadline = readNumber(request, BankturnHeaders.DEADLINE, 1, MAX_DEADLINE_MILLIS, defaultDeadlineMillis);
         return new CallerRequest(
                 service,
                 account,
                 request.getMethod(),
-                pathFor(request),
+                targetPathAndQuery(request),
                 request.getHeader(HttpHeaders.CONTENT_TYPE),
                 request.getHeader(HttpHeaders.ACCEPT),
                 body,
-                (int) readNumber(request, BankturnHeaders.PRIORITY, 0, HIGHEST_PRIORITY, DEFAULT_PRIORITY),
+                (int) readNumber(request, BankturnHeaders.PRIORITY, 0, MAX_PRIORITY, DEFAULT_PRIORITY),
                 nowMillis + deadline,
                 key == null && isSafeToRepeat(request, service),
                 key);
@@ -62,7 +61,7 @@
     private static ClientAccount readAccount(HttpRequest request, Configuration configuration) throws RefusedException {
         String name = request.getHeader(BankturnHeaders.ACCOUNT);
         if (name == null) {
-            throw bad("the header " + BankturnHeaders.ACCOUNT + " is missing");
+            throw badRequest("the header " + BankturnHeaders.ACCOUNT + " is missing");
         }
         return configuration
                 .clientAccount(name)
@@ -94,13 +93,13 @@
                 return model.textValue();
             }
         } catch (IOException e) {
-            throw bad("the body is not JSON, and nothing else names the service");
+            throw badRequest("the body is not JSON, and nothing else names the service");
         }
-        throw bad("no path, header or model names the service");
+        throw badRequest("no path, header or model names the service");
     }
 
-    /** A path under /services/NAME is passed on without that prefix. */
-    private static String pathFor(HttpRequest request) {
+    /** Returns the path to request from the target, without the prefix /services/NAME. */
+    private static String targetPathAndQuery(HttpRequest request) {
         String path = request.getPathAndQuery();
         if (!path.startsWith(SERVICES)) {
             return path;
@@ -110,24 +109,25 @@
     }
 
     private static boolean isSafeToRepeat(HttpRequest request, Service service) throws RefusedException {
-        String said = request.getHeader(BankturnHeaders.REPEAT);
-        if (said == null) {
+        String value = request.getHeader(BankturnHeaders.REPEAT);
+        if (value == null) {
             return service.hasModel()
                     || request.getMethod() == HttpMethod.GET
                     || request.getMethod() == HttpMethod.HEAD;
         }
-        return switch (said) {
+        return switch (value) {
             case "safe" -> true;
             case "unsafe" -> false;
-            default -> throw bad(BankturnHeaders.REPEAT + " must be safe or unsafe, not " + said);
+            default -> throw badRequest(BankturnHeaders.REPEAT + " must be safe or unsafe, not " + value);
         };
     }
 
-    private static long readNumber(HttpRequest request, HttpHeader header, long minimum, long maximum, long missing)
+    private static long readNumber(
+            HttpRequest request, HttpHeader header, long minimum, long maximum, long defaultValue)
             throws RefusedException {
         String text = request.getHeader(header);
         if (text == null) {
-            return missing;
+            return defaultValue;
         }
         try {
             long value = Long.parseLong(text.trim());
@@ -135,12 +135,12 @@
                 return value;
             }
         } catch (NumberFormatException e) {
-            throw bad(header + " must be a whole number, not " + text);
+            throw badRequest(header + " must be a whole number, not " + text);
         }
-        throw bad(header + " must be from " + minimum + " to " + maximum + ", not " + text);
+        throw badRequest(header + " must be from " + minimum + " to " + maximum + ", not " + text);
     }
 
-    private static RefusedException bad(String detail) {
+    private static RefusedException badRequest(String detail) {
         return new RefusedException(ResultCode.NOT_RUN_BAD_REQUEST, detail, 0);
     }
 }
--- a/daemon/src/main/java/org/bankturn/daemon/entry/Dispatcher.java
+++ b/daemon/src/main/java/org/bankturn/daemon/entry/Dispatcher.java
@@ -24,9 +24,10 @@
 import org.bankturn.routing.TargetSelector;
 
 /**
- * Sends a request to one target after another until one answers, as far as its safety, deadline and the budget allow.
+ * Sends a request to a target, and retries on other targets while the safety of the request, its deadline and the retry
+ * budget allow.
  *
- * <p>Dispatcher is confined to its reactor's thread; what it shares with other threads is thread-safe.
+ * <p>Dispatcher is confined to its reactor's thread; the state it shares with other threads is thread-safe.
  */
 final class Dispatcher {
     private static final long NANOS_PER_MICRO = TimeUnit.MICROSECONDS.toNanos(1);
@@ -36,11 +37,11 @@
     private final UniformRandomProvider random;
 
     /**
-     * An answer that a target has begun.
+     * A response whose headers have been received from a target.
      *
-     * @param box the target's box, not null
-     * @param response headers, with the body as a stream, not null
-     * @param load counts the request until its answer has ended, not null
+     * @param box the box of the target, not null
+     * @param response the response, with its body as a stream, not null
+     * @param load the load of the target, which counts the request until its response has ended, not null
      */
     record StartedResponse(Box box, HttpResponse response, TargetLoad load) {}
 
@@ -52,13 +53,13 @@
         this.random = random;
     }
 
-    /** Completes with the outcome after the last attempt that was allowed. */
+    /** Dispatches the request; completes with the outcome of the last attempt. */
     Promise<AttemptOutcome<StartedResponse>> dispatch(CallerRequest request, Span span) {
         TargetSelector selector = TargetSelector.of(state.holder().get(), state.targets(), state.dataHall());
-        return next(new Attempt(request, selector, new HashSet<>(), span), null);
+        return tryNext(new Attempt(request, selector, new HashSet<>(), span), null);
     }
 
-    private Promise<AttemptOutcome<StartedResponse>> next(Attempt attempt, AttemptOutcome<StartedResponse> last) {
+    private Promise<AttemptOutcome<StartedResponse>> tryNext(Attempt attempt, AttemptOutcome<StartedResponse> last) {
         CallerRequest request = attempt.request();
         List<Box> candidates = attempt.selector().candidates(request.service(), request.account(), attempt.tried());
         Optional<Box> chosen = Balancer.choose(candidates, box -> state.loadOf(box.name()), random);
@@ -77,8 +78,8 @@
         Box box = chosen.get();
         attempt.tried().add(box.name());
         return send(attempt, box).then(outcome -> {
-            boolean another = outcome.mayTryAnother(request.safeToRepeat());
-            return another ? next(attempt, outcome) : Promise.of(outcome);
+            boolean retryable = outcome.mayTryAnother(request.safeToRepeat());
+            return retryable ? tryNext(attempt, outcome) : Promise.of(outcome);
         });
     }
 
@@ -86,11 +87,11 @@
         TargetLoad load = state.loadOf(box.name());
         load.requestStarted();
         long startNanos = System.nanoTime();
-        long remaining =
+        long remainingMillis =
                 Math.max(1, attempt.request().deadlineMillis() - state.clock().millis());
         BackendClient.Exchange exchange = client.send(requestTo(box, attempt));
-        return Promises.timeout(remaining, exchange.response())
-                .map(response -> began(box, response, load, startNanos), failure -> {
+        return Promises.timeout(remainingMillis, exchange.response())
+                .map(response -> responseStarted(box, response, load, startNanos), failure -> {
                     load.requestEnded();
                     state.targets().recordFailure(box.name());
                     return exchange.witness().neverConnected()
@@ -99,7 +100,8 @@
                 });
     }
 
-    private AttemptOutcome<StartedResponse> began(Box box, HttpResponse response, TargetLoad load, long startNanos) {
+    private AttemptOutcome<StartedResponse> responseStarted(
+            Box box, HttpResponse response, TargetLoad load, long startNanos) {
         Optional<ResultCode> rejected = rejection(response);
         if (rejected.isPresent()) {
             load.requestEnded();
@@ -114,7 +116,7 @@
         return new AttemptOutcome.Answered<>(new StartedResponse(box, response, load));
     }
 
-    /** Only the target process itself sets the result header; it strips its engine's. */
+    /** Returns the target's rejection. The target process strips this header from responses of its engine. */
     private static Optional<ResultCode> rejection(HttpResponse response) {
         String result = response.getHeader(BankturnHeaders.RESULT);
         return result == null ? Optional.empty() : ResultCode.ofNumber(Integer.parseInt(result));
--- a/daemon/src/main/java/org/bankturn/daemon/entry/EntryRole.java
+++ b/daemon/src/main/java/org/bankturn/daemon/entry/EntryRole.java
@@ -18,10 +18,11 @@
 /**
  * The entry role of a process.
  *
- * <p>EntryRole is confined to its reactor's thread, but for {@link #workerServlet}, which is called on each worker's.
+ * <p>EntryRole is confined to its reactor's thread, except {@link #workerServlet}, which is called on each worker's thread.
  */
 public final class EntryRole {
     private static final long DRAIN_CHECK_MILLIS = 50;
+    /** The delay after the last request has ended, for its response to be flushed to the caller. */
     private static final long FLUSH_MILLIS = 150;
 
     private final DaemonSettings settings;
@@ -31,14 +32,14 @@
     private volatile boolean stopped;
 
     /**
-     * What the role needs from the process around it.
+     * The dependencies that the process supplies.
      *
-     * @param reactor the reactor whose thread it runs on, not null
-     * @param holder what is in force, not null
+     * @param reactor the reactor whose thread the role runs on, not null
+     * @param holder the current configuration, not null
      * @param clients connections to other processes, not null
-     * @param control the control boxes, not null
-     * @param telemetry metrics and traces, not null
-     * @param clock the time, not null
+     * @param control the client of the control group, not null
+     * @param telemetry records metrics and traces, not null
+     * @param clock the time source, not null
      */
     public record Wiring(
             NioReactor reactor,
@@ -52,7 +53,7 @@
      * Creates the role.
      *
      * @param settings the process's settings, with the entry role, not null
-     * @param wiring the process around it, not null
+     * @param wiring the dependencies, not null
      * @return the role, not started, not null
      */
     public static EntryRole of(DaemonSettings settings, Wiring wiring) {
@@ -74,7 +75,7 @@
                 : new BoxListPoller(settings.entry().boxList(), BackendClient.on(wiring.reactor()), state.targets());
     }
 
-    /** Begins to learn how targets are. */
+    /** Starts polling the targets and the box list. */
     public void start() {
         targetPoller.start();
         if (boxListPoller != null) {
@@ -83,7 +84,7 @@
     }
 
     /**
-     * Makes what serves callers on one worker.
+     * Creates the servlet that serves callers on one worker.
      *
      * @param worker the worker's reactor, not null
      * @return the servlet, confined to that reactor's thread, not null
@@ -97,9 +98,9 @@
     }
 
     /**
-     * Goes on taking requests for the grace time, so that the balancer notices, then refuses new ones.
+     * Accepts requests during the grace period, so that the load balancer can remove this process, then rejects new ones.
      *
-     * @return completes when every request that was under way has ended
+     * @return completes when all requests in progress have ended
      */
     public Promise<Void> drain() {
         return Promises.delay(settings.entry().stopGraceMillis()).then(() -> {
@@ -108,7 +109,7 @@
         });
     }
 
-    /** Stops learning how targets are. */
+    /** Stops polling the targets and the box list. */
     public void close() {
         targetPoller.stop();
         if (boxListPoller != null) {
--- a/daemon/src/main/java/org/bankturn/daemon/entry/EntryServlet.java
+++ b/daemon/src/main/java/org/bankturn/daemon/entry/EntryServlet.java
@@ -23,16 +23,17 @@
 import org.bankturn.state.command.CommandResult;
 
 /**
- * Takes callers' requests on one worker thread: reads, admits, claims if keyed, dispatches, streams the answer back.
+ * Serves callers' requests on one worker thread: reads and admits a request, claims its idempotency key if it has one,
+ * dispatches it and streams the response back.
  *
- * <p>A request that is given up on gets its final answer at once.
+ * <p>A request that cannot be completed receives its final response immediately.
  *
  * <p>EntryServlet is confined to its reactor's thread.
  */
 final class EntryServlet implements AsyncServlet {
-    private static final int MAXIMUM_BODY_BYTES = 4 << 20;
-    private static final int MAXIMUM_KEYED_ANSWER_BYTES = 4 << 20;
-    private static final long COME_BACK_MILLIS = 200;
+    private static final int MAX_BODY_BYTES = 4 << 20;
+    private static final int MAX_KEYED_RESPONSE_BYTES = 4 << 20;
+    private static final long RETRY_AFTER_MILLIS = 200;
     private static final double MILLIS_PER_SECOND = 1_000.0;
 
     private final EntryState state;
@@ -40,14 +41,14 @@
     private final KeyedRequests keyed;
     private final BooleanSupplier stopped;
 
-    /** One request on its way through, from admission to the end of its answer. */
-    private final class Passage {
+    /** An admitted request, until the end of its response. */
+    private final class AdmittedRequest {
         private final CallerRequest request;
         private final Span span;
         private final long startMillis = state.clock().millis();
         private boolean ended;
 
-        Passage(CallerRequest request, Span span) {
+        AdmittedRequest(CallerRequest request, Span span) {
             this.request = request;
             this.span = span;
         }
@@ -79,9 +80,10 @@
     @Override
     public Promise<HttpResponse> serve(HttpRequest request) {
         if (stopped.getAsBoolean()) {
-            return Answers.of(ResultCode.NOT_RUN_LEAVING, "", COME_BACK_MILLIS).toPromise();
+            return Answers.of(ResultCode.NOT_RUN_LEAVING, "", RETRY_AFTER_MILLIS)
+                    .toPromise();
         }
-        return request.loadBody(MAXIMUM_BODY_BYTES).then(body -> {
+        return request.loadBody(MAX_BODY_BYTES).then(body -> {
             Configuration configuration = state.holder().get();
             try {
                 CallerRequest read = CallerRequestReader.read(
@@ -92,12 +94,12 @@
                         state.settings().defaultDeadlineMillis());
                 return admit(read, configuration, request.getHeader(BankturnHeaders.TRACEPARENT));
             } catch (RefusedException refused) {
-                return refuse(refused).toPromise();
+                return reject(refused).toPromise();
             }
         });
     }
 
-    private HttpResponse refuse(RefusedException refused) {
+    private HttpResponse reject(RefusedException refused) {
         ResultCode code = refused.proof().code();
         state.telemetry().requestEnded("", code.number());
         return Answers.of(code, refused.getMessage(), refused.retryAfterMillis());
@@ -113,12 +115,13 @@
             throw new RefusedException(refused.code(), "", refused.retryAfterMillis());
         }
         state.retryBudget().recordRequest();
-        Passage passage = new Passage(request, state.telemetry().startHop("entry", traceparent));
-        return request.hasKey() ? claimThenRun(passage) : run(passage);
+        AdmittedRequest admitted =
+                new AdmittedRequest(request, state.telemetry().startHop("entry", traceparent));
+        return request.hasKey() ? claimAndRun(admitted) : run(admitted);
     }
 
     private FairAdmission.Candidate candidate(CallerRequest request, Configuration configuration) {
-        long weightOfAll = configuration.clientAccounts().stream()
+        long totalWeight = configuration.clientAccounts().stream()
                 .mapToLong(ClientAccount::weight)
                 .sum();
         long boxes = configuration.usableBoxes(request.service().name()).entrySet().stream()
@@ -128,122 +131,119 @@
         int capacity = (int) Math.max(1, boxes * request.service().requestsAtOnce());
         long remaining = request.deadlineMillis() - state.clock().millis();
         return new FairAdmission.Candidate(
-                request.account().name(), request.account().weight(), weightOfAll, capacity, remaining);
+                request.account().name(), request.account().weight(), totalWeight, capacity, remaining);
     }
 
-    // ---- requests without a key
-
-    private Promise<HttpResponse> run(Passage passage) {
-        return dispatcher.dispatch(passage.request, passage.span).map(outcome -> {
+    private Promise<HttpResponse> run(AdmittedRequest admitted) {
+        return dispatcher.dispatch(admitted.request, admitted.span).map(outcome -> {
             if (outcome instanceof AttemptOutcome.Answered<Dispatcher.StartedResponse> answered) {
-                return stream(passage, answered.answer());
+                return stream(admitted, answered.answer());
             }
-            return giveUp(passage, outcome);
+            return failureResponse(admitted, outcome);
         });
     }
 
-    /** Streams the answer through; if the target's stream breaks off, so does the caller's, and it is seen as cut. */
-    private HttpResponse stream(Passage passage, Dispatcher.StartedResponse begun) {
-        noteFirstByte(passage);
-        ChannelSupplier<ByteBuf> body = begun.response()
+    /** Streams the response to the caller; if the target's stream fails, the caller's is aborted too. */
+    private HttpResponse stream(AdmittedRequest admitted, Dispatcher.StartedResponse started) {
+        recordFirstByte(admitted);
+        ChannelSupplier<ByteBuf> body = started.response()
                 .takeBodyStream()
                 .withEndOfStream(end -> end.whenComplete((nothing, failure) -> {
-                    begun.load().requestEnded();
+                    started.load().requestEnded();
                     ResultCode code = failure == null ? ResultCode.REQUEST_ANSWERED : ResultCode.OUTCOME_UNKNOWN;
-                    passage.end(code.number());
+                    admitted.end(code.number());
                 }));
-        return answerFrom(begun, body);
+        return responseFrom(started, body);
     }
 
-    private static HttpResponse answerFrom(Dispatcher.StartedResponse begun, ChannelSupplier<ByteBuf> body) {
-        HttpResponse.Builder builder = BackendClient.passOn(begun.response(), body);
-        String version = begun.response().getHeader(BankturnHeaders.VERSION);
+    private static HttpResponse responseFrom(Dispatcher.StartedResponse started, ChannelSupplier<ByteBuf> body) {
+        HttpResponse.Builder builder = BackendClient.passOn(started.response(), body);
+        String version = started.response().getHeader(BankturnHeaders.VERSION);
         if (version != null) {
             builder.withHeader(BankturnHeaders.VERSION, version);
         }
         return builder.build();
     }
 
-    private HttpResponse giveUp(Passage passage, AttemptOutcome<Dispatcher.StartedResponse> outcome) {
+    private HttpResponse failureResponse(AdmittedRequest admitted, AttemptOutcome<Dispatcher.StartedResponse> outcome) {
         if (outcome instanceof AttemptOutcome.NotRun<Dispatcher.StartedResponse> notRun) {
-            return passage.endWith(notRun.proof().code(), "", COME_BACK_MILLIS);
+            return admitted.endWith(notRun.proof().code(), "", RETRY_AFTER_MILLIS);
         }
-        return passage.endWith(ResultCode.OUTCOME_UNKNOWN, "", COME_BACK_MILLIS);
+        return admitted.endWith(ResultCode.OUTCOME_UNKNOWN, "", RETRY_AFTER_MILLIS);
     }
 
-    private void noteFirstByte(Passage passage) {
-        long took = state.clock().millis() - passage.startMillis;
-        state.telemetry().firstByte(passage.request.service().name(), took / MILLIS_PER_SECOND);
+    private void recordFirstByte(AdmittedRequest admitted) {
+        long elapsedMillis = state.clock().millis() - admitted.startMillis;
+        state.telemetry().firstByte(admitted.request.service().name(), elapsedMillis / MILLIS_PER_SECOND);
     }
 
-    // ---- requests with a key
-
-    private Promise<HttpResponse> claimThenRun(Passage passage) {
+    private Promise<HttpResponse> claimAndRun(AdmittedRequest admitted) {
         String attempt = keyed.newAttempt();
-        return keyed.claim(passage.request, attempt).then(result -> {
+        return keyed.claim(admitted.request, attempt).then(result -> {
             if (!(result instanceof CommandResult.ClaimDecision claim)) {
-                keyed.releaseInBackground(passage.request, attempt);
-                return passage.endWith(ResultCode.NOT_RUN_NO_CLAIM, "", COME_BACK_MILLIS)
+                keyed.releaseInBackground(admitted.request, attempt);
+                return admitted.endWith(ResultCode.NOT_RUN_NO_CLAIM, "", RETRY_AFTER_MILLIS)
                         .toPromise();
             }
             return claim.result() instanceof ClaimResult.Granted
-                    ? runClaimed(passage, attempt)
-                    : answerFromClaim(passage, claim.result()).toPromise();
+                    ? runClaimed(admitted, attempt)
+                    : responseFromClaim(admitted, claim.result()).toPromise();
         });
     }
 
-    private HttpResponse answerFromClaim(Passage passage, ClaimResult result) {
+    private HttpResponse responseFromClaim(AdmittedRequest admitted, ClaimResult result) {
         if (result instanceof ClaimResult.Answered answered) {
-            passage.end(ResultCode.REQUEST_ANSWERED.number());
-            return answerFrom(answered.answer());
+            admitted.end(ResultCode.REQUEST_ANSWERED.number());
+            return responseFrom(answered.answer());
         }
         if (result instanceof ClaimResult.Running running) {
-            long comeBack = Math.min(running.remainingMillis(), COME_BACK_MILLIS);
-            return passage.endWith(ResultCode.IN_PROGRESS, "", comeBack);
+            long retryAfterMillis = Math.min(running.remainingMillis(), RETRY_AFTER_MILLIS);
+            return admitted.endWith(ResultCode.IN_PROGRESS, "", retryAfterMillis);
         }
         if (result instanceof ClaimResult.KeyReused) {
-            return passage.endWith(ResultCode.NOT_RUN_KEY_REUSED, "", 0);
+            return admitted.endWith(ResultCode.NOT_RUN_KEY_REUSED, "", 0);
         }
-        return passage.endWith(ResultCode.OUTCOME_UNKNOWN, "It will not run under this key again.", 0);
+        return admitted.endWith(ResultCode.OUTCOME_UNKNOWN, "It will not run under this key again.", 0);
     }
 
-    private Promise<HttpResponse> runClaimed(Passage passage, String attempt) {
-        return dispatcher.dispatch(passage.request, passage.span).then(outcome -> {
+    private Promise<HttpResponse> runClaimed(AdmittedRequest admitted, String attempt) {
+        return dispatcher.dispatch(admitted.request, admitted.span).then(outcome -> {
             if (outcome instanceof AttemptOutcome.Answered<Dispatcher.StartedResponse> answered) {
-                return recordThenAnswer(passage, attempt, answered.answer());
+                return recordAndRespond(admitted, attempt, answered.answer());
             }
             Promise<Void> settled = outcome instanceof AttemptOutcome.NotRun
-                    ? keyed.release(passage.request, attempt)
-                    : keyed.record(passage.request, attempt, null);
-            return settled.map(nothing -> giveUp(passage, outcome));
+                    ? keyed.release(admitted.request, attempt)
+                    : keyed.record(admitted.request, attempt, null);
+            return settled.map(nothing -> failureResponse(admitted, outcome));
         });
     }
 
-    private Promise<HttpResponse> recordThenAnswer(Passage passage, String attempt, Dispatcher.StartedResponse begun) {
-        noteFirstByte(passage);
-        HttpResponse response = begun.response();
-        return response.loadBody(MAXIMUM_KEYED_ANSWER_BYTES)
-                .whenComplete(begun.load()::requestEnded)
+    private Promise<HttpResponse> recordAndRespond(
+            AdmittedRequest admitted, String attempt, Dispatcher.StartedResponse started) {
+        recordFirstByte(admitted);
+        HttpResponse response = started.response();
+        return response.loadBody(MAX_KEYED_RESPONSE_BYTES)
+                .whenComplete(started.load()::requestEnded)
                 .then(
                         body -> {
                             RecordedResponse answer = new RecordedResponse(
                                     response.getCode(), response.getHeader(HttpHeaders.CONTENT_TYPE), body.getArray());
-                            return keyed.record(passage.request, attempt, ifKept(answer))
+                            return keyed.record(admitted.request, attempt, storableOrNull(answer))
                                     .map(nothing -> {
-                                        passage.end(ResultCode.REQUEST_ANSWERED.number());
-                                        return answerFrom(answer);
+                                        admitted.end(ResultCode.REQUEST_ANSWERED.number());
+                                        return responseFrom(answer);
                                     });
                         },
-                        failure -> keyed.record(passage.request, attempt, null)
-                                .map(nothing -> passage.endWith(ResultCode.OUTCOME_UNKNOWN, "", 0)));
+                        failure -> keyed.record(admitted.request, attempt, null)
+                                .map(nothing -> admitted.endWith(ResultCode.OUTCOME_UNKNOWN, "", 0)));
     }
 
-    /** An answer too large to keep is recorded as not known: a retry must never get a short one. */
-    private static RecordedResponse ifKept(RecordedResponse answer) {
+    /** Returns null for a response too large to store, so that a retry never receives a truncated one. */
+    private static RecordedResponse storableOrNull(RecordedResponse answer) {
         return answer.body().length <= RecordedResponse.MAXIMUM_BODY_BYTES ? answer : null;
     }
 
-    private static HttpResponse answerFrom(RecordedResponse answer) {
+    private static HttpResponse responseFrom(RecordedResponse answer) {
         HttpResponse.Builder builder = HttpResponse.ofCode(answer.status());
         if (answer.contentType() != null) {
             builder.withHeader(HttpHeaders.CONTENT_TYPE, answer.contentType());
--- a/daemon/src/main/java/org/bankturn/daemon/entry/EntryState.java
+++ b/daemon/src/main/java/org/bankturn/daemon/entry/EntryState.java
@@ -13,20 +13,20 @@
 import org.bankturn.time.Clock;
 
 /**
- * What the worker threads of an entry process share.
+ * State shared by the worker threads of an entry process.
  *
  * <p>EntryState is thread-safe.
  *
- * @param dataHall the process's hall, not null
+ * @param dataHall the data hall of the process, not null
  * @param settings the entry role's settings, not null
- * @param holder what is in force, not null
- * @param targets what is known of targets, not null
- * @param loads the load of each target as seen here, not null
- * @param admission which requests are taken on, not null
- * @param retryBudget how many retries are left, not null
- * @param control the control boxes, not null
- * @param telemetry metrics and traces, not null
- * @param clock the time, not null
+ * @param holder the current configuration, not null
+ * @param targets the known state of the targets, not null
+ * @param loads the load of each target as measured by this process, by box name, not null
+ * @param admission decides which requests are admitted, not null
+ * @param retryBudget limits the retries, not null
+ * @param control the client of the control group, not null
+ * @param telemetry records metrics and traces, not null
+ * @param clock the time source, not null
  */
 record EntryState(
         String dataHall,
--- a/daemon/src/main/java/org/bankturn/daemon/entry/KeyedRequests.java
+++ b/daemon/src/main/java/org/bankturn/daemon/entry/KeyedRequests.java
@@ -11,15 +11,15 @@
 import org.bankturn.time.Clock;
 
 /**
- * Claims keyed requests with the control boxes before they are sent on, and records what came of them.
+ * Claims the idempotency keys of requests with the control group before dispatch, and records the outcomes.
  *
  * <p>KeyedRequests is thread-safe.
  */
 final class KeyedRequests {
-    private static final long GRACE_MILLIS = 2_000;
-    private static final long LONGEST_CLAIM_MILLIS = 3_000;
-    private static final long RECORD_MILLIS = 5_000;
-    private static final long CLEAN_UP_MILLIS = 30_000;
+    private static final long CLAIM_MARGIN_MILLIS = 2_000;
+    private static final long MAX_CLAIM_TIMEOUT_MILLIS = 3_000;
+    private static final long RECORD_TIMEOUT_MILLIS = 5_000;
+    private static final long BACKGROUND_RELEASE_TIMEOUT_MILLIS = 30_000;
 
     private final ControlClient control;
     private final Clock clock;
@@ -35,7 +35,7 @@
         return UUID.randomUUID().toString();
     }
 
-    /** Asks for the claim; completes with NotExecuted if no majority answered within the request's time. */
+    /** Claims the key; completes with NotExecuted if no majority answered before the deadline of the request. */
     Promise<CommandResult> claim(CallerRequest request, String attempt) {
         long remaining = Math.max(1, request.deadlineMillis() - clock.millis());
         Command command = new Command.ClaimRequest(
@@ -44,28 +44,28 @@
                 fingerprint(request),
                 attempt,
                 0,
-                remaining + GRACE_MILLIS,
+                remaining + CLAIM_MARGIN_MILLIS,
                 lifetimeMillis);
-        return Promise.ofFuture(control.submit(command, Math.min(remaining, LONGEST_CLAIM_MILLIS)));
+        return Promise.ofFuture(control.submit(command, Math.min(remaining, MAX_CLAIM_TIMEOUT_MILLIS)));
     }
 
-    /** Records the answer; a null answer says that the outcome is not known. Completes whether or not that worked. */
-    Promise<Void> record(CallerRequest request, String attempt, RecordedResponse answer) {
+    /** Records the response, or an unknown outcome if it is null. Completes even if recording failed. */
+    Promise<Void> record(CallerRequest request, String attempt, RecordedResponse response) {
         Command command =
-                new Command.RecordResponse(request.account().name(), request.idempotencyKey(), attempt, answer);
-        return Promise.ofFuture(control.submit(command, RECORD_MILLIS)).toVoid();
+                new Command.RecordResponse(request.account().name(), request.idempotencyKey(), attempt, response);
+        return Promise.ofFuture(control.submit(command, RECORD_TIMEOUT_MILLIS)).toVoid();
     }
 
-    /** Takes the claim back, since the request certainly did not run; completes whether or not that worked. */
+    /** Releases the claim of a request that was not executed. Completes even if the release failed. */
     Promise<Void> release(CallerRequest request, String attempt) {
         Command command = new Command.ReleaseClaim(request.account().name(), request.idempotencyKey(), attempt);
-        return Promise.ofFuture(control.submit(command, RECORD_MILLIS)).toVoid();
+        return Promise.ofFuture(control.submit(command, RECORD_TIMEOUT_MILLIS)).toVoid();
     }
 
-    /** Takes back a claim whose grant was never heard of, in the background. */
+    /** Releases in the background a claim that may have been granted although no reply arrived. */
     void releaseInBackground(CallerRequest request, String attempt) {
         Command command = new Command.ReleaseClaim(request.account().name(), request.idempotencyKey(), attempt);
-        Promise<CommandResult> released = Promise.ofFuture(control.submit(command, CLEAN_UP_MILLIS));
+        Promise<CommandResult> released = Promise.ofFuture(control.submit(command, BACKGROUND_RELEASE_TIMEOUT_MILLIS));
         released.toVoid();
     }
 
--- a/daemon/src/main/java/org/bankturn/daemon/entry/RefusedException.java
+++ b/daemon/src/main/java/org/bankturn/daemon/entry/RefusedException.java
@@ -3,7 +3,7 @@
 import org.bankturn.result.ResultCode;
 import org.bankturn.routing.NotRunProof;
 
-/** Thrown when a caller's request is refused before any attempt to send it on. */
+/** Thrown when a caller's request is rejected before any attempt to send it to a target. */
 final class RefusedException extends Exception {
     private static final long serialVersionUID = 1L;
 
--- a/daemon/src/main/java/org/bankturn/daemon/entry/TargetPoller.java
+++ b/daemon/src/main/java/org/bankturn/daemon/entry/TargetPoller.java
@@ -11,18 +11,18 @@
 import org.bankturn.daemon.wire.NodeRequest;
 
 /**
- * Asks targets how they are, each in turn, as often as a fixed cost allows.
+ * Polls the status of all targets. The interval grows with the number of targets, which bounds the poll rate.
  *
  * <p>TargetPoller is confined to its reactor's thread.
  */
 final class TargetPoller {
-    private static final long SHORTEST_ROUND_MILLIS = 500;
-    private static final long MILLIS_PER_TARGET = 15;
+    private static final long MIN_INTERVAL_MILLIS = 500;
+    private static final long INTERVAL_MILLIS_PER_TARGET = 15;
     private static final long TIMEOUT_MILLIS = 1_000;
 
     private final EntryState state;
     private final NodeClients clients;
-    private final Set<String> asking = new HashSet<>();
+    private final Set<String> polling = new HashSet<>();
     private boolean stopped;
 
     TargetPoller(EntryState state, NodeClients clients) {
@@ -31,30 +31,30 @@
     }
 
     void start() {
-        round();
+        pollAll();
     }
 
     void stop() {
         stopped = true;
     }
 
-    private void round() {
+    private void pollAll() {
         if (stopped) {
             return;
         }
         List<Box> boxes = state.holder().get().boxes();
-        boxes.forEach(this::ask);
-        long pause = Math.max(SHORTEST_ROUND_MILLIS, boxes.size() * MILLIS_PER_TARGET);
-        Promises.delay(pause).whenResult(this::round);
+        boxes.forEach(this::poll);
+        long intervalMillis = Math.max(MIN_INTERVAL_MILLIS, boxes.size() * INTERVAL_MILLIS_PER_TARGET);
+        Promises.delay(intervalMillis).whenResult(this::pollAll);
     }
 
-    private void ask(Box box) {
-        if (!asking.add(box.name())) {
+    private void poll(Box box) {
+        if (!polling.add(box.name())) {
             return;
         }
         clients.ask(Address.parse(box.nodeAddress()), new NodeRequest.GetTargetStatus(), TIMEOUT_MILLIS)
                 .whenComplete((reply, failure) -> {
-                    asking.remove(box.name());
+                    polling.remove(box.name());
                     if (reply instanceof NodeReply.Target target) {
                         state.targets().recordStatus(target.status());
                     } else {
--- a/daemon/src/main/java/org/bankturn/daemon/entry/package-info.java
+++ b/daemon/src/main/java/org/bankturn/daemon/entry/package-info.java
@@ -1,4 +1,5 @@
 /**
- * The entry role: callers' HTTP in, admission, claims, dispatch to targets, answers streamed back.
+ * The entry role: admits callers' HTTP requests, claims idempotency keys, dispatches requests to targets and streams
+ * their responses back.
  */
 package org.bankturn.daemon.entry;
