--- a/daemon/src/main/java/org/bankturn/daemon/control/CommandStamp.java
+++ b/daemon/src/main/java/org/bankturn/daemon/control/CommandStamp.java
@@ -3,7 +3,7 @@
 import java.util.Set;
 import org.bankturn.state.command.Command;
 
-/** Turns the relative times of a submitted command into the leader's absolute ones. */
+/** Fills in the values of a submitted command that only the leader knows, such as absolute times. */
 final class CommandStamp {
     private CommandStamp() {}
 
--- a/daemon/src/main/java/org/bankturn/daemon/control/ControlClient.java
+++ b/daemon/src/main/java/org/bankturn/daemon/control/ControlClient.java
@@ -15,16 +15,16 @@
 import org.bankturn.time.Clock;
 
 /**
- * Finds the leader of the control boxes and asks it, trying the others in turn.
+ * Sends requests to the leader of the control group, trying the control boxes in turn until it is found.
  *
- * <p>A command may be sent again after an answer was lost; every command either has the same effect when applied twice or
- * errs on the safe side (a second origin grant only counts as used).
+ * <p>A command may be sent again after a reply was lost. Every command is either idempotent or safe to apply twice: a
+ * second origin grant only uses up budget.
  *
  * <p>ControlClient is thread-safe.
  */
 public final class ControlClient {
-    private static final long ATTEMPT_MILLIS = 1_500;
-    private static final long PAUSE_MILLIS = 100;
+    private static final long ATTEMPT_TIMEOUT_MILLIS = 1_500;
+    private static final long RETRY_DELAY_MILLIS = 100;
 
     private final NodeClients clients;
     private final List<Address> boxes;
@@ -35,8 +35,8 @@
      * Creates a client.
      *
      * @param clients connections to other processes, not null
-     * @param boxes the control boxes' node addresses, not empty
-     * @param clock the time, not null
+     * @param boxes the node addresses of the control boxes, not empty
+     * @param clock the time source, not null
      * @return the client, not null
      */
     public static ControlClient of(NodeClients clients, List<Address> boxes, Clock clock) {
@@ -54,7 +54,7 @@
      * Submits a command.
      *
      * @param command the command, not null
-     * @param timeoutMillis how long to go on trying
+     * @param timeoutMillis the overall timeout, including retries
      * @return the result; {@link CommandResult.NotExecuted} if no leader answered in time
      */
     public CompletableFuture<CommandResult> submit(Command command, long timeoutMillis) {
@@ -65,48 +65,48 @@
     }
 
     /**
-     * Asks the leader.
+     * Sends a request to the leader.
      *
      * @param request the request, not null
-     * @param timeoutMillis how long to go on trying
-     * @return the leader's reply; {@link NodeReply.Failed} if none came in time
+     * @param timeoutMillis the overall timeout, including retries
+     * @return the leader's reply; {@link NodeReply.Failed} if none arrived in time
      */
     public CompletableFuture<NodeReply> ask(NodeRequest request, long timeoutMillis) {
         return attempt(request, clock.millis() + timeoutMillis, 0);
     }
 
-    private CompletableFuture<NodeReply> attempt(NodeRequest request, long dueMillis, int tried) {
-        long remaining = dueMillis - clock.millis();
+    private CompletableFuture<NodeReply> attempt(NodeRequest request, long deadlineMillis, int attempts) {
+        long remaining = deadlineMillis - clock.millis();
         if (remaining <= 0) {
             return CompletableFuture.completedFuture(new NodeReply.Failed("no leader answered"));
         }
         Address address = likelyLeader.get();
-        return clients.askFromAnyThread(address, request, Math.min(remaining, ATTEMPT_MILLIS))
+        return clients.askFromAnyThread(address, request, Math.min(remaining, ATTEMPT_TIMEOUT_MILLIS))
                 .exceptionally(failure -> new NodeReply.Failed(String.valueOf(failure.getMessage())))
                 .thenCompose(reply -> {
                     if (isFinal(reply)) {
                         return CompletableFuture.completedFuture(reply);
                     }
-                    boolean redirected = followHint(address, reply);
-                    long pause = redirected && tried < boxes.size() ? 0 : PAUSE_MILLIS;
-                    Executor later = CompletableFuture.delayedExecutor(pause, TimeUnit.MILLISECONDS);
-                    return CompletableFuture.supplyAsync(() -> tried + 1, later)
-                            .thenCompose(next -> attempt(request, dueMillis, next));
+                    boolean redirected = followRedirect(address, reply);
+                    long delayMillis = redirected && attempts < boxes.size() ? 0 : RETRY_DELAY_MILLIS;
+                    Executor delayed = CompletableFuture.delayedExecutor(delayMillis, TimeUnit.MILLISECONDS);
+                    return CompletableFuture.supplyAsync(() -> attempts + 1, delayed)
+                            .thenCompose(next -> attempt(request, deadlineMillis, next));
                 });
     }
 
     private static boolean isFinal(NodeReply reply) {
-        boolean notDone = reply instanceof NodeReply.Submitted submitted
+        boolean notExecuted = reply instanceof NodeReply.Submitted submitted
                 && submitted.result() instanceof CommandResult.NotExecuted;
-        return !notDone && !(reply instanceof NodeReply.Failed);
+        return !notExecuted && !(reply instanceof NodeReply.Failed);
     }
 
-    /** Turns to the leader that a reply names, or else to the next box; returns true if one was named. */
-    private boolean followHint(Address asked, NodeReply reply) {
+    /** Selects the leader named by the reply, or else the next box; returns true if the reply named a leader. */
+    private boolean followRedirect(Address asked, NodeReply reply) {
         if (reply instanceof NodeReply.Submitted submitted
-                && submitted.result() instanceof CommandResult.NotExecuted notDone
-                && notDone.leaderAddress() != null) {
-            likelyLeader.set(Address.parse(notDone.leaderAddress()));
+                && submitted.result() instanceof CommandResult.NotExecuted notExecuted
+                && notExecuted.leaderAddress() != null) {
+            likelyLeader.set(Address.parse(notExecuted.leaderAddress()));
             return true;
         }
         int position = boxes.indexOf(asked);
--- a/daemon/src/main/java/org/bankturn/daemon/control/ControlMember.java
+++ b/daemon/src/main/java/org/bankturn/daemon/control/ControlMember.java
@@ -29,9 +29,9 @@
 import org.bankturn.time.Clock;
 
 /**
- * One member of the group that holds the operators' configuration, leases and origin grants.
+ * A member of the control group, which replicates the operators' configuration, leases and origin grants.
  *
- * <p>Commands are decided and applied on the thread of its {@link MemberLoop}. A failed write or sync stops the process.
+ * <p>Commands are proposed and applied on the thread of its {@link MemberLoop}. A failed write or sync stops the process.
  *
  * <p>ControlMember's public methods are thread-safe.
  */
@@ -52,13 +52,13 @@
     private volatile View view;
 
     /**
-     * What the member needs from the process around it.
+     * The dependencies that the process supplies.
      *
-     * @param send sends a message to a member; may lose it, not null
-     * @param contacts the boxes to ask when this one must join, not null
-     * @param snapshotEvery log entries between snapshots
-     * @param silentBoxes the boxes that this process no longer hears from, not null
-     * @param fatal called when the data folder failed and the process must stop, not null
+     * @param send sends a message to a member without guaranteeing delivery, not null
+     * @param contacts the members to contact in order to join the group, not null
+     * @param snapshotEvery the number of log entries between snapshots
+     * @param silentBoxes the boxes whose reports have stopped arriving, not null
+     * @param fatal stops the process after a storage failure, not null
      */
     public record ControlWiring(
             BiConsumer<Member, RaftMessage> send,
@@ -68,24 +68,24 @@
             Function<IOException, Void> fatal) {}
 
     /**
-     * What other threads may know of the member.
+     * A snapshot of the state of the member for other threads.
      *
      * @param role its role, not null
      * @param term its term
      * @param leader the leader, null if none is known
      * @param members the members, not null
-     * @param established true if it leads and its state is current
+     * @param established true if it is the leader and has committed an entry of its own term
      */
     public record View(Role role, long term, Member leader, List<Member> members, boolean established) {}
 
     /**
      * Creates a member; call {@link #start()} to run it.
      *
-     * @param agreement the state machine, recovered from {@code storage}, not null
-     * @param storage where it is stored, not null
-     * @param holder takes the configuration as it is applied, not null
-     * @param clock the time, not null
-     * @param wiring the process around it, not null
+     * @param agreement the Raft node, recovered from {@code storage}, not null
+     * @param storage the storage of the Raft node, not null
+     * @param holder receives the configuration as it is applied, not null
+     * @param clock the time source, not null
+     * @param wiring the dependencies, not null
      * @return the member, not null
      */
     public static ControlMember of(
@@ -100,12 +100,12 @@
         this.holder = holder;
         this.clock = clock;
         this.wiring = wiring;
-        Controlling controlling = new Controlling();
+        ControlState controlState = new ControlState();
         MemberTiming timing = new MemberTiming(
                 TICK_MILLIS, PROPOSAL_TIMEOUT_MILLIS, JOIN_RETRY_MILLIS, false, wiring.snapshotEvery());
-        this.loop = MemberLoop.of(controlling, timing, clock, "control");
-        controlling.restore(agreement.snapshot().state());
-        controlling.publishView(agreement);
+        this.loop = MemberLoop.of(controlState, timing, clock, "control");
+        controlState.restore(agreement.snapshot().state());
+        controlState.publishView(agreement);
     }
 
     /** Starts the member's thread. */
@@ -113,13 +113,13 @@
         loop.start();
     }
 
-    /** Returns what is known of the member, not null. */
+    /** Returns the latest view of the member, not null. */
     public View view() {
         return view;
     }
 
     /**
-     * Takes in a message of the group.
+     * Receives a message from another member.
      *
      * @param message the message, not null
      */
@@ -128,10 +128,10 @@
     }
 
     /**
-     * Submits a command; times in it are relative to now.
+     * Submits a command whose times are relative to the time of submission.
      *
      * @param command the command, not null
-     * @return the result once a majority has synced it; {@link CommandResult.NotExecuted} if that is not known
+     * @return the result after the command is committed; {@link CommandResult.NotExecuted} if the commit is not confirmed
      */
     public CompletableFuture<CommandResult> submit(Command command) {
         CompletableFuture<CommandResult> result = new CompletableFuture<>();
@@ -142,26 +142,24 @@
     /**
      * Reads the applied state on the member's thread.
      *
-     * @param query reads and must not keep the state, not null
-     * @return what the query gave
+     * @param query reads the state and must not retain it, not null
+     * @return the result of the query
      */
     public <T> CompletableFuture<T> query(Function<ReplicatedState, T> query) {
         return loop.query(() -> query.apply(state));
     }
 
-    /** Hands leadership over and stops the thread. */
+    /** Transfers leadership and stops the thread. */
     public void stop() {
         loop.stop(2 * PROPOSAL_TIMEOUT_MILLIS);
     }
 
-    // ---- the member's thread
-
     private void propose(Command command, CompletableFuture<CommandResult> result) {
         if (agreement.role() == Role.LEADER && !agreement.isEstablishedLeader()) {
-            result.complete(notDone(ResultCode.NOT_LEADER));
+            result.complete(notExecuted(ResultCode.NOT_LEADER));
             return;
         }
-        if (command instanceof Command.AcquireLease acquire && mustWait(acquire, result)) {
+        if (command instanceof Command.AcquireLease acquire && completeIfLeaseHeld(acquire, result)) {
             return;
         }
         Command stamped = CommandStamp.stamp(
@@ -169,19 +167,19 @@
                 clock.millis(),
                 expiredFence(command),
                 wiring.silentBoxes().get());
-        boolean idle = stamped instanceof Command.GrantOrigin grant
+        boolean unchanged = stamped instanceof Command.GrantOrigin grant
                 && agreement.isEstablishedLeader()
                 && !state.wouldChange(grant);
-        if (idle) {
+        if (unchanged) {
             result.complete(new CommandResult.OriginGranted(List.of()));
             return;
         }
         if (!loop.propose(MessagePackCodec.instance().encode(stamped), result)) {
-            result.complete(notDone(ResultCode.NOT_LEADER));
+            result.complete(notExecuted(ResultCode.NOT_LEADER));
         }
     }
 
-    private boolean mustWait(Command.AcquireLease acquire, CompletableFuture<CommandResult> result) {
+    private boolean completeIfLeaseHeld(Command.AcquireLease acquire, CompletableFuture<CommandResult> result) {
         return agreement.isEstablishedLeader()
                 && state.leases()
                         .find(acquire.name())
@@ -194,7 +192,7 @@
                         .isPresent();
     }
 
-    /** Names the lease that has been waited out, so that applying needs no clock. */
+    /** Returns the fence of the expired lease, or 0. Recording it in the command makes its application deterministic. */
     private long expiredFence(Command command) {
         if (!(command instanceof Command.AcquireLease acquire)) {
             return 0;
@@ -206,7 +204,7 @@
                 .orElse(0L);
     }
 
-    private CommandResult notDone(ResultCode code) {
+    private CommandResult notExecuted(ResultCode code) {
         String address = agreement
                 .leader()
                 .filter(leader -> !leader.equals(agreement.self()))
@@ -215,8 +213,8 @@
         return new CommandResult.NotExecuted(code, address);
     }
 
-    /** The replicated state, as the loop drives it. */
-    private final class Controlling implements MemberState<CommandResult> {
+    /** Applies committed commands to the replicated state. */
+    private final class ControlState implements MemberState<CommandResult> {
         @Override
         public Recovered recover() {
             return new Recovered(agreement, storage);
@@ -246,12 +244,12 @@
 
         @Override
         public void advanced() {
-            // every entry and every snapshot has been told to the holder already
+            // apply and restore have already updated the holder
         }
 
         @Override
         public CommandResult unknown(RaftNode at) {
-            return notDone(ResultCode.NO_QUORUM);
+            return notExecuted(ResultCode.NO_QUORUM);
         }
 
         @Override
--- a/daemon/src/main/java/org/bankturn/daemon/control/ControlRole.java
+++ b/daemon/src/main/java/org/bankturn/daemon/control/ControlRole.java
@@ -38,15 +38,15 @@
 import org.bankturn.time.Clock;
 
 /**
- * The control role of a process: its member of the agreement group, and the leader's decisions.
+ * The control role of a process: its member of the control group, and the periodic tasks of the leader.
  *
  * <p>ControlRole is thread-safe.
  */
 public final class ControlRole {
     private static final Logger LOG = System.getLogger(ControlRole.class.getName());
-    private static final long FIRST_LIFE = 1;
+    private static final long FIRST_INCARNATION = 1;
     private static final int BATCH_ENTRIES = 64;
-    private static final long DECISION_MILLIS = 200;
+    private static final long TASK_INTERVAL_MILLIS = 200;
 
     private final DaemonSettings settings;
     private final NodeClients clients;
@@ -54,21 +54,21 @@
     private final ConfigurationHolder holder;
     private final ControlMember member;
     private final StatusQuery statusQuery;
-    private ScheduledFuture<?> decisionTask;
-    private final ScheduledExecutorService decisions =
+    private ScheduledFuture<?> periodicTask;
+    private final ScheduledExecutorService scheduler =
             Executors.newSingleThreadScheduledExecutor(task -> new Thread(task, "control-decisions"));
 
     /**
-     * Opens the data folder and prepares the member.
+     * Opens the data folder and creates the member.
      *
      * @param settings the process's settings, with the control role, not null
-     * @param formsGroup true if this is the first start of all control boxes ever
+     * @param formsGroup true if this start forms a new control group
      * @param clients connections to other processes, not null
-     * @param holder takes the configuration, not null
-     * @param reports the reports of processes, not null
-     * @param clock the time, not null
+     * @param holder receives the configuration, not null
+     * @param reports the latest reports of the processes, not null
+     * @param clock the time source, not null
      * @return the role, not started, not null
-     * @throws IOException if the data folder cannot be used; the message carries the numbered code
+     * @throws IOException if the data folder cannot be used; the message contains the result code
      */
     public static ControlRole open(
             DaemonSettings settings,
@@ -94,16 +94,16 @@
         this.reports = reports;
         this.holder = holder;
         FileSystemDirectory device = FileSystemDirectory.open(settings.control().dataFolder());
-        Optional<Long> storedLife = RaftStorage.readIncarnation(device);
+        Optional<Long> storedIncarnation = RaftStorage.readIncarnation(device);
         UniformRandomProvider random = RandomSource.XO_RO_SHI_RO_128_PP.create();
-        long life = storedLife.orElseGet(() -> formsGroup ? FIRST_LIFE : newLife(random));
-        RaftStorage storage = storedLife.isPresent()
+        long incarnation = storedIncarnation.orElseGet(() -> formsGroup ? FIRST_INCARNATION : newIncarnation(random));
+        RaftStorage storage = storedIncarnation.isPresent()
                 ? RaftStorage.recover(device)
-                : RaftStorage.create(device, life, Snapshot.initial(formsGroup ? firstMembers() : List.of()));
+                : RaftStorage.create(device, incarnation, Snapshot.initial(formsGroup ? initialMembers() : List.of()));
         RaftSettings timing = new RaftSettings(
                 settings.control().electionTimeoutMillis(), settings.control().heartbeatMillis(), BATCH_ENTRIES);
-        Member self =
-                new Member(settings.process(), life, settings.nodeAddress().toString());
+        Member self = new Member(
+                settings.process(), incarnation, settings.nodeAddress().toString());
         RaftNode agreement = RaftNode.recover(self, storage.stored(), timing, clock, random, this::isListedControlBox);
         this.member = ControlMember.of(
                 agreement,
@@ -119,30 +119,30 @@
         this.statusQuery = new StatusQuery(settings.process(), member, reports, clock);
     }
 
-    /** Starts the member and the leader's decisions. */
+    /** Starts the member and the periodic tasks. */
     public void start() {
         member.start();
-        decisionTask =
-                decisions.scheduleWithFixedDelay(this::decide, DECISION_MILLIS, DECISION_MILLIS, TimeUnit.MILLISECONDS);
+        periodicTask = scheduler.scheduleWithFixedDelay(
+                this::runPeriodicTasks, TASK_INTERVAL_MILLIS, TASK_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
     }
 
-    /** Hands leadership over and stops. */
+    /** Transfers leadership and stops. */
     public void stop() {
-        decisionTask.cancel(false);
-        decisions.shutdown();
+        periodicTask.cancel(false);
+        scheduler.shutdown();
         member.stop();
     }
 
-    /** Returns what is known of the member, not null. */
+    /** Returns the latest view of the member, not null. */
     public ControlMember.View view() {
         return member.view();
     }
 
     /**
-     * Answers a request that concerns this role.
+     * Handles a request from another process.
      *
      * @param request the request, not null
-     * @return the reply, or empty if the request is for another role
+     * @return the reply, or empty if this role does not handle the request
      */
     public Optional<Promise<NodeReply>> handle(NodeRequest request) {
         if (request instanceof NodeRequest.Agree agree) {
@@ -168,27 +168,27 @@
         if (!view.established()) {
             String leader =
                     view.leader() == null ? null : addressOf(view.leader()).toString();
-            CommandResult elsewhere = new CommandResult.NotExecuted(ResultCode.NOT_LEADER, leader);
-            return Promise.of(new NodeReply.Submitted(elsewhere));
+            CommandResult notLeader = new CommandResult.NotExecuted(ResultCode.NOT_LEADER, leader);
+            return Promise.of(new NodeReply.Submitted(notLeader));
         }
         return request instanceof NodeRequest.GetStatus
                 ? Promise.ofFuture(member.query(statusQuery::status)).map(NodeReply.Status::new)
                 : Promise.ofFuture(member.query(statusQuery::history)).map(NodeReply.History::new);
     }
 
-    /** On the leader: puts versions into service. On the others: passes reports on to it. */
-    private void decide() {
+    /** Puts versions into service on the leader; forwards reports to the leader on the other members. */
+    private void runPeriodicTasks() {
         try {
             ControlMember.View view = member.view();
             if (view.established()) {
                 holder.get().models().forEach(this::putIntoServiceIfReady);
             } else if (view.leader() != null) {
                 Address leader = addressOf(view.leader());
-                NodeRequest request = new NodeRequest.ForwardReports(reports.receivedWithin(2 * DECISION_MILLIS));
+                NodeRequest request = new NodeRequest.ForwardReports(reports.receivedWithin(2 * TASK_INTERVAL_MILLIS));
                 clients.tell(leader, request);
             }
         } catch (RuntimeException e) {
-            LOG.log(Level.WARNING, "decision failed", e);
+            LOG.log(Level.WARNING, "periodic control task failed", e);
         }
     }
 
@@ -214,7 +214,7 @@
         clients.tell(addressOf(to), new NodeRequest.Agree(message));
     }
 
-    /** A box is reached as this process's settings say; what others call it may not work from here. */
+    /** Prefers the address in the settings of this process; the one known to the group may be unreachable from here. */
     private Address addressOf(Member box) {
         return settings.controlBoxes().stream()
                 .filter(listed -> listed.name().equals(box.box()))
@@ -223,14 +223,15 @@
                 .orElseGet(() -> Address.parse(box.address()));
     }
 
-    private List<Member> firstMembers() {
+    private List<Member> initialMembers() {
         return settings.controlBoxes().stream()
-                .map(box -> new Member(box.name(), FIRST_LIFE, box.nodeAddress().toString()))
+                .map(box -> new Member(
+                        box.name(), FIRST_INCARNATION, box.nodeAddress().toString()))
                 .toList();
     }
 
     private List<Member> otherBoxes() {
-        return firstMembers().stream()
+        return initialMembers().stream()
                 .filter(box -> !box.box().equals(settings.process()))
                 .toList();
     }
@@ -239,12 +240,12 @@
         return settings.controlBoxes().stream().anyMatch(box -> box.name().equals(asking.box()));
     }
 
-    private static long newLife(UniformRandomProvider random) {
-        return FIRST_LIFE + 1 + random.nextLong(Long.MAX_VALUE - 2);
+    private static long newIncarnation(UniformRandomProvider random) {
+        return FIRST_INCARNATION + 1 + random.nextLong(Long.MAX_VALUE - 2);
     }
 
     private Void stopProcess(IOException reason) {
-        LOG.log(Level.ERROR, "stopping: " + reason.getMessage());
+        LOG.log(Level.ERROR, "stopping after a storage failure: " + reason.getMessage());
         Runtime.getRuntime().halt(ResultCode.SYNC_FAILED.number() % 100);
         return null;
     }
--- a/daemon/src/main/java/org/bankturn/daemon/control/StatusQuery.java
+++ b/daemon/src/main/java/org/bankturn/daemon/control/StatusQuery.java
@@ -13,7 +13,7 @@
 import org.bankturn.time.Clock;
 
 /**
- * Answers operators' questions from the leader's applied state and the reports that reached it.
+ * Answers operators' queries from the applied state of the leader and the reports that it has received.
  *
  * <p>StatusQuery is confined to the control member's thread.
  */
@@ -34,9 +34,9 @@
     StatusReply status(ReplicatedState state) {
         ControlMember.View view = member.view();
         Configuration configuration = state.configuration();
-        List<StatusReply.ProcessStatus> lines = reports.all().stream()
+        List<StatusReply.ProcessStatus> processes = reports.all().stream()
                 .sorted(Comparator.comparing(received -> received.report().process()))
-                .map(received -> line(received, configuration))
+                .map(received -> processStatus(received, configuration))
                 .toList();
         return new StatusReply(
                 process,
@@ -50,7 +50,7 @@
                 configuration.inService(),
                 state.originCopies(),
                 state.claimCount(),
-                lines);
+                processes);
     }
 
     ShowReply history(ReplicatedState state) {
@@ -58,11 +58,11 @@
         return new ShowReply(configuration.index(), configuration.digest(), state.history(), configuration.inService());
     }
 
-    private StatusReply.ProcessStatus line(ReportTable.Received received, Configuration configuration) {
+    private StatusReply.ProcessStatus processStatus(ReportTable.Received received, Configuration configuration) {
         ProcessReport report = received.report();
         long now = clock.millis();
         boolean behind = report.configurationIndex() < configuration.index();
-        long since = behind ? behindSinceMillis.computeIfAbsent(report.process(), name -> now) : now;
+        long behindSince = behind ? behindSinceMillis.computeIfAbsent(report.process(), name -> now) : now;
         if (!behind) {
             behindSinceMillis.remove(report.process());
         }
@@ -71,7 +71,7 @@
                 report.role(),
                 report.dataHall(),
                 report.configurationIndex(),
-                now - since,
+                now - behindSince,
                 now - received.receivedMillis(),
                 report.loaded(),
                 report.note(),
--- a/daemon/src/main/java/org/bankturn/daemon/control/package-info.java
+++ b/daemon/src/main/java/org/bankturn/daemon/control/package-info.java
@@ -1,4 +1,5 @@
 /**
- * The control role: a member of the agreement group, and the client that finds its leader.
+ * The control role: a member of the control group, which replicates its state by Raft, and the client that finds the
+ * leader of the group.
  */
 package org.bankturn.daemon.control;
