--- a/daemon/src/main/java/org/bankturn/daemon/follow/ConfigurationFollower.java
+++ b/daemon/src/main/java/org/bankturn/daemon/follow/ConfigurationFollower.java
@@ -19,22 +19,22 @@
 import org.bankturn.membership.ProcessReport;
 
 /**
- * Keeps a process's configuration up with its sources: long polls that carry steps, not whole files.
+ * Keeps the configuration of a process up to date by long polls of its sources, which reply with incremental updates.
  *
- * <p>On start it asks every source at once and waits until each has answered or failed, so that a process that has
- * forgotten everything begins with the newest configuration that any of its sources has. Afterwards it polls two
- * sources at a time, so that one that is cut off itself does not hold it back.
+ * <p>On start it queries every source and waits until each has answered or failed, so that a process without stored state
+ * starts with the newest configuration of any reachable source. Afterwards it polls two sources concurrently, so that a
+ * source that is itself out of date does not delay updates.
  *
  * <p>ConfigurationFollower is confined to its reactor's thread.
  */
 public final class ConfigurationFollower {
     private static final Logger LOG = System.getLogger(ConfigurationFollower.class.getName());
-    private static final long WAIT_MILLIS = 2_000;
-    private static final long TIMEOUT_MILLIS = 4_000;
-    private static final long FIRST_TIMEOUT_MILLIS = 2_000;
-    private static final long PAUSE_AFTER_FAILURE_MILLIS = 300;
-    private static final int POLLS_AT_ONCE = 2;
-    private static final int POLLS_BEFORE_TURN = 8;
+    private static final long LONG_POLL_MILLIS = 2_000;
+    private static final long POLL_TIMEOUT_MILLIS = 4_000;
+    private static final long INDEX_TIMEOUT_MILLIS = 2_000;
+    private static final long RETRY_DELAY_MILLIS = 300;
+    private static final int CONCURRENT_POLLS = 2;
+    private static final int POLLS_PER_SOURCE = 8;
 
     private final NodeClients clients;
     private final List<Address> sources;
@@ -46,9 +46,9 @@
      * Creates a follower.
      *
      * @param clients connections to other processes, not null
-     * @param sources node addresses to follow, not null
-     * @param holder takes the configuration, not null
-     * @param reports the reports to pass up with each poll, not null
+     * @param sources the node addresses of the sources, not null
+     * @param holder receives the configuration, not null
+     * @param reports supplies the reports to send with each poll, not null
      * @return the follower, not started, not null
      */
     public static ConfigurationFollower of(
@@ -71,46 +71,45 @@
     }
 
     /**
-     * Asks every source once, again and again until at least one answers, then begins to follow.
+     * Queries all sources, repeatedly until at least one answers, then starts polling.
      *
-     * @return completes when the newest configuration of all that answered is in force
+     * @return completes when the newest configuration of the sources that answered is current
      */
     public Promise<Void> start() {
         if (sources.isEmpty()) {
             return Promise.complete();
         }
-        return askIndexes().then(indexes -> {
+        return queryIndexes().then(indexes -> {
             Optional<SourceIndex> newest = indexes.stream().max(Comparator.comparingLong(SourceIndex::index));
             if (newest.isEmpty()) {
-                return Promises.delay(PAUSE_AFTER_FAILURE_MILLIS).then(this::start);
+                return Promises.delay(RETRY_DELAY_MILLIS).then(this::start);
             }
-            return learnFrom(newest.get())
+            return catchUp(newest.get())
                     .then(
-                            learned -> beginPolls(),
-                            failure ->
-                                    Promises.delay(PAUSE_AFTER_FAILURE_MILLIS).then(this::start));
+                            updated -> startPolls(),
+                            failure -> Promises.delay(RETRY_DELAY_MILLIS).then(this::start));
         });
     }
 
-    /** Stops following. */
+    /** Stops polling. */
     public void stop() {
         stopped = true;
     }
 
-    /** Polls each source without waiting, to pass reports up at once, such as that this process is leaving. */
+    /** Sends the reports to every source immediately, for example that this process is leaving. */
     public Promise<Void> reportNow() {
-        return askIndexes().toVoid();
+        return queryIndexes().toVoid();
     }
 
-    /** A source that answered, and the index that it has. */
+    /** A source that answered, and the index of its configuration. */
     private record SourceIndex(Address source, long index) {}
 
-    /** Asks every source for its index alone, so that a start costs one whole configuration however many there are. */
-    private Promise<List<SourceIndex>> askIndexes() {
+    /** Queries only the index of each source, so that a start transfers a single full configuration. */
+    private Promise<List<SourceIndex>> queryIndexes() {
         List<Promise<Optional<SourceIndex>>> answers = new ArrayList<>();
         for (Address source : sources) {
             NodeRequest request = new NodeRequest.FetchConfiguration(Long.MAX_VALUE, 0, reports.get());
-            answers.add(clients.ask(source, request, FIRST_TIMEOUT_MILLIS)
+            answers.add(clients.ask(source, request, INDEX_TIMEOUT_MILLIS)
                     .map(
                             reply -> reply instanceof NodeReply.Fetched fetched
                                     ? Optional.of(new SourceIndex(source, fetched.index()))
@@ -121,30 +120,30 @@
                 .map(all -> all.stream().flatMap(Optional::stream).toList());
     }
 
-    private Promise<Void> learnFrom(SourceIndex newest) {
+    private Promise<Void> catchUp(SourceIndex newest) {
         return newest.index() <= holder.get().index()
                 ? Promise.complete()
-                : poll(newest.source(), 0, TIMEOUT_MILLIS).toVoid();
+                : poll(newest.source(), 0, POLL_TIMEOUT_MILLIS).toVoid();
     }
 
-    private Promise<Void> beginPolls() {
-        int polls = Math.min(POLLS_AT_ONCE, sources.size());
+    private Promise<Void> startPolls() {
+        int polls = Math.min(CONCURRENT_POLLS, sources.size());
         for (int first = 0; first < polls; first++) {
-            keepPolling(first, 1);
+            pollRepeatedly(first, 1);
         }
         return Promise.complete();
     }
 
-    private void keepPolling(int position, int polled) {
+    private void pollRepeatedly(int position, int pollCount) {
         if (stopped) {
             return;
         }
-        poll(sources.get(position % sources.size()), WAIT_MILLIS, TIMEOUT_MILLIS)
+        poll(sources.get(position % sources.size()), LONG_POLL_MILLIS, POLL_TIMEOUT_MILLIS)
                 .whenComplete((index, failure) -> {
-                    boolean turn = failure != null || polled >= POLLS_BEFORE_TURN;
-                    int next = turn ? position + POLLS_AT_ONCE : position;
-                    long pause = failure != null ? PAUSE_AFTER_FAILURE_MILLIS : 0;
-                    Promises.delay(pause).whenResult(() -> keepPolling(next, turn ? 1 : polled + 1));
+                    boolean switchSource = failure != null || pollCount >= POLLS_PER_SOURCE;
+                    int next = switchSource ? position + CONCURRENT_POLLS : position;
+                    long pause = failure != null ? RETRY_DELAY_MILLIS : 0;
+                    Promises.delay(pause).whenResult(() -> pollRepeatedly(next, switchSource ? 1 : pollCount + 1));
                 });
     }
 
@@ -158,17 +157,17 @@
             if (fetched.update() == null) {
                 return Promise.of(fetched.index());
             }
-            return take(source, fetched.update(), timeoutMillis);
+            return apply(source, fetched.update(), timeoutMillis);
         });
     }
 
-    private Promise<Long> take(Address source, ConfigurationUpdate update, long timeoutMillis) {
+    private Promise<Long> apply(Address source, ConfigurationUpdate update, long timeoutMillis) {
         Configuration held = holder.get();
         if (update.index() <= held.index()) {
             return Promise.of(held.index());
         }
-        boolean fits = update.baseIndex() == 0 || update.baseIndex() == held.index();
-        Optional<Configuration> next = fits ? update.applyTo(held) : Optional.empty();
+        boolean applicable = update.baseIndex() == 0 || update.baseIndex() == held.index();
+        Optional<Configuration> next = applicable ? update.applyTo(held) : Optional.empty();
         if (next.isPresent()) {
             holder.advanceTo(next.get());
             return Promise.of(update.index());
@@ -177,18 +176,19 @@
             LOG.log(
                     Level.WARNING,
                     "configuration " + update.index() + " from " + source + " does not match its digest");
-            return Promise.ofException(new IllegalStateException("digest does not match"));
+            return Promise.ofException(new IllegalStateException(
+                    "configuration " + update.index() + " from " + source + " does not match its digest"));
         }
-        return fetchWhole(source, timeoutMillis);
+        return fetchFull(source, timeoutMillis);
     }
 
-    private Promise<Long> fetchWhole(Address source, long timeoutMillis) {
+    private Promise<Long> fetchFull(Address source, long timeoutMillis) {
         NodeRequest request = new NodeRequest.FetchConfiguration(0, 0, List.of());
         return clients.ask(source, request, timeoutMillis)
                 .then(reply -> reply instanceof NodeReply.Fetched fetched
                                 && fetched.update() != null
                                 && fetched.update().baseIndex() == 0
-                        ? take(source, fetched.update(), timeoutMillis)
+                        ? apply(source, fetched.update(), timeoutMillis)
                         : Promise.of(holder.get().index()));
     }
 }
--- a/daemon/src/main/java/org/bankturn/daemon/follow/ConfigurationPublisher.java
+++ b/daemon/src/main/java/org/bankturn/daemon/follow/ConfigurationPublisher.java
@@ -14,23 +14,23 @@
 import org.bankturn.membership.ReportTable;
 
 /**
- * Answers the long polls of processes that follow this one.
+ * Answers the long polls of processes that use this one as a configuration source.
  *
  * <p>ConfigurationPublisher is confined to its reactor's thread.
  */
 public final class ConfigurationPublisher {
-    private static final long LONGEST_WAIT_MILLIS = 30_000;
+    private static final long MAX_WAIT_MILLIS = 30_000;
 
     private final ConfigurationHolder holder;
     private final ReportTable reports;
-    private List<SettablePromise<Void>> waiting = new ArrayList<>();
+    private List<SettablePromise<Void>> waiters = new ArrayList<>();
 
     /**
      * Creates a publisher.
      *
-     * @param reactor the reactor whose thread answers, not null
-     * @param holder what is in force here, not null
-     * @param reports takes the reports that polls carry, not null
+     * @param reactor the reactor whose thread answers the polls, not null
+     * @param holder the current configuration, not null
+     * @param reports receives the reports sent with the polls, not null
      * @return the publisher, not null
      */
     public static ConfigurationPublisher of(NioReactor reactor, ConfigurationHolder holder, ReportTable reports) {
@@ -40,42 +40,43 @@
     private ConfigurationPublisher(NioReactor reactor, ConfigurationHolder holder, ReportTable reports) {
         this.holder = holder;
         this.reports = reports;
-        holder.onAdvance(configuration -> reactor.execute(this::wakeAll));
+        holder.onAdvance(configuration -> reactor.execute(this::completeWaiters));
     }
 
     /**
-     * Answers a poll, at once if there is something newer, else when there is or time runs out.
+     * Answers a poll immediately if a newer configuration exists, otherwise when one arrives or the wait ends.
      *
      * @param request the poll, not null
      * @return the reply, not null
      */
     public Promise<NodeReply> answer(NodeRequest.FetchConfiguration request) {
         reports.receive(request.reports());
-        if (isNewsFor(request) || request.waitMillis() <= 0) {
+        if (hasUpdateFor(request) || request.waitMillis() <= 0) {
             return Promise.of(replyTo(request));
         }
-        SettablePromise<Void> news = new SettablePromise<>();
-        waiting.add(news);
-        long wait = Math.min(request.waitMillis(), LONGEST_WAIT_MILLIS);
-        return Promises.timeout(wait, news).map(nothing -> replyTo(request), failure -> {
-            waiting.remove(news);
+        SettablePromise<Void> advance = new SettablePromise<>();
+        waiters.add(advance);
+        long wait = Math.min(request.waitMillis(), MAX_WAIT_MILLIS);
+        return Promises.timeout(wait, advance).map(nothing -> replyTo(request), failure -> {
+            waiters.remove(advance);
             return replyTo(request);
         });
     }
 
-    private void wakeAll() {
-        List<SettablePromise<Void>> woken = waiting;
-        waiting = new ArrayList<>();
-        woken.forEach(news -> news.trySet(null));
+    private void completeWaiters() {
+        List<SettablePromise<Void>> completed = waiters;
+        waiters = new ArrayList<>();
+        completed.forEach(advance -> advance.trySet(null));
     }
 
-    private boolean isNewsFor(NodeRequest.FetchConfiguration request) {
+    private boolean hasUpdateFor(NodeRequest.FetchConfiguration request) {
         return holder.get().index() > request.haveIndex();
     }
 
     private NodeReply replyTo(NodeRequest.FetchConfiguration request) {
         Configuration held = holder.get();
-        ConfigurationUpdate update = isNewsFor(request) ? ConfigurationUpdate.between(request.haveIndex(), held) : null;
+        ConfigurationUpdate update =
+                hasUpdateFor(request) ? ConfigurationUpdate.between(request.haveIndex(), held) : null;
         return new NodeReply.Fetched(held.index(), update);
     }
 }
--- a/daemon/src/main/java/org/bankturn/daemon/follow/package-info.java
+++ b/daemon/src/main/java/org/bankturn/daemon/follow/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Following the configuration in force, and passing reports upward.
+ * Distribution of the configuration to the processes, and forwarding of their reports to the configuration sources.
  */
 package org.bankturn.daemon.follow;
