--- a/standins/src/main/java/org/bankturn/replay/LoadPattern.java
+++ b/standins/src/main/java/org/bankturn/replay/LoadPattern.java
@@ -91,7 +91,8 @@
      * @param overMillis the time over which it happens to one engine after the other
      * @param factor how strong it is, if that matters
      */
-    public record Event(Trouble what, long atMillis, int percent, long forMillis, long overMillis, int factor) {}
+    public record Event(
+            ReplayEventType what, long atMillis, int percent, long forMillis, long overMillis, int factor) {}
 
     /** Returns the requests a second that the engines bear which are there at the start. */
     public double bearsPerSecond() {
--- a/standins/src/main/java/org/bankturn/replay/LoadPatternReader.java
+++ b/standins/src/main/java/org/bankturn/replay/LoadPatternReader.java
@@ -110,7 +110,7 @@
 
     private static LoadPattern.Event event(Fields fields) {
         return new LoadPattern.Event(
-                fields.choice("what", Trouble.class, Trouble.SLOW),
+                fields.choice("what", ReplayEventType.class, ReplayEventType.SLOW),
                 fields.number("atMillis", 0, MOST_MILLIS),
                 whole(fields, "percent", 0, MOST_PERCENT),
                 fields.number("forMillis", 0, MOST_MILLIS, 0),
--- a/standins/src/main/java/org/bankturn/replay/Trouble.java
+++ b/standins/src/main/java/org/bankturn/replay/ReplayEventType.java
@@ -1,7 +1,7 @@
 package org.bankturn.replay;
 
 /** What may happen to an engine in a replay. */
-public enum Trouble {
+public enum ReplayEventType {
     /** It is not there before, and joins. */
     JOIN {
         @Override
--- a/standins/src/main/java/org/bankturn/replay/ReplayWorld.java
+++ b/standins/src/main/java/org/bankturn/replay/ReplayWorld.java
@@ -211,7 +211,7 @@
     private void happen(LoadPattern.Event event) {
         int count = (int) Math.round(present.size() * event.percent() / PERCENT);
         double pause = (double) event.overMillis() / Math.max(1, count);
-        if (event.what() == Trouble.JOIN) {
+        if (event.what() == ReplayEventType.JOIN) {
             for (int number = 0; number < count; number++) {
                 String dataHall = "hall-" + number % pattern.halls();
                 String id = "engine-" + event.atMillis() + "-" + number;
@@ -219,7 +219,7 @@
             }
             return;
         }
-        if (event.what() == Trouble.DEADLY) {
+        if (event.what() == ReplayEventType.DEADLY) {
             comeAgain(event, time.now() + event.forMillis());
             return;
         }
