--- a/standins/src/main/java/org/bankturn/replay/ReplayWorld.java
+++ b/standins/src/main/java/org/bankturn/replay/ReplayWorld.java
@@ -176,7 +176,7 @@
         gateways.values().forEach(here -> here.forEach(ReplayedGateway::start));
         publish();
         sample();
-        pattern.events().forEach(event -> time.after((double) event.atMillis(), () -> happen(event)));
+        pattern.events().forEach(event -> time.after((double) event.atMillis(), () -> applyEvent(event)));
         gateways.values().forEach(this::startCallers);
         time.runUntil(pattern.seconds() * MILLIS_PER_SECOND);
         double busy = present.stream().mapToDouble(ReplayedEngine::busyMillis).sum();
@@ -208,7 +208,7 @@
         time.after(SAMPLE_MILLIS, this::sample);
     }
 
-    private void happen(LoadPattern.Event event) {
+    private void applyEvent(LoadPattern.Event event) {
         int count = (int) Math.round(present.size() * event.percent() / PERCENT);
         double pause = (double) event.overMillis() / Math.max(1, count);
         if (event.what() == ReplayEventType.JOIN) {
@@ -227,7 +227,7 @@
         for (int number = 0; number < count; number++) {
             ReplayedEngine hit = shuffled.remove(random.nextInt(shuffled.size()));
             event.what().isPlanned(hit, time.now() + number * pause);
-            time.after(number * pause, () -> event.what().happen(hit, event, time));
+            time.after(number * pause, () -> event.what().apply(hit, event, time));
         }
     }
 
