--- a/standins/src/main/java/org/bankturn/replay/ReplayEventType.java
+++ b/standins/src/main/java/org/bankturn/replay/ReplayEventType.java
@@ -43,13 +43,13 @@
         }
 
         @Override
-        void isPlanned(ReplayedEngine engine, double atMillis) {
+        void announce(ReplayedEngine engine, double atMillis) {
             engine.willChangeAt(atMillis);
         }
     };
 
     /** Lets an engine know of it ahead, if it is of the kind that one knows of. */
-    void isPlanned(ReplayedEngine engine, double atMillis) {}
+    void announce(ReplayedEngine engine, double atMillis) {}
 
     /** Lets it happen to an engine that is there. */
     abstract void apply(ReplayedEngine engine, LoadPattern.Event event, VirtualTime time);
--- a/standins/src/main/java/org/bankturn/replay/ReplayWorld.java
+++ b/standins/src/main/java/org/bankturn/replay/ReplayWorld.java
@@ -226,7 +226,7 @@
         List<ReplayedEngine> shuffled = new ArrayList<>(present);
         for (int number = 0; number < count; number++) {
             ReplayedEngine hit = shuffled.remove(random.nextInt(shuffled.size()));
-            event.what().isPlanned(hit, time.now() + number * pause);
+            event.what().announce(hit, time.now() + number * pause);
             time.after(number * pause, () -> event.what().apply(hit, event, time));
         }
     }
