--- a/standins/src/main/java/org/bankturn/replay/LoadPattern.java
+++ b/standins/src/main/java/org/bankturn/replay/LoadPattern.java
@@ -84,7 +84,7 @@
     /**
      * Something that happens.
      *
-     * @param what what it is, not null
+     * @param type its type, not null
      * @param atMillis when, from the start
      * @param percent the share of the engines that it happens to
      * @param forMillis how long it lasts for each
@@ -92,7 +92,7 @@
      * @param factor how strong it is, if that matters
      */
     public record Event(
-            ReplayEventType what, long atMillis, int percent, long forMillis, long overMillis, int factor) {}
+            ReplayEventType type, long atMillis, int percent, long forMillis, long overMillis, int factor) {}
 
     /** Returns the requests a second that the engines bear which are there at the start. */
     public double bearsPerSecond() {
--- a/standins/src/main/java/org/bankturn/replay/ReplayWorld.java
+++ b/standins/src/main/java/org/bankturn/replay/ReplayWorld.java
@@ -211,7 +211,7 @@
     private void applyEvent(LoadPattern.Event event) {
         int count = (int) Math.round(present.size() * event.percent() / PERCENT);
         double pause = (double) event.overMillis() / Math.max(1, count);
-        if (event.what() == ReplayEventType.JOIN) {
+        if (event.type() == ReplayEventType.JOIN) {
             for (int number = 0; number < count; number++) {
                 String dataHall = "hall-" + number % pattern.halls();
                 String id = "engine-" + event.atMillis() + "-" + number;
@@ -219,15 +219,15 @@
             }
             return;
         }
-        if (event.what() == ReplayEventType.DEADLY) {
+        if (event.type() == ReplayEventType.DEADLY) {
             comeAgain(event, time.now() + event.forMillis());
             return;
         }
         List<ReplayedEngine> shuffled = new ArrayList<>(present);
         for (int number = 0; number < count; number++) {
             ReplayedEngine hit = shuffled.remove(random.nextInt(shuffled.size()));
-            event.what().announce(hit, time.now() + number * pause);
-            time.after(number * pause, () -> event.what().apply(hit, event, time));
+            event.type().announce(hit, time.now() + number * pause);
+            time.after(number * pause, () -> event.type().apply(hit, event, time));
         }
     }
 
