--- a/standins/src/main/java/org/bankturn/replay/LoadPattern.java
+++ b/standins/src/main/java/org/bankturn/replay/LoadPattern.java
@@ -95,7 +95,7 @@
             ReplayEventType type, long atMillis, int percent, long forMillis, long overMillis, int factor) {}
 
     /** Returns the requests a second that the engines bear which are there at the start. */
-    public double bearsPerSecond() {
+    public double capacityPerSecond() {
         EngineModel model = engine.model();
         double prompt = mean(Kind::promptTokens);
         double passes = mean(Kind::answerTokens) / model.stepsPerPass();
@@ -116,7 +116,7 @@
                 percent = step.percent();
             }
         }
-        return bearsPerSecond() * percent / PERCENT;
+        return capacityPerSecond() * percent / PERCENT;
     }
 
     private double mean(java.util.function.ToIntFunction<Kind> size) {
