--- a/standins/src/main/java/org/bankturn/replay/ReplayEventType.java
+++ b/standins/src/main/java/org/bankturn/replay/ReplayEventType.java
@@ -5,12 +5,12 @@
     /** It is not there before, and joins. */
     JOIN {
         @Override
-        void apply(ReplayedEngine engine, LoadPattern.Event event, VirtualTime time) {}
+        void apply(ReplayedEngine engine, LoadPattern.Event event, VirtualClock time) {}
     },
     /** It falls silent, and is back after a while. */
     DARK {
         @Override
-        void apply(ReplayedEngine engine, LoadPattern.Event event, VirtualTime time) {
+        void apply(ReplayedEngine engine, LoadPattern.Event event, VirtualClock time) {
             engine.goDark();
             time.after((double) event.forMillis(), engine::comeBack);
         }
@@ -18,19 +18,19 @@
     /** It ends: answers under way break off, its address refuses connections, and it is back empty after a while. */
     CRASH {
         @Override
-        void apply(ReplayedEngine engine, LoadPattern.Event event, VirtualTime time) {
+        void apply(ReplayedEngine engine, LoadPattern.Event event, VirtualClock time) {
             engine.crash((double) event.forMillis());
         }
     },
     /** A request that ends each engine that begins to run it comes to any gateway, again and again for a while. */
     DEADLY {
         @Override
-        void apply(ReplayedEngine engine, LoadPattern.Event event, VirtualTime time) {}
+        void apply(ReplayedEngine engine, LoadPattern.Event event, VirtualClock time) {}
     },
     /** It is slower by a factor for a while. */
     SLOW {
         @Override
-        void apply(ReplayedEngine engine, LoadPattern.Event event, VirtualTime time) {
+        void apply(ReplayedEngine engine, LoadPattern.Event event, VirtualClock time) {
             engine.runAt(event.factor());
             time.after((double) event.forMillis(), () -> engine.runAt(1));
         }
@@ -38,7 +38,7 @@
     /** It takes up newer weights at once: answers under way are cut, and it takes nothing for a while. */
     CHANGE {
         @Override
-        void apply(ReplayedEngine engine, LoadPattern.Event event, VirtualTime time) {
+        void apply(ReplayedEngine engine, LoadPattern.Event event, VirtualClock time) {
             engine.change((double) event.forMillis());
         }
 
@@ -52,5 +52,5 @@
     void announce(ReplayedEngine engine, double atMillis) {}
 
     /** Lets it happen to an engine that is there. */
-    abstract void apply(ReplayedEngine engine, LoadPattern.Event event, VirtualTime time);
+    abstract void apply(ReplayedEngine engine, LoadPattern.Event event, VirtualClock time);
 }
--- a/standins/src/main/java/org/bankturn/replay/ReplayWorld.java
+++ b/standins/src/main/java/org/bankturn/replay/ReplayWorld.java
@@ -49,7 +49,7 @@
 
     private final LoadPattern pattern;
     private final PlacementSettings settings;
-    private final VirtualTime time = new VirtualTime();
+    private final VirtualClock time = new VirtualClock();
     private final ReplayTally tally = new ReplayTally();
     private final UniformRandomProvider random;
     private final Service service;
@@ -96,7 +96,7 @@
 
     // ---- queries
 
-    VirtualTime time() {
+    VirtualClock time() {
         return time;
     }
 
--- a/standins/src/main/java/org/bankturn/replay/ReplayedEngine.java
+++ b/standins/src/main/java/org/bankturn/replay/ReplayedEngine.java
@@ -22,7 +22,7 @@
     /** A target that ended was back after 4 s, as it was seen on a site. */
     private static final double RESTART_MILLIS = 4_000;
 
-    private final VirtualTime time;
+    private final VirtualClock time;
     private final EngineModel model;
     private final double pairsMillisPerMillion;
     private final int queueLength;
@@ -39,7 +39,7 @@
     private double pace = 1;
     private double busyMillis;
 
-    ReplayedEngine(VirtualTime time, LoadPattern pattern, String id, String dataHall) {
+    ReplayedEngine(VirtualClock time, LoadPattern pattern, String id, String dataHall) {
         this.time = time;
         this.model = pattern.engine().model();
         this.pairsMillisPerMillion = pattern.engine().pairsMicrosPerMillion() / THOUSAND;
--- a/standins/src/main/java/org/bankturn/replay/ReplayedGateway.java
+++ b/standins/src/main/java/org/bankturn/replay/ReplayedGateway.java
@@ -35,7 +35,7 @@
     private static final RetryLimits RETRIES = new RetryLimits(0.2, 254, 10_000);
 
     private final ReplayWorld world;
-    private final VirtualTime time;
+    private final VirtualClock time;
     private final String name;
     private final String dataHall;
     private final TargetTable targets;
--- a/standins/src/main/java/org/bankturn/replay/VirtualTime.java
+++ b/standins/src/main/java/org/bankturn/replay/VirtualClock.java
@@ -7,9 +7,9 @@
  * Time that moves from one thing that happens to the next.
  *
  * <p>Things that happen at the same moment happen in the order in which they were asked for, so that a replay repeats.
- * VirtualTime is mutable and not thread-safe.
+ * VirtualClock is mutable and not thread-safe.
  */
-final class VirtualTime implements Clock {
+final class VirtualClock implements Clock {
     private final PriorityQueue<Planned> planned = new PriorityQueue<>();
     private double now;
     private long sequence;
