--- a/standins/src/main/java/org/bankturn/replay/ReplayEventType.java
+++ b/standins/src/main/java/org/bankturn/replay/ReplayEventType.java
@@ -12,7 +12,7 @@
         @Override
         void apply(ReplayedEngine engine, LoadPattern.Event event, VirtualClock time) {
             engine.goDark();
-            time.after((double) event.forMillis(), engine::comeBack);
+            time.schedule((double) event.forMillis(), engine::comeBack);
         }
     },
     /** It ends: answers under way break off, its address refuses connections, and it is back empty after a while. */
@@ -32,7 +32,7 @@
         @Override
         void apply(ReplayedEngine engine, LoadPattern.Event event, VirtualClock time) {
             engine.runAt(event.factor());
-            time.after((double) event.forMillis(), () -> engine.runAt(1));
+            time.schedule((double) event.forMillis(), () -> engine.runAt(1));
         }
     },
     /** It takes up newer weights at once: answers under way are cut, and it takes nothing for a while. */
--- a/standins/src/main/java/org/bankturn/replay/ReplayWorld.java
+++ b/standins/src/main/java/org/bankturn/replay/ReplayWorld.java
@@ -163,7 +163,7 @@
     }
 
     private void agree(Runnable change) {
-        time.after(AGREED_MILLIS, () -> {
+        time.schedule(AGREED_MILLIS, () -> {
             change.run();
             List<Suspect> content = suspects.content();
             gateways.values().forEach(here -> here.forEach(gateway -> gateway.suspects(content)));
@@ -176,7 +176,7 @@
         gateways.values().forEach(here -> here.forEach(ReplayedGateway::start));
         publish();
         sample();
-        pattern.events().forEach(event -> time.after((double) event.atMillis(), () -> applyEvent(event)));
+        pattern.events().forEach(event -> time.schedule((double) event.atMillis(), () -> applyEvent(event)));
         gateways.values().forEach(this::startCallers);
         time.runUntil(pattern.seconds() * MILLIS_PER_SECOND);
         double busy = present.stream().mapToDouble(ReplayedEngine::busyMillis).sum();
@@ -205,7 +205,7 @@
                 samples.put(engine.id(), new Sample(engine.load(), time.now()));
             }
         }
-        time.after(SAMPLE_MILLIS, this::sample);
+        time.schedule(SAMPLE_MILLIS, this::sample);
     }
 
     private void applyEvent(LoadPattern.Event event) {
@@ -215,7 +215,7 @@
             for (int number = 0; number < count; number++) {
                 String dataHall = "hall-" + number % pattern.halls();
                 String id = "engine-" + event.atMillis() + "-" + number;
-                time.after(number * pause, () -> join(id, dataHall));
+                time.schedule(number * pause, () -> join(id, dataHall));
             }
             return;
         }
@@ -227,7 +227,7 @@
         for (int number = 0; number < count; number++) {
             ReplayedEngine hit = shuffled.remove(random.nextInt(shuffled.size()));
             event.type().announce(hit, time.now() + number * pause);
-            time.after(number * pause, () -> event.type().apply(hit, event, time));
+            time.schedule(number * pause, () -> event.type().apply(hit, event, time));
         }
     }
 
@@ -240,12 +240,12 @@
         LoadPattern.Kind kind = pattern.kinds().get(0);
         gateway.take(
                 new ReplayedCall(this, kind, gateway.dataHall(), kind.promptTokens(), kind.answerTokens(), DEADLY));
-        time.after((double) event.overMillis(), () -> comeAgain(event, untilMillis));
+        time.schedule((double) event.overMillis(), () -> comeAgain(event, untilMillis));
     }
 
     private void join(String id, String dataHall) {
         present.add(engine(id, dataHall));
-        time.after(PUBLISHED_MILLIS, this::publish);
+        time.schedule(PUBLISHED_MILLIS, this::publish);
     }
 
     // ---- callers
@@ -261,7 +261,7 @@
         double callers = (double) pattern.halls() * pattern.callersPerHall();
         double perSecond = pattern.requestsPerSecond(time.now()) / callers;
         double pause = perSecond > 0 ? exponential(MILLIS_PER_SECOND / perSecond) : MILLIS_PER_SECOND;
-        time.after(pause, () -> {
+        time.schedule(pause, () -> {
             if (perSecond > 0) {
                 call(own);
             }
--- a/standins/src/main/java/org/bankturn/replay/ReplayedCall.java
+++ b/standins/src/main/java/org/bankturn/replay/ReplayedCall.java
@@ -106,7 +106,7 @@
         }
         cameBack = true;
         world.time()
-                .after(
+                .schedule(
                         Math.min(comeBackMillis, left * MOST_WAIT_SHARE),
                         () -> world.anyGateway(dataHall).take(this));
     }
--- a/standins/src/main/java/org/bankturn/replay/ReplayedEngine.java
+++ b/standins/src/main/java/org/bankturn/replay/ReplayedEngine.java
@@ -100,7 +100,7 @@
         down = true;
         List<EngineTask> lost = loseAll();
         lost.forEach(EngineTask::cut);
-        time.after(forMillis, () -> {
+        time.schedule(forMillis, () -> {
             down = false;
             starts++;
         });
@@ -110,7 +110,7 @@
     void goDark() {
         dark = true;
         List<EngineTask> lost = loseAll();
-        time.after(STALL_MILLIS, () -> lost.forEach(EngineTask::cut));
+        time.schedule(STALL_MILLIS, () -> lost.forEach(EngineTask::cut));
     }
 
     void comeBack() {
@@ -135,7 +135,7 @@
         changing = true;
         List<EngineTask> lost = loseAll();
         lost.forEach(EngineTask::cut);
-        time.after(forMillis, () -> {
+        time.schedule(forMillis, () -> {
             changing = false;
             if (!inPass) {
                 beginPass();
@@ -174,7 +174,7 @@
         List<EngineTask> writing = running.stream().filter(EngineTask::isRead).toList();
         double took = pace * (reading + (writing.isEmpty() ? 0 : model.stepsPerPass() * stepMillis(writing)));
         busyMillis += took;
-        time.after(took, () -> endPass(writing));
+        time.schedule(took, () -> endPass(writing));
     }
 
     private double readPrompts(int mostTokens) {
--- a/standins/src/main/java/org/bankturn/replay/ReplayedGateway.java
+++ b/standins/src/main/java/org/bankturn/replay/ReplayedGateway.java
@@ -87,7 +87,7 @@
     private void planAgain() {
         watch();
         busiest = targets.inFlightAtEngines();
-        time.after(PLAN_MILLIS, this::planAgain);
+        time.schedule(PLAN_MILLIS, this::planAgain);
     }
 
     private void watch() {
@@ -108,7 +108,7 @@
 
     private void askLater() {
         double pause = (double) Math.max(LEAST_PAUSE_MILLIS, questions.nextPollDelayMillis(time.millis()));
-        time.after(pause, () -> {
+        time.schedule(pause, () -> {
             askAllDue();
             askLater();
         });
@@ -128,12 +128,12 @@
     private void ask(ReplayedEngine engine, Runnable then) {
         world.tally().asked();
         if (engine.isDark() || engine.isDown()) {
-            time.after(QUESTION_MILLIS, then);
+            time.schedule(QUESTION_MILLIS, then);
             return;
         }
         double way = world.wayMillis(dataHall, engine.dataHall());
         ReplayWorld.Sample sample = world.sampleOf(engine);
-        time.after(2 * way, () -> {
+        time.schedule(2 * way, () -> {
             long ageMillis = (long) (time.now() - way - sample.atMillis());
             targets.loadReported(engine.id(), sample.load(), ageMillis, (long) (2 * way));
             if (engine.changesInMillis() > 0) {
@@ -167,7 +167,7 @@
         }
         policy.requestArrived(progress);
         Forwarded forwarded = new Forwarded(call, progress);
-        time.after(call.endMillis() - time.now(), forwarded::timeUp);
+        time.schedule(call.endMillis() - time.now(), forwarded::timeUp);
         forwarded.sendToNext();
     }
 
@@ -259,14 +259,14 @@
         void begin() {
             choice.target().requestStarted(request.progress.promptTokens(), time.millis());
             if (engine.isDown()) {
-                time.after(2 * way, this::refusedConnection);
+                time.schedule(2 * way, this::refusedConnection);
                 return;
             }
             request.progress.sent();
             questions.requestSent(time.millis());
             busiest = Math.max(busiest, targets.inFlightAtEngines());
             world.tally().sent();
-            time.after(way + CONNECTION_MILLIS, this::arrive);
+            time.schedule(way + CONNECTION_MILLIS, this::arrive);
             watchSilence();
         }
 
@@ -280,7 +280,7 @@
             }
             if (!engine.offer(task)) {
                 world.tally().rejected();
-                time.after(way, this::rejected);
+                time.schedule(way, this::rejected);
             }
         }
 
@@ -306,7 +306,7 @@
 
         @Override
         public void event(int tokens) {
-            time.after(way, () -> take(tokens));
+            time.schedule(way, () -> take(tokens));
         }
 
         private void take(int tokens) {
@@ -329,7 +329,7 @@
 
         @Override
         public void ended() {
-            time.after(way, () -> {
+            time.schedule(way, () -> {
                 if (!over) {
                     finish();
                     request.over = true;
@@ -351,7 +351,7 @@
             String incarnation = engine.incarnation();
             boolean ended = engine.isDown();
             // the gateway looks at the engine once more before the request goes on
-            time.after(ended ? 3 * way : way, () -> {
+            time.schedule(ended ? 3 * way : way, () -> {
                 if (over) {
                     return;
                 }
@@ -385,7 +385,7 @@
             double left = heardMillis
                     + policy.silenceTimeoutMillis(request.progress, choice, (long) heardMillis)
                     - time.now();
-            time.after(Math.max(1, left), this::checkSilence);
+            time.schedule(Math.max(1, left), this::checkSilence);
         }
 
         private void checkSilence() {
--- a/standins/src/main/java/org/bankturn/replay/VirtualClock.java
+++ b/standins/src/main/java/org/bankturn/replay/VirtualClock.java
@@ -33,7 +33,7 @@
     }
 
     /** Does something later; a delay of 0 or less means after what is planned for now. */
-    void after(double delayMillis, Runnable action) {
+    void schedule(double delayMillis, Runnable action) {
         planned.add(new Planned(now + Math.max(0, delayMillis), sequence++, action));
     }
 
