--- a/standins/src/main/java/org/bankturn/replay/LoadReplay.java
+++ b/standins/src/main/java/org/bankturn/replay/LoadReplay.java
@@ -15,6 +15,6 @@
      * @return the result, not null
      */
     public static ReplayResult run(LoadPattern pattern, PlacementSettings settings, long seed) {
-        return new ReplayWorld(pattern, settings, seed).run();
+        return new ReplaySimulation(pattern, settings, seed).run();
     }
 }
--- a/standins/src/main/java/org/bankturn/replay/ReplayWorld.java
+++ b/standins/src/main/java/org/bankturn/replay/ReplaySimulation.java
@@ -23,9 +23,9 @@
 /**
  * Everything in one replay: engines, gateways and callers in their data halls.
  *
- * <p>ReplayWorld is mutable and not thread-safe.
+ * <p>ReplaySimulation is mutable and not thread-safe.
  */
-final class ReplayWorld {
+final class ReplaySimulation {
     static final String SERVICE = "chat";
 
     /** The request that ends engines, whenever it comes. */
@@ -69,7 +69,7 @@
      */
     record Sample(EngineLoad load, double atMillis) {}
 
-    ReplayWorld(LoadPattern pattern, PlacementSettings settings, long seed) {
+    ReplaySimulation(LoadPattern pattern, PlacementSettings settings, long seed) {
         this.pattern = pattern;
         this.settings = settings;
         this.random = RandomSource.XO_RO_SHI_RO_128_PP.create(seed);
--- a/standins/src/main/java/org/bankturn/replay/ReplayedCall.java
+++ b/standins/src/main/java/org/bankturn/replay/ReplayedCall.java
@@ -11,7 +11,7 @@
 final class ReplayedCall {
     private static final double MOST_WAIT_SHARE = 1.0 / 3;
 
-    private final ReplayWorld world;
+    private final ReplaySimulation simulation;
     private final LoadPattern.Kind kind;
     private final String dataHall;
     private final int promptTokens;
@@ -25,19 +25,19 @@
     private final RequestFingerprint fingerprint;
 
     ReplayedCall(
-            ReplayWorld world,
+            ReplaySimulation simulation,
             LoadPattern.Kind kind,
             String dataHall,
             int promptTokens,
             int answerTokens,
             RequestFingerprint fingerprint) {
         this.fingerprint = fingerprint;
-        this.world = world;
+        this.simulation = simulation;
         this.kind = kind;
         this.dataHall = dataHall;
         this.promptTokens = promptTokens;
         this.answerTokens = answerTokens;
-        this.madeMillis = world.time().now();
+        this.madeMillis = simulation.time().now();
     }
 
     LoadPattern.Kind kind() {
@@ -58,7 +58,7 @@
     }
 
     boolean isDeadly() {
-        return fingerprint.equals(ReplayWorld.DEADLY);
+        return fingerprint.equals(ReplaySimulation.DEADLY);
     }
 
     String dataHall() {
@@ -73,7 +73,7 @@
     // ---- what the gateway tells
 
     void event() {
-        double now = world.time().now();
+        double now = simulation.time().now();
         if (firstEventMillis < 0) {
             firstEventMillis = now;
         } else {
@@ -91,7 +91,7 @@
             return;
         }
         double tookMillis = firstEventMillis - madeMillis;
-        world.tally().answered(madeMillis, tookMillis <= kind.objectiveMillis() && !paused, tookMillis);
+        simulation.tally().answered(madeMillis, tookMillis <= kind.objectiveMillis() && !paused, tookMillis);
     }
 
     /** The request has not run; the caller may come back. */
@@ -99,16 +99,17 @@
         if (over) {
             return;
         }
-        double left = endMillis() - world.time().now();
+        double left = endMillis() - simulation.time().now();
         if (cameBack || left <= 0) {
             failed();
             return;
         }
         cameBack = true;
-        world.time()
+        simulation
+                .time()
                 .schedule(
                         Math.min(comeBackMillis, left * MOST_WAIT_SHARE),
-                        () -> world.anyGateway(dataHall).take(this));
+                        () -> simulation.anyGateway(dataHall).take(this));
     }
 
     void failed() {
@@ -116,15 +117,15 @@
             return;
         }
         if (!cameBack
-                && world.callersRetryFailures()
-                && endMillis() > world.time().now()) {
+                && simulation.callersRetryFailures()
+                && endMillis() > simulation.time().now()) {
             cameBack = true;
-            world.anyGateway(dataHall).take(this);
+            simulation.anyGateway(dataHall).take(this);
             return;
         }
         over = true;
         if (!isDeadly()) {
-            world.tally().lost(madeMillis, cameBack);
+            simulation.tally().lost(madeMillis, cameBack);
         }
     }
 }
--- a/standins/src/main/java/org/bankturn/replay/ReplayedGateway.java
+++ b/standins/src/main/java/org/bankturn/replay/ReplayedGateway.java
@@ -34,7 +34,7 @@
     private static final long LEAST_PAUSE_MILLIS = 20;
     private static final RetryLimits RETRIES = new RetryLimits(0.2, 254, 10_000);
 
-    private final ReplayWorld world;
+    private final ReplaySimulation simulation;
     private final VirtualClock time;
     private final String name;
     private final String dataHall;
@@ -47,9 +47,13 @@
     private int busiest;
 
     ReplayedGateway(
-            ReplayWorld world, String name, String dataHall, PlacementSettings settings, UniformRandomProvider random) {
-        this.world = world;
-        this.time = world.time();
+            ReplaySimulation simulation,
+            String name,
+            String dataHall,
+            PlacementSettings settings,
+            UniformRandomProvider random) {
+        this.simulation = simulation;
+        this.time = simulation.time();
         this.name = name;
         this.dataHall = dataHall;
         this.targets = TargetTable.of(time, dataHall, settings, random);
@@ -74,7 +78,7 @@
     void published(List<TargetSighting> newer) {
         sightings = newer;
         targets.update(newer);
-        policy.update(world.configuration(), OptionalInt.of(world.gatewayCount()));
+        policy.update(simulation.configuration(), OptionalInt.of(simulation.gatewayCount()));
         watch();
     }
 
@@ -94,7 +98,7 @@
         List<WatchPlan.Engine> engines = sightings.stream()
                 .map(each -> new WatchPlan.Engine(each.id(), each.dataHall(), each.slots()))
                 .toList();
-        Set<String> watched = plan.watched(engines, world.gatewaysIn(dataHall), busiest);
+        Set<String> watched = plan.watched(engines, simulation.gatewaysIn(dataHall), busiest);
         Set<String> near = new HashSet<>();
         Set<String> far = new HashSet<>();
         for (TargetSighting each : sightings) {
@@ -116,7 +120,7 @@
 
     private void askAllDue() {
         questions.next(time.millis()).ifPresent(id -> {
-            ask(world.engine(id));
+            ask(simulation.engine(id));
             askAllDue();
         });
     }
@@ -126,13 +130,13 @@
     }
 
     private void ask(ReplayedEngine engine, Runnable then) {
-        world.tally().asked();
+        simulation.tally().asked();
         if (engine.isDark() || engine.isDown()) {
             time.schedule(QUESTION_MILLIS, then);
             return;
         }
-        double way = world.wayMillis(dataHall, engine.dataHall());
-        ReplayWorld.Sample sample = world.sampleOf(engine);
+        double way = simulation.wayMillis(dataHall, engine.dataHall());
+        ReplaySimulation.Sample sample = simulation.sampleOf(engine);
         time.schedule(2 * way, () -> {
             long ageMillis = (long) (time.now() - way - sample.atMillis());
             targets.loadReported(engine.id(), sample.load(), ageMillis, (long) (2 * way));
@@ -155,11 +159,11 @@
                 kind.deadlineMillis(),
                 kind.objectiveMillis(),
                 kind.priority(),
-                List.of(new WeightedService(ReplayWorld.SERVICE, 1)),
+                List.of(new WeightedService(ReplaySimulation.SERVICE, 1)),
                 2,
                 true);
         RequestProgress progress =
-                RequestProgress.of(route, world.service(), call.promptTokens(), (long) call.endMillis());
+                RequestProgress.of(route, simulation.service(), call.promptTokens(), (long) call.endMillis());
         if (suspects.isCondemned(call.fingerprint())) {
             stopped(call);
             call.refused((double) RetryAfter.CONDEMNED_MILLIS);
@@ -173,7 +177,7 @@
 
     private void stopped(ReplayedCall call) {
         if (!call.isDeadly()) {
-            world.tally().soundStopped();
+            simulation.tally().soundStopped();
         }
     }
 
@@ -198,7 +202,7 @@
             if (step instanceof NextStep.PollLoad asking) {
                 int[] open = {asking.targets().size()};
                 asking.targets()
-                        .forEach(id -> ask(world.engine(id), () -> {
+                        .forEach(id -> ask(simulation.engine(id), () -> {
                             if (--open[0] == 0) {
                                 sendToNext();
                             }
@@ -246,8 +250,8 @@
         Turn(Forwarded request, TargetTable.Candidate choice) {
             this.request = request;
             this.choice = choice;
-            this.engine = world.engine(choice.target().sighting().id());
-            this.way = world.wayMillis(dataHall, engine.dataHall());
+            this.engine = simulation.engine(choice.target().sighting().id());
+            this.way = simulation.wayMillis(dataHall, engine.dataHall());
             this.task = EngineTask.of(
                     request.progress.route().priority(),
                     request.progress.promptTokens() + request.tokensPassed,
@@ -265,7 +269,7 @@
             request.progress.sent();
             questions.requestSent(time.millis());
             busiest = Math.max(busiest, targets.inFlightAtEngines());
-            world.tally().sent();
+            simulation.tally().sent();
             time.schedule(way + CONNECTION_MILLIS, this::arrive);
             watchSilence();
         }
@@ -279,7 +283,7 @@
                 return;
             }
             if (!engine.offer(task)) {
-                world.tally().rejected();
+                simulation.tally().rejected();
                 time.schedule(way, this::rejected);
             }
         }
@@ -342,7 +346,7 @@
         private void noteWhole(RequestFingerprint whole) {
             if (!suspects.endedTargetsOf(whole).isEmpty()) {
                 suspects.recordCompletion(whole);
-                world.ranWhole(whole);
+                simulation.ranWhole(whole);
             }
         }
 
@@ -357,7 +361,7 @@
                 }
                 if (ended) {
                     suspects.recordCrash(incarnation, request.call.fingerprint());
-                    world.ended(incarnation, request.call.fingerprint());
+                    simulation.ended(incarnation, request.call.fingerprint());
                 }
                 if (suspects.isCondemned(request.call.fingerprint())) {
                     stopped(request.call);
@@ -376,7 +380,7 @@
             }
             finish();
             choice.target().requestFailed(time.millis());
-            world.tally().takenAway(lost.progress.promptTokens());
+            simulation.tally().takenAway(lost.progress.promptTokens());
             lost.progress.outcomeUnknown();
             lost.sendToNext();
         }
