--- a/standins/src/main/java/org/bankturn/replay/ReplaySimulation.java
+++ b/standins/src/main/java/org/bankturn/replay/ReplaySimulation.java
@@ -50,7 +50,7 @@
     private final LoadPattern pattern;
     private final PlacementSettings settings;
     private final VirtualClock time = new VirtualClock();
-    private final ReplayTally tally = new ReplayTally();
+    private final ReplayStatistics statistics = new ReplayStatistics();
     private final UniformRandomProvider random;
     private final Service service;
     private final Map<String, ReplayedEngine> engines = new HashMap<>();
@@ -100,8 +100,8 @@
         return time;
     }
 
-    ReplayTally tally() {
-        return tally;
+    ReplayStatistics statistics() {
+        return statistics;
     }
 
     Service service() {
@@ -180,8 +180,8 @@
         gateways.values().forEach(this::startCallers);
         time.runUntil(pattern.seconds() * MILLIS_PER_SECOND);
         double busy = present.stream().mapToDouble(ReplayedEngine::busyMillis).sum();
-        tally.enginesEnded(endedUnderDeadly.size());
-        return tally.result(busy / (present.size() * pattern.seconds() * MILLIS_PER_SECOND));
+        statistics.enginesEnded(endedUnderDeadly.size());
+        return statistics.result(busy / (present.size() * pattern.seconds() * MILLIS_PER_SECOND));
     }
 
     private void publish() {
@@ -280,7 +280,7 @@
                 break;
             }
         }
-        tally.owed();
+        statistics.owed();
         RequestFingerprint fingerprint = new RequestFingerprint(0, calls++);
         own.take(new ReplayedCall(
                 this, drawn, own.dataHall(), size(drawn.promptTokens()), size(drawn.answerTokens()), fingerprint));
--- a/standins/src/main/java/org/bankturn/replay/ReplayTally.java
+++ b/standins/src/main/java/org/bankturn/replay/ReplayStatistics.java
@@ -6,9 +6,9 @@
 /**
  * Counts what became of the requests of a replay.
  *
- * <p>ReplayTally is mutable and not thread-safe.
+ * <p>ReplayStatistics is mutable and not thread-safe.
  */
-final class ReplayTally {
+final class ReplayStatistics {
     private static final int DIGITS = 3;
     private static final long MILLIS_PER_SECOND = 1_000;
 
--- a/standins/src/main/java/org/bankturn/replay/ReplayedCall.java
+++ b/standins/src/main/java/org/bankturn/replay/ReplayedCall.java
@@ -91,7 +91,7 @@
             return;
         }
         double tookMillis = firstEventMillis - madeMillis;
-        simulation.tally().answered(madeMillis, tookMillis <= kind.objectiveMillis() && !paused, tookMillis);
+        simulation.statistics().answered(madeMillis, tookMillis <= kind.objectiveMillis() && !paused, tookMillis);
     }
 
     /** The request has not run; the caller may come back. */
@@ -125,7 +125,7 @@
         }
         over = true;
         if (!isDeadly()) {
-            simulation.tally().lost(madeMillis, cameBack);
+            simulation.statistics().lost(madeMillis, cameBack);
         }
     }
 }
--- a/standins/src/main/java/org/bankturn/replay/ReplayedGateway.java
+++ b/standins/src/main/java/org/bankturn/replay/ReplayedGateway.java
@@ -130,7 +130,7 @@
     }
 
     private void ask(ReplayedEngine engine, Runnable then) {
-        simulation.tally().asked();
+        simulation.statistics().asked();
         if (engine.isDark() || engine.isDown()) {
             time.schedule(QUESTION_MILLIS, then);
             return;
@@ -177,7 +177,7 @@
 
     private void stopped(ReplayedCall call) {
         if (!call.isDeadly()) {
-            simulation.tally().soundStopped();
+            simulation.statistics().soundStopped();
         }
     }
 
@@ -269,7 +269,7 @@
             request.progress.sent();
             questions.requestSent(time.millis());
             busiest = Math.max(busiest, targets.inFlightAtEngines());
-            simulation.tally().sent();
+            simulation.statistics().sent();
             time.schedule(way + CONNECTION_MILLIS, this::arrive);
             watchSilence();
         }
@@ -283,7 +283,7 @@
                 return;
             }
             if (!engine.offer(task)) {
-                simulation.tally().rejected();
+                simulation.statistics().rejected();
                 time.schedule(way, this::rejected);
             }
         }
@@ -380,7 +380,7 @@
             }
             finish();
             choice.target().requestFailed(time.millis());
-            simulation.tally().takenAway(lost.progress.promptTokens());
+            simulation.statistics().takenAway(lost.progress.promptTokens());
             lost.progress.outcomeUnknown();
             lost.sendToNext();
         }
