--- a/standins/src/main/java/org/bankturn/replay/ReplayResult.java
+++ b/standins/src/main/java/org/bankturn/replay/ReplayResult.java
@@ -3,7 +3,7 @@
 /**
  * What came of a replay.
  *
- * @param owed the requests that were made
+ * @param requests the requests that were made
  * @param inTime the share answered whole, in time, counted from the first try
  * @param late the share answered whole, late
  * @param lost the share without an answer
@@ -20,7 +20,7 @@
  * @param soundStopped how often a request that ends none was refused or stopped as one that does
  */
 public record ReplayResult(
-        int owed,
+        int requests,
         double inTime,
         double late,
         double lost,
--- a/standins/src/main/java/org/bankturn/replay/ReplayStatistics.java
+++ b/standins/src/main/java/org/bankturn/replay/ReplayStatistics.java
@@ -14,7 +14,7 @@
 
     private final Histogram firstEvents = new Histogram(DIGITS);
     private final TreeMap<Integer, int[]> bySecond = new TreeMap<>();
-    private int owed;
+    private int requests;
     private int inTime;
     private int late;
     private int refused;
@@ -29,7 +29,7 @@
 
     /** A request was made for the first time. */
     void owed() {
-        owed++;
+        requests++;
     }
 
     /** A request got its whole answer, in time or late, counted in the second in which it was made. */
@@ -87,7 +87,7 @@
                 .min()
                 .orElse(0);
         return new ReplayResult(
-                owed,
+                requests,
                 share(inTime),
                 share(late),
                 share(refused),
@@ -98,13 +98,13 @@
                 (double) engineRejections / Math.max(1, sends),
                 (double) takenAway / Math.max(1, sends),
                 tokensReadAgain,
-                (double) questions / Math.max(1, owed),
+                (double) questions / Math.max(1, requests),
                 busyShare,
                 enginesEnded,
                 soundStopped);
     }
 
     private double share(int count) {
-        return (double) count / Math.max(1, owed);
+        return (double) count / Math.max(1, requests);
     }
 }
--- a/standins/src/test/java/org/bankturn/replay/LoadReplayTest.java
+++ b/standins/src/test/java/org/bankturn/replay/LoadReplayTest.java
@@ -142,16 +142,16 @@
     @Test
     void hardly_any_sound_request_is_taken_for_one_that_ends_its_engines() throws IOException {
         int stopped = 0;
-        int owed = 0;
+        int requests = 0;
         for (long seed = 1; seed <= 40; seed++) {
             ReplayResult some = replay("crash-15", PlacementRule.PRESENT, seed);
             stopped += some.soundStopped();
-            owed += some.owed();
+            requests += some.requests();
         }
-        assertThat(stopped * 10_000).isLessThan(owed);
+        assertThat(stopped * 10_000).isLessThan(requests);
         for (long seed = 1; seed <= 4; seed++) {
             ReplayResult most = replay("crash-60", PlacementRule.PRESENT, seed);
-            assertThat((double) most.soundStopped() / most.owed()).isLessThan(0.006);
+            assertThat((double) most.soundStopped() / most.requests()).isLessThan(0.006);
         }
     }
 
