--- a/standins/src/main/java/org/bankturn/replay/ReplaySimulation.java
+++ b/standins/src/main/java/org/bankturn/replay/ReplaySimulation.java
@@ -280,7 +280,7 @@
                 break;
             }
         }
-        statistics.owed();
+        statistics.requestCreated();
         RequestFingerprint fingerprint = new RequestFingerprint(0, calls++);
         own.take(new ReplayedCall(
                 this, drawn, own.dataHall(), size(drawn.promptTokens()), size(drawn.answerTokens()), fingerprint));
--- a/standins/src/main/java/org/bankturn/replay/ReplayStatistics.java
+++ b/standins/src/main/java/org/bankturn/replay/ReplayStatistics.java
@@ -28,7 +28,7 @@
     private int soundStopped;
 
     /** A request was made for the first time. */
-    void owed() {
+    void requestCreated() {
         requests++;
     }
 
