--- a/standins/src/main/java/org/bankturn/replay/ReplayResult.java
+++ b/standins/src/main/java/org/bankturn/replay/ReplayResult.java
@@ -7,7 +7,7 @@
  * @param inTime the share answered whole, in time, counted from the first try
  * @param late the share answered whole, late
  * @param lost the share without an answer
- * @param lostAgain the share without an answer whose callers had come back in vain
+ * @param lostAfterRetry the share without an answer whose callers had come back in vain
  * @param worstSecond the least share in time among the requests of one second
  * @param medianMillis the median time to the first event, of what was answered
  * @param slowMillis the 99th percentile of the same
@@ -24,7 +24,7 @@
         double inTime,
         double late,
         double lost,
-        double lostAgain,
+        double lostAfterRetry,
         double worstSecond,
         long medianMillis,
         long slowMillis,
@@ -43,7 +43,7 @@
 
     /** Returns the share of the credit that is earned, less the price of callers that came back in vain. */
     public double worth() {
-        return credit() - IN_VAIN_PRICE * lostAgain;
+        return credit() - IN_VAIN_PRICE * lostAfterRetry;
     }
 
     /** Returns the share of the credit that is earned. */
--- a/standins/src/main/java/org/bankturn/replay/ReplayStatistics.java
+++ b/standins/src/main/java/org/bankturn/replay/ReplayStatistics.java
@@ -18,7 +18,7 @@
     private int inTime;
     private int late;
     private int refused;
-    private int lostAgain;
+    private int lostAfterRetry;
     private int sends;
     private int engineRejections;
     private int takenAway;
@@ -45,7 +45,7 @@
     /** A request ended without an answer, perhaps after its caller had come back. */
     void lost(double madeMillis, boolean cameBack) {
         refused++;
-        lostAgain += cameBack ? 1 : 0;
+        lostAfterRetry += cameBack ? 1 : 0;
         second(madeMillis)[0]++;
     }
 
@@ -91,7 +91,7 @@
                 share(inTime),
                 share(late),
                 share(refused),
-                share(lostAgain),
+                share(lostAfterRetry),
                 worstSecond,
                 firstEvents.getValueAtPercentile(50),
                 firstEvents.getValueAtPercentile(99),
--- a/standins/src/test/java/org/bankturn/replay/LoadReplayTest.java
+++ b/standins/src/test/java/org/bankturn/replay/LoadReplayTest.java
@@ -59,7 +59,7 @@
     @Test
     void callers_who_come_back_after_a_shortage_are_served() throws IOException {
         ReplayResult result = replay("part-dark", PlacementRule.PRESENT);
-        assertThat(result.lostAgain()).isLessThan(0.02);
+        assertThat(result.lostAfterRetry()).isLessThan(0.02);
         assertThat(result.credit()).isGreaterThan(0.88);
     }
 
