--- a/standins/src/main/java/org/bankturn/bench/ReplayLoadBench.java
+++ b/standins/src/main/java/org/bankturn/bench/ReplayLoadBench.java
@@ -78,7 +78,7 @@
                 .put("medianMillis", mean(results, ReplayResult::medianMillis))
                 .put("slowMillis", mean(results, ReplayResult::slowMillis))
                 .put("rejections", mean(results, ReplayResult::rejections))
-                .put("takenAway", mean(results, ReplayResult::takenAway))
+                .put("takenAway", mean(results, ReplayResult::interrupted))
                 .put("questions", mean(results, ReplayResult::questions))
                 .put("busyShare", mean(results, ReplayResult::busyShare));
     }
--- a/standins/src/main/java/org/bankturn/replay/ReplayResult.java
+++ b/standins/src/main/java/org/bankturn/replay/ReplayResult.java
@@ -12,7 +12,7 @@
  * @param medianMillis the median time to the first event, of what was answered
  * @param slowMillis the 99th percentile of the same
  * @param rejections the share of the sends that engines rejected as full
- * @param takenAway the share of the sends taken away from an engine that was silent or broke off
+ * @param interrupted the share of the sends taken away from an engine that was silent or broke off
  * @param tokensReadAgain prompt tokens that were read more than once for that
  * @param questions questions for load, per request
  * @param busyShare the share of the time in which engines were at work
@@ -29,7 +29,7 @@
         long medianMillis,
         long slowMillis,
         double rejections,
-        double takenAway,
+        double interrupted,
         long tokensReadAgain,
         double questions,
         double busyShare,
--- a/standins/src/main/java/org/bankturn/replay/ReplayStatistics.java
+++ b/standins/src/main/java/org/bankturn/replay/ReplayStatistics.java
@@ -21,7 +21,7 @@
     private int lostAfterRetry;
     private int sends;
     private int engineRejections;
-    private int takenAway;
+    private int interrupted;
     private int questions;
     private long tokensReadAgain;
     private int enginesEnded;
@@ -61,8 +61,8 @@
         engineRejections++;
     }
 
-    void takenAway(int promptTokens) {
-        takenAway++;
+    void interrupted(int promptTokens) {
+        interrupted++;
         tokensReadAgain += promptTokens;
     }
 
@@ -96,7 +96,7 @@
                 firstEvents.getValueAtPercentile(50),
                 firstEvents.getValueAtPercentile(99),
                 (double) engineRejections / Math.max(1, sends),
-                (double) takenAway / Math.max(1, sends),
+                (double) interrupted / Math.max(1, sends),
                 tokensReadAgain,
                 (double) questions / Math.max(1, requests),
                 busyShare,
--- a/standins/src/main/java/org/bankturn/replay/ReplayedGateway.java
+++ b/standins/src/main/java/org/bankturn/replay/ReplayedGateway.java
@@ -380,7 +380,7 @@
             }
             finish();
             choice.target().requestFailed(time.millis());
-            simulation.statistics().takenAway(lost.progress.promptTokens());
+            simulation.statistics().interrupted(lost.progress.promptTokens());
             lost.progress.outcomeUnknown();
             lost.sendToNext();
         }
--- a/standins/src/test/java/org/bankturn/replay/LoadReplayTest.java
+++ b/standins/src/test/java/org/bankturn/replay/LoadReplayTest.java
@@ -18,7 +18,7 @@
         ReplayResult present = replay("joins", PlacementRule.PRESENT);
         assertThat(present.credit()).isGreaterThan(0.93);
         assertThat(present.worstSecond()).isGreaterThan(0.88);
-        assertThat(present.takenAway()).isLessThan(0.005);
+        assertThat(present.interrupted()).isLessThan(0.005);
         assertThat(replay("joins", PlacementRule.WATCH_ALL).credit()).isLessThan(0.80);
     }
 
@@ -91,8 +91,8 @@
         for (long seed = 1; seed <= 4; seed++) {
             ReplayResult present = replay("rolling-change", PlacementRule.PRESENT, seed);
             ReplayResult blind = replay("rolling-change", PlacementRule.BLIND_TO_BREAK_OFFS, seed);
-            cut += present.takenAway();
-            cutBlindly += blind.takenAway();
+            cut += present.interrupted();
+            cutBlindly += blind.interrupted();
             credit += present.credit();
             creditBlindly += blind.credit();
         }
