--- a/standins/src/main/java/org/bankturn/replay/ReplayResult.java
+++ b/standins/src/main/java/org/bankturn/replay/ReplayResult.java
@@ -13,7 +13,7 @@
  * @param slowMillis the 99th percentile of the same
  * @param rejections the share of the sends that engines rejected as full
  * @param interrupted the share of the sends taken away from an engine that was silent or broke off
- * @param tokensReadAgain prompt tokens that were read more than once for that
+ * @param repeatedPromptTokens prompt tokens that were read more than once for that
  * @param questions questions for load, per request
  * @param busyShare the share of the time in which engines were at work
  * @param enginesEnded how often engines ended under a request that ends them
@@ -30,7 +30,7 @@
         long slowMillis,
         double rejections,
         double interrupted,
-        long tokensReadAgain,
+        long repeatedPromptTokens,
         double questions,
         double busyShare,
         int enginesEnded,
--- a/standins/src/main/java/org/bankturn/replay/ReplayStatistics.java
+++ b/standins/src/main/java/org/bankturn/replay/ReplayStatistics.java
@@ -23,7 +23,7 @@
     private int engineRejections;
     private int interrupted;
     private int questions;
-    private long tokensReadAgain;
+    private long repeatedPromptTokens;
     private int enginesEnded;
     private int soundStopped;
 
@@ -63,7 +63,7 @@
 
     void interrupted(int promptTokens) {
         interrupted++;
-        tokensReadAgain += promptTokens;
+        repeatedPromptTokens += promptTokens;
     }
 
     void enginesEnded(int engines) {
@@ -97,7 +97,7 @@
                 firstEvents.getValueAtPercentile(99),
                 (double) engineRejections / Math.max(1, sends),
                 (double) interrupted / Math.max(1, sends),
-                tokensReadAgain,
+                repeatedPromptTokens,
                 (double) questions / Math.max(1, requests),
                 busyShare,
                 enginesEnded,
