--- a/standins/src/main/java/org/bankturn/bench/ReplayLoadBench.java
+++ b/standins/src/main/java/org/bankturn/bench/ReplayLoadBench.java
@@ -79,7 +79,7 @@
                 .put("slowMillis", mean(results, ReplayResult::slowMillis))
                 .put("rejections", mean(results, ReplayResult::rejections))
                 .put("takenAway", mean(results, ReplayResult::interrupted))
-                .put("questions", mean(results, ReplayResult::questions))
+                .put("questions", mean(results, ReplayResult::loadPolls))
                 .put("busyShare", mean(results, ReplayResult::busyShare));
     }
 
--- a/standins/src/main/java/org/bankturn/replay/ReplayResult.java
+++ b/standins/src/main/java/org/bankturn/replay/ReplayResult.java
@@ -14,7 +14,7 @@
  * @param rejections the share of the sends that engines rejected as full
  * @param interrupted the share of the sends taken away from an engine that was silent or broke off
  * @param repeatedPromptTokens prompt tokens that were read more than once for that
- * @param questions questions for load, per request
+ * @param loadPolls questions for load, per request
  * @param busyShare the share of the time in which engines were at work
  * @param enginesEnded how often engines ended under a request that ends them
  * @param soundStopped how often a request that ends none was refused or stopped as one that does
@@ -31,7 +31,7 @@
         double rejections,
         double interrupted,
         long repeatedPromptTokens,
-        double questions,
+        double loadPolls,
         double busyShare,
         int enginesEnded,
         int soundStopped) {
--- a/standins/src/main/java/org/bankturn/replay/ReplayStatistics.java
+++ b/standins/src/main/java/org/bankturn/replay/ReplayStatistics.java
@@ -22,7 +22,7 @@
     private int sends;
     private int engineRejections;
     private int interrupted;
-    private int questions;
+    private int loadPolls;
     private long repeatedPromptTokens;
     private int enginesEnded;
     private int soundStopped;
@@ -76,7 +76,7 @@
     }
 
     void asked() {
-        questions++;
+        loadPolls++;
     }
 
     /** Returns the figures, not null. */
@@ -98,7 +98,7 @@
                 (double) engineRejections / Math.max(1, sends),
                 (double) interrupted / Math.max(1, sends),
                 repeatedPromptTokens,
-                (double) questions / Math.max(1, requests),
+                (double) loadPolls / Math.max(1, requests),
                 busyShare,
                 enginesEnded,
                 soundStopped);
--- a/standins/src/test/java/org/bankturn/replay/LoadReplayTest.java
+++ b/standins/src/test/java/org/bankturn/replay/LoadReplayTest.java
@@ -25,8 +25,8 @@
     /** Seventy questions a request were asked when every gateway watched every engine. */
     @Test
     void questions_follow_the_requests_and_not_gateways_times_engines() throws IOException {
-        assertThat(replay("joins", PlacementRule.PRESENT).questions()).isLessThan(2.5);
-        assertThat(replay("joins", PlacementRule.WATCH_ALL).questions()).isGreaterThan(50);
+        assertThat(replay("joins", PlacementRule.PRESENT).loadPolls()).isLessThan(2.5);
+        assertThat(replay("joins", PlacementRule.WATCH_ALL).loadPolls()).isGreaterThan(50);
     }
 
     @Test
