--- a/standins/src/main/java/org/bankturn/replay/ReplayStatistics.java
+++ b/standins/src/main/java/org/bankturn/replay/ReplayStatistics.java
@@ -75,7 +75,7 @@
         soundStopped++;
     }
 
-    void asked() {
+    void loadPolled() {
         loadPolls++;
     }
 
--- a/standins/src/main/java/org/bankturn/replay/ReplayedGateway.java
+++ b/standins/src/main/java/org/bankturn/replay/ReplayedGateway.java
@@ -130,7 +130,7 @@
     }
 
     private void ask(ReplayedEngine engine, Runnable then) {
-        simulation.statistics().asked();
+        simulation.statistics().loadPolled();
         if (engine.isDark() || engine.isDown()) {
             time.schedule(QUESTION_MILLIS, then);
             return;
