--- a/standins/src/main/java/org/bankturn/replay/ReplayResult.java
+++ b/standins/src/main/java/org/bankturn/replay/ReplayResult.java
@@ -16,7 +16,7 @@
  * @param repeatedPromptTokens prompt tokens that were read more than once for that
  * @param loadPolls questions for load, per request
  * @param busyShare the share of the time in which engines were at work
- * @param enginesEnded how often engines ended under a request that ends them
+ * @param engineCrashes how often engines ended under a request that ends them
  * @param soundStopped how often a request that ends none was refused or stopped as one that does
  */
 public record ReplayResult(
@@ -33,7 +33,7 @@
         long repeatedPromptTokens,
         double loadPolls,
         double busyShare,
-        int enginesEnded,
+        int engineCrashes,
         int soundStopped) {
     /** A late answer is worth about a quarter of one in time, on the users' sheets. */
     private static final double LATE_WORTH = 0.25;
--- a/standins/src/main/java/org/bankturn/replay/ReplaySimulation.java
+++ b/standins/src/main/java/org/bankturn/replay/ReplaySimulation.java
@@ -180,7 +180,7 @@
         gateways.values().forEach(this::startCallers);
         time.runUntil(pattern.seconds() * MILLIS_PER_SECOND);
         double busy = present.stream().mapToDouble(ReplayedEngine::busyMillis).sum();
-        statistics.enginesEnded(endedUnderDeadly.size());
+        statistics.engineCrashes(endedUnderDeadly.size());
         return statistics.result(busy / (present.size() * pattern.seconds() * MILLIS_PER_SECOND));
     }
 
--- a/standins/src/main/java/org/bankturn/replay/ReplayStatistics.java
+++ b/standins/src/main/java/org/bankturn/replay/ReplayStatistics.java
@@ -24,7 +24,7 @@
     private int interrupted;
     private int loadPolls;
     private long repeatedPromptTokens;
-    private int enginesEnded;
+    private int engineCrashes;
     private int soundStopped;
 
     /** A request was made for the first time. */
@@ -66,8 +66,8 @@
         repeatedPromptTokens += promptTokens;
     }
 
-    void enginesEnded(int engines) {
-        enginesEnded = engines;
+    void engineCrashes(int engines) {
+        engineCrashes = engines;
     }
 
     /** A request that ends no engine was taken for one that does. */
@@ -100,7 +100,7 @@
                 repeatedPromptTokens,
                 (double) loadPolls / Math.max(1, requests),
                 busyShare,
-                enginesEnded,
+                engineCrashes,
                 soundStopped);
     }
 
--- a/standins/src/test/java/org/bankturn/replay/LoadReplayTest.java
+++ b/standins/src/test/java/org/bankturn/replay/LoadReplayTest.java
@@ -127,10 +127,10 @@
     @Test
     void a_request_that_ends_its_engines_is_stopped_soon_after_the_third() throws IOException {
         for (long seed = 1; seed <= 4; seed++) {
-            assertThat(replay("deadly", PlacementRule.PRESENT, seed).enginesEnded())
+            assertThat(replay("deadly", PlacementRule.PRESENT, seed).engineCrashes())
                     .isLessThanOrEqualTo(6);
             assertThat(replay("deadly-among-crashes", PlacementRule.PRESENT, seed)
-                            .enginesEnded())
+                            .engineCrashes())
                     .isLessThanOrEqualTo(7);
         }
     }
