--- a/standins/src/main/java/org/bankturn/replay/ReplayResult.java
+++ b/standins/src/main/java/org/bankturn/replay/ReplayResult.java
@@ -17,7 +17,7 @@
  * @param loadPolls questions for load, per request
  * @param busyShare the share of the time in which engines were at work
  * @param engineCrashes how often engines ended under a request that ends them
- * @param soundStopped how often a request that ends none was refused or stopped as one that does
+ * @param falselyCondemned how often a request that ends none was refused or stopped as one that does
  */
 public record ReplayResult(
         int requests,
@@ -34,7 +34,7 @@
         double loadPolls,
         double busyShare,
         int engineCrashes,
-        int soundStopped) {
+        int falselyCondemned) {
     /** A late answer is worth about a quarter of one in time, on the users' sheets. */
     private static final double LATE_WORTH = 0.25;
 
--- a/standins/src/main/java/org/bankturn/replay/ReplayStatistics.java
+++ b/standins/src/main/java/org/bankturn/replay/ReplayStatistics.java
@@ -25,7 +25,7 @@
     private int loadPolls;
     private long repeatedPromptTokens;
     private int engineCrashes;
-    private int soundStopped;
+    private int falselyCondemned;
 
     /** A request was made for the first time. */
     void requestCreated() {
@@ -71,8 +71,8 @@
     }
 
     /** A request that ends no engine was taken for one that does. */
-    void soundStopped() {
-        soundStopped++;
+    void falselyCondemned() {
+        falselyCondemned++;
     }
 
     void loadPolled() {
@@ -101,7 +101,7 @@
                 (double) loadPolls / Math.max(1, requests),
                 busyShare,
                 engineCrashes,
-                soundStopped);
+                falselyCondemned);
     }
 
     private double share(int count) {
--- a/standins/src/main/java/org/bankturn/replay/ReplayedGateway.java
+++ b/standins/src/main/java/org/bankturn/replay/ReplayedGateway.java
@@ -177,7 +177,7 @@
 
     private void stopped(ReplayedCall call) {
         if (!call.isDeadly()) {
-            simulation.statistics().soundStopped();
+            simulation.statistics().falselyCondemned();
         }
     }
 
--- a/standins/src/test/java/org/bankturn/replay/LoadReplayTest.java
+++ b/standins/src/test/java/org/bankturn/replay/LoadReplayTest.java
@@ -145,13 +145,13 @@
         int requests = 0;
         for (long seed = 1; seed <= 40; seed++) {
             ReplayResult some = replay("crash-15", PlacementRule.PRESENT, seed);
-            stopped += some.soundStopped();
+            stopped += some.falselyCondemned();
             requests += some.requests();
         }
         assertThat(stopped * 10_000).isLessThan(requests);
         for (long seed = 1; seed <= 4; seed++) {
             ReplayResult most = replay("crash-60", PlacementRule.PRESENT, seed);
-            assertThat((double) most.soundStopped() / most.requests()).isLessThan(0.006);
+            assertThat((double) most.falselyCondemned() / most.requests()).isLessThan(0.006);
         }
     }
 
