--- a/standins/src/main/java/org/bankturn/replay/ReplayResult.java
+++ b/standins/src/main/java/org/bankturn/replay/ReplayResult.java
@@ -42,7 +42,7 @@
     private static final double IN_VAIN_PRICE = 0.3;
 
     /** Returns the share of the credit that is earned, less the price of callers that came back in vain. */
-    public double worth() {
+    public double creditNetOfRetries() {
         return credit() - IN_VAIN_PRICE * lostAfterRetry;
     }
 
