--- a/standins/src/main/java/org/bankturn/bench/ReplayLoadBench.java
+++ b/standins/src/main/java/org/bankturn/bench/ReplayLoadBench.java
@@ -76,7 +76,7 @@
                 .put("lost", mean(results, ReplayResult::lost))
                 .put("worstSecond", mean(results, ReplayResult::worstSecond))
                 .put("medianMillis", mean(results, ReplayResult::medianMillis))
-                .put("slowMillis", mean(results, ReplayResult::slowMillis))
+                .put("slowMillis", mean(results, ReplayResult::p99Millis))
                 .put("rejections", mean(results, ReplayResult::rejections))
                 .put("takenAway", mean(results, ReplayResult::interrupted))
                 .put("questions", mean(results, ReplayResult::loadPolls))
--- a/standins/src/main/java/org/bankturn/replay/ReplayResult.java
+++ b/standins/src/main/java/org/bankturn/replay/ReplayResult.java
@@ -10,7 +10,7 @@
  * @param lostAfterRetry the share without an answer whose callers had come back in vain
  * @param worstSecond the least share in time among the requests of one second
  * @param medianMillis the median time to the first event, of what was answered
- * @param slowMillis the 99th percentile of the same
+ * @param p99Millis the 99th percentile of the same
  * @param rejections the share of the sends that engines rejected as full
  * @param interrupted the share of the sends taken away from an engine that was silent or broke off
  * @param repeatedPromptTokens prompt tokens that were read more than once for that
@@ -27,7 +27,7 @@
         double lostAfterRetry,
         double worstSecond,
         long medianMillis,
-        long slowMillis,
+        long p99Millis,
         double rejections,
         double interrupted,
         long repeatedPromptTokens,
