--- a/standins/src/main/java/org/bankturn/replay/EngineTask.java
+++ b/standins/src/main/java/org/bankturn/replay/EngineTask.java
@@ -9,7 +9,7 @@
     private final int urgency;
     private final int promptTokens;
     private final Listener listener;
-    private final boolean deadly;
+    private final boolean crashesEngine;
     private int unreadTokens;
     private int tokensLeft;
     private int tokensDone;
@@ -28,12 +28,12 @@
     }
 
     /** Returns a task that has not begun, not null. */
-    static EngineTask of(int urgency, int promptTokens, int tokens, boolean deadly, Listener listener) {
-        return new EngineTask(urgency, promptTokens, tokens, deadly, listener);
+    static EngineTask of(int urgency, int promptTokens, int tokens, boolean crashesEngine, Listener listener) {
+        return new EngineTask(urgency, promptTokens, tokens, crashesEngine, listener);
     }
 
-    private EngineTask(int urgency, int promptTokens, int tokens, boolean deadly, Listener listener) {
-        this.deadly = deadly;
+    private EngineTask(int urgency, int promptTokens, int tokens, boolean crashesEngine, Listener listener) {
+        this.crashesEngine = crashesEngine;
         this.urgency = urgency;
         this.promptTokens = promptTokens;
         this.unreadTokens = promptTokens;
@@ -42,8 +42,8 @@
     }
 
     /** Returns true if an engine ends as it writes the first of it. */
-    boolean isDeadly() {
-        return deadly;
+    boolean crashesEngine() {
+        return crashesEngine;
     }
 
     int urgency() {
--- a/standins/src/main/java/org/bankturn/replay/ReplayedCall.java
+++ b/standins/src/main/java/org/bankturn/replay/ReplayedCall.java
@@ -57,7 +57,7 @@
         return fingerprint;
     }
 
-    boolean isDeadly() {
+    boolean crashesEngine() {
         return fingerprint.equals(ReplaySimulation.DEADLY);
     }
 
@@ -87,7 +87,7 @@
             return;
         }
         over = true;
-        if (isDeadly()) {
+        if (crashesEngine()) {
             return;
         }
         double tookMillis = firstEventMillis - madeMillis;
@@ -124,7 +124,7 @@
             return;
         }
         over = true;
-        if (!isDeadly()) {
+        if (!crashesEngine()) {
             simulation.statistics().lost(madeMillis, cameBack);
         }
     }
--- a/standins/src/main/java/org/bankturn/replay/ReplayedEngine.java
+++ b/standins/src/main/java/org/bankturn/replay/ReplayedEngine.java
@@ -211,7 +211,7 @@
         if (down) {
             return;
         }
-        if (task.isDeadly()) {
+        if (task.crashesEngine()) {
             crash(RESTART_MILLIS);
             return;
         }
--- a/standins/src/main/java/org/bankturn/replay/ReplayedGateway.java
+++ b/standins/src/main/java/org/bankturn/replay/ReplayedGateway.java
@@ -176,7 +176,7 @@
     }
 
     private void stopped(ReplayedCall call) {
-        if (!call.isDeadly()) {
+        if (!call.crashesEngine()) {
             simulation.statistics().falselyCondemned();
         }
     }
@@ -256,7 +256,7 @@
                     request.progress.route().priority(),
                     request.progress.promptTokens() + request.tokensPassed,
                     request.call.answerTokens() - request.tokensPassed,
-                    request.call.isDeadly(),
+                    request.call.crashesEngine(),
                     this);
         }
 
