--- a/standins/src/main/java/org/bankturn/replay/ReplaySimulation.java
+++ b/standins/src/main/java/org/bankturn/replay/ReplaySimulation.java
@@ -29,7 +29,7 @@
     static final String SERVICE = "chat";
 
     /** The request that ends engines, whenever it comes. */
-    static final RequestFingerprint DEADLY = new RequestFingerprint(-1, -1);
+    static final RequestFingerprint CRASHING_REQUEST = new RequestFingerprint(-1, -1);
 
     /** From what a gateway saw to what all gateways know, by way of the control group; 20 to 60 ms on a small site. */
     private static final double AGREED_MILLIS = 60;
@@ -151,7 +151,7 @@
 
     /** A gateway saw that an engine ended under a request. */
     void ended(String incarnation, RequestFingerprint request) {
-        if (request.equals(DEADLY)) {
+        if (request.equals(CRASHING_REQUEST)) {
             endedUnderDeadly.add(incarnation);
         }
         agree(() -> suspects.recordCrash(1, request, incarnation));
@@ -238,8 +238,8 @@
         }
         ReplayedGateway gateway = anyGateway("hall-" + random.nextInt(pattern.halls()));
         LoadPattern.Kind kind = pattern.kinds().get(0);
-        gateway.take(
-                new ReplayedCall(this, kind, gateway.dataHall(), kind.promptTokens(), kind.answerTokens(), DEADLY));
+        gateway.take(new ReplayedCall(
+                this, kind, gateway.dataHall(), kind.promptTokens(), kind.answerTokens(), CRASHING_REQUEST));
         time.schedule((double) event.overMillis(), () -> comeAgain(event, untilMillis));
     }
 
--- a/standins/src/main/java/org/bankturn/replay/ReplayedCall.java
+++ b/standins/src/main/java/org/bankturn/replay/ReplayedCall.java
@@ -58,7 +58,7 @@
     }
 
     boolean crashesEngine() {
-        return fingerprint.equals(ReplaySimulation.DEADLY);
+        return fingerprint.equals(ReplaySimulation.CRASHING_REQUEST);
     }
 
     String dataHall() {
