--- a/standins/src/main/java/org/bankturn/replay/EngineTask.java
+++ b/standins/src/main/java/org/bankturn/replay/EngineTask.java
@@ -62,7 +62,7 @@
         return promptTokens + tokensDone;
     }
 
-    boolean isRead() {
+    boolean isPromptRead() {
         return unreadTokens == 0;
     }
 
--- a/standins/src/main/java/org/bankturn/replay/ReplayedEngine.java
+++ b/standins/src/main/java/org/bankturn/replay/ReplayedEngine.java
@@ -168,10 +168,12 @@
             return;
         }
         inPass = true;
-        List<EngineTask> writers = running.stream().filter(EngineTask::isRead).toList();
+        List<EngineTask> writers =
+                running.stream().filter(EngineTask::isPromptRead).toList();
         int steps = writers.isEmpty() ? 1 : model.stepsPerPass();
         double reading = readPrompts(steps * model.promptTokensPerStep());
-        List<EngineTask> writing = running.stream().filter(EngineTask::isRead).toList();
+        List<EngineTask> writing =
+                running.stream().filter(EngineTask::isPromptRead).toList();
         double took = pace * (reading + (writing.isEmpty() ? 0 : model.stepsPerPass() * stepMillis(writing)));
         busyMillis += took;
         time.schedule(took, () -> endPass(writing));
