--- a/standins/src/main/java/org/bankturn/replay/EngineTask.java
+++ b/standins/src/main/java/org/bankturn/replay/EngineTask.java
@@ -66,7 +66,7 @@
         return unreadTokens == 0;
     }
 
-    boolean isOver() {
+    boolean isFinished() {
         return dropped || tokensLeft == 0;
     }
 
--- a/standins/src/main/java/org/bankturn/replay/ReplayedEngine.java
+++ b/standins/src/main/java/org/bankturn/replay/ReplayedEngine.java
@@ -158,8 +158,8 @@
     // ---- passes
 
     private void beginPass() {
-        running.removeIf(EngineTask::isOver);
-        waiting.removeIf(EngineTask::isOver);
+        running.removeIf(EngineTask::isFinished);
+        waiting.removeIf(EngineTask::isFinished);
         while (running.size() < model.slots() && !waiting.isEmpty()) {
             running.add(waiting.remove(0));
         }
