--- a/standins/src/main/java/org/bankturn/replay/EngineTask.java
+++ b/standins/src/main/java/org/bankturn/replay/EngineTask.java
@@ -13,7 +13,7 @@
     private int unreadTokens;
     private int tokensLeft;
     private int tokensDone;
-    private boolean dropped;
+    private boolean cancelled;
 
     /** Hears of what becomes of a task. */
     interface Listener {
@@ -67,12 +67,12 @@
     }
 
     boolean isFinished() {
-        return dropped || tokensLeft == 0;
+        return cancelled || tokensLeft == 0;
     }
 
     /** Its gateway no longer wants it. */
-    void drop() {
-        dropped = true;
+    void cancel() {
+        cancelled = true;
     }
 
     void read(int tokens) {
@@ -83,7 +83,7 @@
         int written = Math.min(tokens, tokensLeft);
         tokensLeft -= written;
         tokensDone += written;
-        if (dropped) {
+        if (cancelled) {
             return;
         }
         listener.event(written);
@@ -93,8 +93,8 @@
     }
 
     void cut() {
-        if (!dropped) {
-            dropped = true;
+        if (!cancelled) {
+            cancelled = true;
             listener.cut();
         }
     }
--- a/standins/src/main/java/org/bankturn/replay/ReplayedGateway.java
+++ b/standins/src/main/java/org/bankturn/replay/ReplayedGateway.java
@@ -230,7 +230,7 @@
         private void end() {
             over = true;
             if (turn != null) {
-                turn.drop();
+                turn.cancel();
             }
         }
     }
@@ -403,14 +403,14 @@
                 return;
             }
             if (policy.canRetryElsewhere(request.progress)) {
-                task.drop();
+                task.cancel();
                 lost(request);
             }
         }
 
-        void drop() {
+        void cancel() {
             if (!over) {
-                task.drop();
+                task.cancel();
                 finish();
             }
         }
