--- a/standins/src/main/java/org/bankturn/replay/EngineTask.java
+++ b/standins/src/main/java/org/bankturn/replay/EngineTask.java
@@ -75,7 +75,7 @@
         cancelled = true;
     }
 
-    void read(int tokens) {
+    void readPrompt(int tokens) {
         unreadTokens -= tokens;
     }
 
--- a/standins/src/main/java/org/bankturn/replay/ReplayedEngine.java
+++ b/standins/src/main/java/org/bankturn/replay/ReplayedEngine.java
@@ -188,7 +188,7 @@
                 double before = task.promptTokens() - task.unreadTokens();
                 double pairs = tokens * before + tokens * (double) tokens / 2;
                 millis += tokens / model.promptTokensPerMillisecond() + pairs / MILLION * pairsMillisPerMillion;
-                task.read(tokens);
+                task.readPrompt(tokens);
                 left -= tokens;
             }
         }
