--- a/standins/src/main/java/org/bankturn/replay/EngineTask.java
+++ b/standins/src/main/java/org/bankturn/replay/EngineTask.java
@@ -79,7 +79,7 @@
         unreadTokens -= tokens;
     }
 
-    void write(int tokens) {
+    void generate(int tokens) {
         int written = Math.min(tokens, tokensLeft);
         tokensLeft -= written;
         tokensDone += written;
--- a/standins/src/main/java/org/bankturn/replay/ReplayedEngine.java
+++ b/standins/src/main/java/org/bankturn/replay/ReplayedEngine.java
@@ -217,6 +217,6 @@
             crash(RESTART_MILLIS);
             return;
         }
-        task.write(model.stepsPerPass());
+        task.generate(model.stepsPerPass());
     }
 }
