--- a/standins/src/main/java/org/bankturn/replay/EngineTask.java
+++ b/standins/src/main/java/org/bankturn/replay/EngineTask.java
@@ -92,7 +92,7 @@
         }
     }
 
-    void cut() {
+    void interrupt() {
         if (!cancelled) {
             cancelled = true;
             listener.cut();
--- a/standins/src/main/java/org/bankturn/replay/ReplayedEngine.java
+++ b/standins/src/main/java/org/bankturn/replay/ReplayedEngine.java
@@ -99,7 +99,7 @@
         }
         down = true;
         List<EngineTask> lost = loseAll();
-        lost.forEach(EngineTask::cut);
+        lost.forEach(EngineTask::interrupt);
         time.schedule(forMillis, () -> {
             down = false;
             starts++;
@@ -110,7 +110,7 @@
     void goDark() {
         dark = true;
         List<EngineTask> lost = loseAll();
-        time.schedule(STALL_MILLIS, () -> lost.forEach(EngineTask::cut));
+        time.schedule(STALL_MILLIS, () -> lost.forEach(EngineTask::interrupt));
     }
 
     void comeBack() {
@@ -134,7 +134,7 @@
     void change(double forMillis) {
         changing = true;
         List<EngineTask> lost = loseAll();
-        lost.forEach(EngineTask::cut);
+        lost.forEach(EngineTask::interrupt);
         time.schedule(forMillis, () -> {
             changing = false;
             if (!inPass) {
