--- a/standins/src/main/java/org/bankturn/replay/EngineTask.java
+++ b/standins/src/main/java/org/bankturn/replay/EngineTask.java
@@ -18,7 +18,7 @@
     /** Hears of what becomes of a task. */
     interface Listener {
         /** Some more tokens were written, as one event. */
-        void event(int tokens);
+        void tokensGenerated(int tokens);
 
         /** Every token was written. */
         void ended();
@@ -86,7 +86,7 @@
         if (cancelled) {
             return;
         }
-        listener.event(written);
+        listener.tokensGenerated(written);
         if (tokensLeft == 0) {
             listener.ended();
         }
--- a/standins/src/main/java/org/bankturn/replay/ReplayedGateway.java
+++ b/standins/src/main/java/org/bankturn/replay/ReplayedGateway.java
@@ -309,7 +309,7 @@
         }
 
         @Override
-        public void event(int tokens) {
+        public void tokensGenerated(int tokens) {
             time.schedule(way, () -> take(tokens));
         }
 
