--- a/standins/src/main/java/org/bankturn/replay/EngineTask.java
+++ b/standins/src/main/java/org/bankturn/replay/EngineTask.java
@@ -21,7 +21,7 @@
         void tokensGenerated(int tokens);
 
         /** Every token was written. */
-        void ended();
+        void completed();
 
         /** The engine broke off, and the caller notices. */
         void cut();
@@ -88,7 +88,7 @@
         }
         listener.tokensGenerated(written);
         if (tokensLeft == 0) {
-            listener.ended();
+            listener.completed();
         }
     }
 
--- a/standins/src/main/java/org/bankturn/replay/ReplayedGateway.java
+++ b/standins/src/main/java/org/bankturn/replay/ReplayedGateway.java
@@ -332,7 +332,7 @@
         }
 
         @Override
-        public void ended() {
+        public void completed() {
             time.schedule(way, () -> {
                 if (!over) {
                     finish();
