--- a/standins/src/main/java/org/bankturn/replay/EngineTask.java
+++ b/standins/src/main/java/org/bankturn/replay/EngineTask.java
@@ -24,7 +24,7 @@
         void completed();
 
         /** The engine broke off, and the caller notices. */
-        void cut();
+        void interrupted();
     }
 
     /** Returns a task that has not begun, not null. */
@@ -95,7 +95,7 @@
     void interrupt() {
         if (!cancelled) {
             cancelled = true;
-            listener.cut();
+            listener.interrupted();
         }
     }
 }
--- a/standins/src/main/java/org/bankturn/replay/ReplayedGateway.java
+++ b/standins/src/main/java/org/bankturn/replay/ReplayedGateway.java
@@ -279,7 +279,7 @@
                 return;
             }
             if (engine.isDown()) {
-                cut();
+                interrupted();
                 return;
             }
             if (!engine.offer(task)) {
@@ -351,7 +351,7 @@
         }
 
         @Override
-        public void cut() {
+        public void interrupted() {
             String incarnation = engine.incarnation();
             boolean ended = engine.isDown();
             // the gateway looks at the engine once more before the request goes on
