--- a/standins/src/main/java/org/bankturn/replay/ReplaySimulation.java
+++ b/standins/src/main/java/org/bankturn/replay/ReplaySimulation.java
@@ -201,7 +201,7 @@
 
     private void sample() {
         for (ReplayedEngine engine : present) {
-            if (!engine.isDark()) {
+            if (!engine.isUnresponsive()) {
                 samples.put(engine.id(), new Sample(engine.load(), time.now()));
             }
         }
--- a/standins/src/main/java/org/bankturn/replay/ReplayedEngine.java
+++ b/standins/src/main/java/org/bankturn/replay/ReplayedEngine.java
@@ -16,7 +16,7 @@
     private static final double THOUSAND = 1_000;
     private static final double MILLION = 1_000_000;
 
-    /** How long what depends on an engine that went dark stands still before it is cut. */
+    /** How long what depends on an engine that went unresponsive stands still before it is cut. */
     private static final double STALL_MILLIS = 1_500;
 
     /** A target that ended was back after 4 s, as it was seen on a site. */
@@ -31,7 +31,7 @@
     private final List<EngineTask> waiting = new ArrayList<>();
     private final List<EngineTask> running = new ArrayList<>();
     private boolean inPass;
-    private boolean dark;
+    private boolean unresponsive;
     private boolean down;
     private int starts = 1;
     private boolean changing;
@@ -56,8 +56,8 @@
         return dataHall;
     }
 
-    boolean isDark() {
-        return dark;
+    boolean isUnresponsive() {
+        return unresponsive;
     }
 
     /** Returns true if it has ended and not started again. */
@@ -86,7 +86,7 @@
         }
         waiting.add(task);
         waiting.sort(Comparator.comparingInt(EngineTask::urgency));
-        if (!inPass && !dark && !changing) {
+        if (!inPass && !unresponsive && !changing) {
             beginPass();
         }
         return true;
@@ -108,13 +108,13 @@
 
     /** Falls silent; what was there is cut after a while. */
     void goDark() {
-        dark = true;
+        unresponsive = true;
         List<EngineTask> lost = loseAll();
         time.schedule(STALL_MILLIS, () -> lost.forEach(EngineTask::interrupt));
     }
 
     void comeBack() {
-        dark = false;
+        unresponsive = false;
         if (!inPass) {
             beginPass();
         }
@@ -163,7 +163,7 @@
         while (running.size() < model.slots() && !waiting.isEmpty()) {
             running.add(waiting.remove(0));
         }
-        if (running.isEmpty() || dark || changing || down) {
+        if (running.isEmpty() || unresponsive || changing || down) {
             inPass = false;
             return;
         }
@@ -203,7 +203,7 @@
     }
 
     private void endPass(List<EngineTask> writing) {
-        if (!dark && !changing) {
+        if (!unresponsive && !changing) {
             writing.stream().filter(running::contains).toList().forEach(this::write);
         }
         beginPass();
--- a/standins/src/main/java/org/bankturn/replay/ReplayedGateway.java
+++ b/standins/src/main/java/org/bankturn/replay/ReplayedGateway.java
@@ -131,7 +131,7 @@
 
     private void ask(ReplayedEngine engine, Runnable then) {
         simulation.statistics().loadPolled();
-        if (engine.isDark() || engine.isDown()) {
+        if (engine.isUnresponsive() || engine.isDown()) {
             time.schedule(QUESTION_MILLIS, then);
             return;
         }
@@ -275,7 +275,7 @@
         }
 
         private void arrive() {
-            if (over || engine.isDark()) {
+            if (over || engine.isUnresponsive()) {
                 return;
             }
             if (engine.isDown()) {
