--- a/standins/src/main/java/org/bankturn/replay/ReplayEventType.java
+++ b/standins/src/main/java/org/bankturn/replay/ReplayEventType.java
@@ -11,7 +11,7 @@
     DARK {
         @Override
         void apply(ReplayedEngine engine, LoadPattern.Event event, VirtualClock time) {
-            engine.goDark();
+            engine.becomeUnresponsive();
             time.schedule((double) event.forMillis(), engine::comeBack);
         }
     },
--- a/standins/src/main/java/org/bankturn/replay/ReplayedEngine.java
+++ b/standins/src/main/java/org/bankturn/replay/ReplayedEngine.java
@@ -107,7 +107,7 @@
     }
 
     /** Falls silent; what was there is cut after a while. */
-    void goDark() {
+    void becomeUnresponsive() {
         unresponsive = true;
         List<EngineTask> lost = loseAll();
         time.schedule(STALL_MILLIS, () -> lost.forEach(EngineTask::interrupt));
