--- a/standins/src/main/java/org/bankturn/replay/ReplayEventType.java
+++ b/standins/src/main/java/org/bankturn/replay/ReplayEventType.java
@@ -12,7 +12,7 @@
         @Override
         void apply(ReplayedEngine engine, LoadPattern.Event event, VirtualClock time) {
             engine.becomeUnresponsive();
-            time.schedule((double) event.forMillis(), engine::comeBack);
+            time.schedule((double) event.forMillis(), engine::recover);
         }
     },
     /** It ends: answers under way break off, its address refuses connections, and it is back empty after a while. */
--- a/standins/src/main/java/org/bankturn/replay/ReplayedEngine.java
+++ b/standins/src/main/java/org/bankturn/replay/ReplayedEngine.java
@@ -113,7 +113,7 @@
         time.schedule(STALL_MILLIS, () -> lost.forEach(EngineTask::interrupt));
     }
 
-    void comeBack() {
+    void recover() {
         unresponsive = false;
         if (!inPass) {
             beginPass();
