--- a/standins/src/main/java/org/bankturn/replay/ReplayEventType.java
+++ b/standins/src/main/java/org/bankturn/replay/ReplayEventType.java
@@ -44,7 +44,7 @@
 
         @Override
         void announce(ReplayedEngine engine, double atMillis) {
-            engine.willChangeAt(atMillis);
+            engine.announceUpdate(atMillis);
         }
     };
 
--- a/standins/src/main/java/org/bankturn/replay/ReplayedEngine.java
+++ b/standins/src/main/java/org/bankturn/replay/ReplayedEngine.java
@@ -35,7 +35,7 @@
     private boolean down;
     private int starts = 1;
     private boolean changing;
-    private double changesAtMillis = Double.NEGATIVE_INFINITY;
+    private double updateAtMillis = Double.NEGATIVE_INFINITY;
     private double pace = 1;
     private double busyMillis;
 
@@ -121,13 +121,13 @@
     }
 
     /** Is to take up newer weights, which those who ask are told. */
-    void willChangeAt(double millis) {
-        changesAtMillis = millis;
+    void announceUpdate(double millis) {
+        updateAtMillis = millis;
     }
 
     /** Returns how long until it takes up newer weights, negative if it did or will not. */
     double changesInMillis() {
-        return changesAtMillis - time.now();
+        return updateAtMillis - time.now();
     }
 
     /** Takes up newer weights at once: what was there is cut, and nothing is begun for a while. */
