--- a/standins/src/main/java/org/bankturn/replay/ReplayedEngine.java
+++ b/standins/src/main/java/org/bankturn/replay/ReplayedEngine.java
@@ -126,7 +126,7 @@
     }
 
     /** Returns how long until it takes up newer weights, negative if it did or will not. */
-    double changesInMillis() {
+    double millisUntilUpdate() {
         return updateAtMillis - time.now();
     }
 
--- a/standins/src/main/java/org/bankturn/replay/ReplayedGateway.java
+++ b/standins/src/main/java/org/bankturn/replay/ReplayedGateway.java
@@ -140,8 +140,8 @@
         time.schedule(2 * way, () -> {
             long ageMillis = (long) (time.now() - way - sample.atMillis());
             targets.loadReported(engine.id(), sample.load(), ageMillis, (long) (2 * way));
-            if (engine.changesInMillis() > 0) {
-                targets.interruptionAnnounced(engine.id(), (long) engine.changesInMillis());
+            if (engine.millisUntilUpdate() > 0) {
+                targets.interruptionAnnounced(engine.id(), (long) engine.millisUntilUpdate());
             }
             then.run();
         });
