--- a/standins/src/main/java/org/bankturn/replay/ReplayEventType.java
+++ b/standins/src/main/java/org/bankturn/replay/ReplayEventType.java
@@ -39,7 +39,7 @@
     CHANGE {
         @Override
         void apply(ReplayedEngine engine, LoadPattern.Event event, VirtualClock time) {
-            engine.change((double) event.forMillis());
+            engine.updateWeights((double) event.forMillis());
         }
 
         @Override
--- a/standins/src/main/java/org/bankturn/replay/ReplayedEngine.java
+++ b/standins/src/main/java/org/bankturn/replay/ReplayedEngine.java
@@ -34,7 +34,7 @@
     private boolean unresponsive;
     private boolean down;
     private int starts = 1;
-    private boolean changing;
+    private boolean updating;
     private double updateAtMillis = Double.NEGATIVE_INFINITY;
     private double pace = 1;
     private double busyMillis;
@@ -76,7 +76,7 @@
 
     /** Returns what the engine says of itself, not null. */
     EngineLoad load() {
-        return new EngineLoad(running.size(), waiting.size(), 0, model.tokenCapacity(), pace, changing);
+        return new EngineLoad(running.size(), waiting.size(), 0, model.tokenCapacity(), pace, updating);
     }
 
     /** Takes a task; returns false if the engine is full. */
@@ -86,7 +86,7 @@
         }
         waiting.add(task);
         waiting.sort(Comparator.comparingInt(EngineTask::urgency));
-        if (!inPass && !unresponsive && !changing) {
+        if (!inPass && !unresponsive && !updating) {
             beginPass();
         }
         return true;
@@ -131,12 +131,12 @@
     }
 
     /** Takes up newer weights at once: what was there is cut, and nothing is begun for a while. */
-    void change(double forMillis) {
-        changing = true;
+    void updateWeights(double forMillis) {
+        updating = true;
         List<EngineTask> lost = loseAll();
         lost.forEach(EngineTask::interrupt);
         time.schedule(forMillis, () -> {
-            changing = false;
+            updating = false;
             if (!inPass) {
                 beginPass();
             }
@@ -163,7 +163,7 @@
         while (running.size() < model.slots() && !waiting.isEmpty()) {
             running.add(waiting.remove(0));
         }
-        if (running.isEmpty() || unresponsive || changing || down) {
+        if (running.isEmpty() || unresponsive || updating || down) {
             inPass = false;
             return;
         }
@@ -203,7 +203,7 @@
     }
 
     private void endPass(List<EngineTask> writing) {
-        if (!unresponsive && !changing) {
+        if (!unresponsive && !updating) {
             writing.stream().filter(running::contains).toList().forEach(this::write);
         }
         beginPass();
