--- a/standins/src/main/java/org/bankturn/replay/ReplayEventType.java
+++ b/standins/src/main/java/org/bankturn/replay/ReplayEventType.java
@@ -31,8 +31,8 @@
     SLOW {
         @Override
         void apply(ReplayedEngine engine, LoadPattern.Event event, VirtualClock time) {
-            engine.runAt(event.factor());
-            time.schedule((double) event.forMillis(), () -> engine.runAt(1));
+            engine.setSlowdown(event.factor());
+            time.schedule((double) event.forMillis(), () -> engine.setSlowdown(1));
         }
     },
     /** It takes up newer weights at once: answers under way are cut, and it takes nothing for a while. */
--- a/standins/src/main/java/org/bankturn/replay/ReplayedEngine.java
+++ b/standins/src/main/java/org/bankturn/replay/ReplayedEngine.java
@@ -36,7 +36,7 @@
     private int starts = 1;
     private boolean updating;
     private double updateAtMillis = Double.NEGATIVE_INFINITY;
-    private double pace = 1;
+    private double slowdown = 1;
     private double busyMillis;
 
     ReplayedEngine(VirtualClock time, LoadPattern pattern, String id, String dataHall) {
@@ -76,7 +76,7 @@
 
     /** Returns what the engine says of itself, not null. */
     EngineLoad load() {
-        return new EngineLoad(running.size(), waiting.size(), 0, model.tokenCapacity(), pace, updating);
+        return new EngineLoad(running.size(), waiting.size(), 0, model.tokenCapacity(), slowdown, updating);
     }
 
     /** Takes a task; returns false if the engine is full. */
@@ -151,8 +151,8 @@
         return lost;
     }
 
-    void runAt(double newPace) {
-        pace = newPace;
+    void setSlowdown(double factor) {
+        slowdown = factor;
     }
 
     // ---- passes
@@ -174,7 +174,7 @@
         double reading = readPrompts(steps * model.promptTokensPerStep());
         List<EngineTask> writing =
                 running.stream().filter(EngineTask::isPromptRead).toList();
-        double took = pace * (reading + (writing.isEmpty() ? 0 : model.stepsPerPass() * stepMillis(writing)));
+        double took = slowdown * (reading + (writing.isEmpty() ? 0 : model.stepsPerPass() * stepMillis(writing)));
         busyMillis += took;
         time.schedule(took, () -> endPass(writing));
     }
