--- a/standins/src/main/java/org/bankturn/replay/ReplayedCall.java
+++ b/standins/src/main/java/org/bankturn/replay/ReplayedCall.java
@@ -72,7 +72,7 @@
 
     // ---- what the gateway tells
 
-    void event() {
+    void eventReceived() {
         double now = simulation.time().now();
         if (firstEventMillis < 0) {
             firstEventMillis = now;
--- a/standins/src/main/java/org/bankturn/replay/ReplayedGateway.java
+++ b/standins/src/main/java/org/bankturn/replay/ReplayedGateway.java
@@ -328,7 +328,7 @@
             }
             request.tokensPassed += tokens;
             request.progress.eventForwarded("e");
-            request.call.event();
+            request.call.eventReceived();
         }
 
         @Override
