--- a/standins/src/main/java/org/bankturn/replay/ReplayedCall.java
+++ b/standins/src/main/java/org/bankturn/replay/ReplayedCall.java
@@ -95,7 +95,7 @@
     }
 
     /** The request has not run; the caller may come back. */
-    void refused(double comeBackMillis) {
+    void rejected(double comeBackMillis) {
         if (over) {
             return;
         }
--- a/standins/src/main/java/org/bankturn/replay/ReplayedGateway.java
+++ b/standins/src/main/java/org/bankturn/replay/ReplayedGateway.java
@@ -166,7 +166,7 @@
                 RequestProgress.of(route, simulation.service(), call.promptTokens(), (long) call.endMillis());
         if (suspects.isCondemned(call.fingerprint())) {
             stopped(call);
-            call.refused((double) RetryAfter.CONDEMNED_MILLIS);
+            call.rejected((double) RetryAfter.CONDEMNED_MILLIS);
             return;
         }
         policy.requestArrived(progress);
@@ -215,7 +215,7 @@
                 if (progress.mayHaveRun()) {
                     call.failed();
                 } else {
-                    call.refused((double) giveUp.retryAfterMillis());
+                    call.rejected((double) giveUp.retryAfterMillis());
                 }
             }
         }
