--- a/standins/src/main/java/org/bankturn/replay/ReplayedCall.java
+++ b/standins/src/main/java/org/bankturn/replay/ReplayedCall.java
@@ -66,7 +66,7 @@
     }
 
     /** Returns when the caller gives up. */
-    double endMillis() {
+    double expiryMillis() {
         return madeMillis + kind.deadlineMillis();
     }
 
@@ -99,7 +99,7 @@
         if (over) {
             return;
         }
-        double left = endMillis() - simulation.time().now();
+        double left = expiryMillis() - simulation.time().now();
         if (cameBack || left <= 0) {
             failed();
             return;
@@ -118,7 +118,7 @@
         }
         if (!cameBack
                 && simulation.callersRetryFailures()
-                && endMillis() > simulation.time().now()) {
+                && expiryMillis() > simulation.time().now()) {
             cameBack = true;
             simulation.anyGateway(dataHall).take(this);
             return;
--- a/standins/src/main/java/org/bankturn/replay/ReplayedGateway.java
+++ b/standins/src/main/java/org/bankturn/replay/ReplayedGateway.java
@@ -163,7 +163,7 @@
                 2,
                 true);
         RequestProgress progress =
-                RequestProgress.of(route, simulation.service(), call.promptTokens(), (long) call.endMillis());
+                RequestProgress.of(route, simulation.service(), call.promptTokens(), (long) call.expiryMillis());
         if (suspects.isCondemned(call.fingerprint())) {
             stopped(call);
             call.rejected((double) RetryAfter.CONDEMNED_MILLIS);
@@ -171,7 +171,7 @@
         }
         policy.requestArrived(progress);
         Forwarded forwarded = new Forwarded(call, progress);
-        time.schedule(call.endMillis() - time.now(), forwarded::timeUp);
+        time.schedule(call.expiryMillis() - time.now(), forwarded::timeUp);
         forwarded.sendToNext();
     }
 
