--- a/standins/src/main/java/org/bankturn/replay/ReplaySimulation.java
+++ b/standins/src/main/java/org/bankturn/replay/ReplaySimulation.java
@@ -238,7 +238,7 @@
         }
         ReplayedGateway gateway = anyGateway("hall-" + random.nextInt(pattern.halls()));
         LoadPattern.Kind kind = pattern.kinds().get(0);
-        gateway.take(new ReplayedCall(
+        gateway.handle(new ReplayedCall(
                 this, kind, gateway.dataHall(), kind.promptTokens(), kind.answerTokens(), CRASHING_REQUEST));
         time.schedule((double) event.overMillis(), () -> comeAgain(event, untilMillis));
     }
@@ -282,7 +282,7 @@
         }
         statistics.requestCreated();
         RequestFingerprint fingerprint = new RequestFingerprint(0, calls++);
-        own.take(new ReplayedCall(
+        own.handle(new ReplayedCall(
                 this, drawn, own.dataHall(), size(drawn.promptTokens()), size(drawn.answerTokens()), fingerprint));
     }
 
--- a/standins/src/main/java/org/bankturn/replay/ReplayedGateway.java
+++ b/standins/src/main/java/org/bankturn/replay/ReplayedGateway.java
@@ -149,7 +149,7 @@
 
     // ---- requests
 
-    void take(ReplayedCall call) {
+    void handle(ReplayedCall call) {
         LoadPattern.Kind kind = call.kind();
         Route route = new Route(
                 kind.name(),
