--- a/standins/src/main/java/org/bankturn/replay/ReplaySimulation.java
+++ b/standins/src/main/java/org/bankturn/replay/ReplaySimulation.java
@@ -126,7 +126,7 @@
         return names;
     }
 
-    ReplayedGateway anyGateway(String dataHall) {
+    ReplayedGateway randomGateway(String dataHall) {
         List<ReplayedGateway> here = gateways.get(dataHall);
         return here.get(random.nextInt(here.size()));
     }
@@ -236,7 +236,7 @@
         if (time.now() >= untilMillis) {
             return;
         }
-        ReplayedGateway gateway = anyGateway("hall-" + random.nextInt(pattern.halls()));
+        ReplayedGateway gateway = randomGateway("hall-" + random.nextInt(pattern.halls()));
         LoadPattern.Kind kind = pattern.kinds().get(0);
         gateway.handle(new ReplayedCall(
                 this, kind, gateway.dataHall(), kind.promptTokens(), kind.answerTokens(), CRASHING_REQUEST));
--- a/standins/src/main/java/org/bankturn/replay/ReplayedCall.java
+++ b/standins/src/main/java/org/bankturn/replay/ReplayedCall.java
@@ -109,7 +109,7 @@
                 .time()
                 .schedule(
                         Math.min(comeBackMillis, left * MOST_WAIT_SHARE),
-                        () -> simulation.anyGateway(dataHall).handle(this));
+                        () -> simulation.randomGateway(dataHall).handle(this));
     }
 
     void failed() {
@@ -120,7 +120,7 @@
                 && simulation.callersRetryFailures()
                 && expiryMillis() > simulation.time().now()) {
             cameBack = true;
-            simulation.anyGateway(dataHall).handle(this);
+            simulation.randomGateway(dataHall).handle(this);
             return;
         }
         over = true;
