--- a/standins/src/main/java/org/bankturn/replay/ReplaySimulation.java
+++ b/standins/src/main/java/org/bankturn/replay/ReplaySimulation.java
@@ -40,7 +40,7 @@
     /** How long after it joined an engine is known to every gateway. */
     private static final double PUBLISHED_MILLIS = 400;
 
-    private static final double WAY_IN_HALL_MILLIS = 0.1;
+    private static final double LATENCY_IN_HALL_MILLIS = 0.1;
     private static final double PERCENT = 100;
     private static final double MILLIS_PER_SECOND = 1_000;
 
@@ -131,8 +131,8 @@
         return here.get(random.nextInt(here.size()));
     }
 
-    double wayMillis(String from, String to) {
-        return from.equals(to) ? WAY_IN_HALL_MILLIS : pattern.crossHallMillis();
+    double latencyMillis(String from, String to) {
+        return from.equals(to) ? LATENCY_IN_HALL_MILLIS : pattern.crossHallMillis();
     }
 
     /** Returns what the process beside an engine answers: what holds now, or what it saw last where it does not look. */
--- a/standins/src/main/java/org/bankturn/replay/ReplayedGateway.java
+++ b/standins/src/main/java/org/bankturn/replay/ReplayedGateway.java
@@ -135,7 +135,7 @@
             time.schedule(QUESTION_MILLIS, then);
             return;
         }
-        double way = simulation.wayMillis(dataHall, engine.dataHall());
+        double way = simulation.latencyMillis(dataHall, engine.dataHall());
         ReplaySimulation.Sample sample = simulation.sampleOf(engine);
         time.schedule(2 * way, () -> {
             long ageMillis = (long) (time.now() - way - sample.atMillis());
@@ -251,7 +251,7 @@
             this.request = request;
             this.choice = choice;
             this.engine = simulation.engine(choice.target().sighting().id());
-            this.way = simulation.wayMillis(dataHall, engine.dataHall());
+            this.way = simulation.latencyMillis(dataHall, engine.dataHall());
             this.task = EngineTask.of(
                     request.progress.route().priority(),
                     request.progress.promptTokens() + request.tokensPassed,
