--- a/standins/src/main/java/org/bankturn/replay/ReplaySimulation.java
+++ b/standins/src/main/java/org/bankturn/replay/ReplaySimulation.java
@@ -55,7 +55,7 @@
     private final Service service;
     private final Map<String, ReplayedEngine> engines = new HashMap<>();
     private final List<ReplayedEngine> present = new ArrayList<>();
-    private final Map<String, Sample> samples = new HashMap<>();
+    private final Map<String, LoadSample> samples = new HashMap<>();
     private final Map<String, List<ReplayedGateway>> gateways = new HashMap<>();
     private final SuspectTable suspects = SuspectTable.empty();
     private final Set<String> endedUnderDeadly = new HashSet<>();
@@ -67,7 +67,7 @@
      * @param load the engine's load, not null
      * @param atMillis when that was
      */
-    record Sample(EngineLoad load, double atMillis) {}
+    record LoadSample(EngineLoad load, double atMillis) {}
 
     ReplaySimulation(LoadPattern pattern, PlacementSettings settings, long seed) {
         this.pattern = pattern;
@@ -136,11 +136,11 @@
     }
 
     /** Returns what the process beside an engine answers: what holds now, or what it saw last where it does not look. */
-    Sample sampleOf(ReplayedEngine engine) {
+    LoadSample sampleOf(ReplayedEngine engine) {
         if (settings.polledBeforePlacement() > 0) {
-            return new Sample(engine.load(), time.now());
+            return new LoadSample(engine.load(), time.now());
         }
-        return samples.getOrDefault(engine.id(), new Sample(engine.load(), time.now()));
+        return samples.getOrDefault(engine.id(), new LoadSample(engine.load(), time.now()));
     }
 
     boolean callersRetryFailures() {
@@ -202,7 +202,7 @@
     private void sample() {
         for (ReplayedEngine engine : present) {
             if (!engine.isUnresponsive()) {
-                samples.put(engine.id(), new Sample(engine.load(), time.now()));
+                samples.put(engine.id(), new LoadSample(engine.load(), time.now()));
             }
         }
         time.schedule(SAMPLE_MILLIS, this::sample);
