--- a/standins/src/main/java/org/bankturn/replay/ReplaySimulation.java
+++ b/standins/src/main/java/org/bankturn/replay/ReplaySimulation.java
@@ -136,7 +136,7 @@
     }
 
     /** Returns what the process beside an engine answers: what holds now, or what it saw last where it does not look. */
-    LoadSample sampleOf(ReplayedEngine engine) {
+    LoadSample loadSample(ReplayedEngine engine) {
         if (settings.polledBeforePlacement() > 0) {
             return new LoadSample(engine.load(), time.now());
         }
--- a/standins/src/main/java/org/bankturn/replay/ReplayedGateway.java
+++ b/standins/src/main/java/org/bankturn/replay/ReplayedGateway.java
@@ -136,7 +136,7 @@
             return;
         }
         double way = simulation.latencyMillis(dataHall, engine.dataHall());
-        ReplaySimulation.LoadSample sample = simulation.sampleOf(engine);
+        ReplaySimulation.LoadSample sample = simulation.loadSample(engine);
         time.schedule(2 * way, () -> {
             long ageMillis = (long) (time.now() - way - sample.atMillis());
             targets.loadReported(engine.id(), sample.load(), ageMillis, (long) (2 * way));
