--- a/standins/src/main/java/org/bankturn/replay/ReplaySimulation.java
+++ b/standins/src/main/java/org/bankturn/replay/ReplaySimulation.java
@@ -150,7 +150,7 @@
     // ---- what the control group agrees on
 
     /** A gateway saw that an engine ended under a request. */
-    void ended(String incarnation, RequestFingerprint request) {
+    void crashObserved(String incarnation, RequestFingerprint request) {
         if (request.equals(CRASHING_REQUEST)) {
             endedUnderDeadly.add(incarnation);
         }
--- a/standins/src/main/java/org/bankturn/replay/ReplayedGateway.java
+++ b/standins/src/main/java/org/bankturn/replay/ReplayedGateway.java
@@ -361,7 +361,7 @@
                 }
                 if (ended) {
                     suspects.recordCrash(incarnation, request.call.fingerprint());
-                    simulation.ended(incarnation, request.call.fingerprint());
+                    simulation.crashObserved(incarnation, request.call.fingerprint());
                 }
                 if (suspects.isCondemned(request.call.fingerprint())) {
                     stopped(request.call);
