--- a/standins/src/main/java/org/bankturn/replay/ReplaySimulation.java
+++ b/standins/src/main/java/org/bankturn/replay/ReplaySimulation.java
@@ -158,7 +158,7 @@
     }
 
     /** A gateway saw that a suspected request ran to its end. */
-    void ranWhole(RequestFingerprint request) {
+    void completionObserved(RequestFingerprint request) {
         agree(() -> suspects.clear(1, request));
     }
 
--- a/standins/src/main/java/org/bankturn/replay/ReplayedGateway.java
+++ b/standins/src/main/java/org/bankturn/replay/ReplayedGateway.java
@@ -346,7 +346,7 @@
         private void noteWhole(RequestFingerprint whole) {
             if (!suspects.endedTargetsOf(whole).isEmpty()) {
                 suspects.recordCompletion(whole);
-                simulation.ranWhole(whole);
+                simulation.completionObserved(whole);
             }
         }
 
