--- a/standins/src/main/java/org/bankturn/replay/EngineTask.java
+++ b/standins/src/main/java/org/bankturn/replay/EngineTask.java
@@ -1,7 +1,7 @@
 package org.bankturn.replay;
 
 /**
- * One request at one engine.
+ * An attempt to serve a request on one simulated engine.
  *
  * <p>EngineTask is mutable and not thread-safe.
  */
@@ -11,23 +11,23 @@
     private final Listener listener;
     private final boolean crashesEngine;
     private int unreadTokens;
-    private int tokensLeft;
-    private int tokensDone;
+    private int remainingTokens;
+    private int generatedTokens;
     private boolean cancelled;
 
-    /** Hears of what becomes of a task. */
+    /** Receives the progress and the outcome of a task. */
     interface Listener {
-        /** Some more tokens were written, as one event. */
+        /** Called for each event, with the number of tokens that it carries. */
         void tokensGenerated(int tokens);
 
-        /** Every token was written. */
+        /** Called when the answer is complete. */
         void completed();
 
-        /** The engine broke off, and the caller notices. */
+        /** Called when the engine drops the task and closes the connection. */
         void interrupted();
     }
 
-    /** Returns a task that has not begun, not null. */
+    /** Creates a task that has not started, not null. */
     static EngineTask of(int urgency, int promptTokens, int tokens, boolean crashesEngine, Listener listener) {
         return new EngineTask(urgency, promptTokens, tokens, crashesEngine, listener);
     }
@@ -37,11 +37,11 @@
         this.urgency = urgency;
         this.promptTokens = promptTokens;
         this.unreadTokens = promptTokens;
-        this.tokensLeft = tokens;
+        this.remainingTokens = tokens;
         this.listener = listener;
     }
 
-    /** Returns true if an engine ends as it writes the first of it. */
+    /** Returns true if an engine crashes when it generates the first tokens of this task. */
     boolean crashesEngine() {
         return crashesEngine;
     }
@@ -59,7 +59,7 @@
     }
 
     int contextTokens() {
-        return promptTokens + tokensDone;
+        return promptTokens + generatedTokens;
     }
 
     boolean isPromptRead() {
@@ -67,10 +67,10 @@
     }
 
     boolean isFinished() {
-        return cancelled || tokensLeft == 0;
+        return cancelled || remainingTokens == 0;
     }
 
-    /** Its gateway no longer wants it. */
+    /** Cancels the task; its listener is not called again. */
     void cancel() {
         cancelled = true;
     }
@@ -80,14 +80,14 @@
     }
 
     void generate(int tokens) {
-        int written = Math.min(tokens, tokensLeft);
-        tokensLeft -= written;
-        tokensDone += written;
+        int generated = Math.min(tokens, remainingTokens);
+        remainingTokens -= generated;
+        generatedTokens += generated;
         if (cancelled) {
             return;
         }
-        listener.tokensGenerated(written);
-        if (tokensLeft == 0) {
+        listener.tokensGenerated(generated);
+        if (remainingTokens == 0) {
             listener.completed();
         }
     }
--- a/standins/src/main/java/org/bankturn/replay/LoadPattern.java
+++ b/standins/src/main/java/org/bankturn/replay/LoadPattern.java
@@ -4,20 +4,20 @@
 import org.bankturn.service.EngineModel;
 
 /**
- * A load to replay: who calls what, what there is to serve it, and what happens meanwhile.
+ * A load to replay: the deployment, the request rates and the injected events.
  *
- * @param name its name, not null
- * @param seconds how long it lasts
- * @param halls the data halls
- * @param gatewaysPerHall the gateways in each
- * @param enginesPerHall the engines in each, at the start
- * @param callersPerHall the callers in each; a caller keeps its gateway until it is refused or fails
- * @param crossHallMillis the way from one data hall to another, one way
- * @param engine what engines are like, not null
- * @param load how much is called, over time, not null
- * @param kinds what is called, not null
- * @param events what happens meanwhile, not null
- * @param callersRetryFailures true if a caller whose request failed tries once more at once
+ * @param name the name of the pattern, not null
+ * @param seconds the duration
+ * @param halls the number of data halls
+ * @param gatewaysPerHall the number of gateways in each data hall
+ * @param enginesPerHall the number of engines in each data hall at the start
+ * @param callersPerHall the number of callers in each data hall; a caller changes its gateway only to retry
+ * @param crossHallMillis the one-way latency between data halls
+ * @param engine the engine model, not null
+ * @param load the request rate over time, not null
+ * @param kinds the mix of requests, not null
+ * @param events the injected events, not null
+ * @param callersRetryFailures true if a caller retries a failed request once, immediately
  */
 public record LoadPattern(
         String name,
@@ -43,33 +43,33 @@
     }
 
     /**
-     * What engines are like.
+     * The parameters of the engines.
      *
-     * @param model their times and places, not null
-     * @param pairsMicrosPerMillion what a million pairs of prompt tokens add to reading, in microseconds
-     * @param queue the requests that wait beyond the places
+     * @param model step times and slots, not null
+     * @param pairsMicrosPerMillion additional prefill time per million pairs of prompt tokens, in microseconds
+     * @param queue the length of the queue of requests without a slot
      */
     public record Engine(EngineModel model, int pairsMicrosPerMillion, int queue) {}
 
     /**
-     * How much is called from a moment on.
+     * A change of the request rate.
      *
-     * @param atMillis the moment, from the start
-     * @param percent the load, in percent of what the engines bear that are there at the start
+     * @param atMillis the time of the change, from the start
+     * @param percent the load, in percent of the capacity of the initial engines
      */
     public record Step(long atMillis, int percent) {}
 
     /**
      * A kind of request.
      *
-     * @param name its name, not null
-     * @param share its share of the requests, against the other kinds
-     * @param promptTokens the mean size of its prompts
-     * @param answerTokens the mean size of its answers
-     * @param objectiveMillis the time within which the first event is in time
-     * @param pauseMillis the longest pause between events that is in time
-     * @param deadlineMillis how long callers wait
-     * @param priority its rank, 0 first
+     * @param name the name, not null
+     * @param share the relative weight among all kinds
+     * @param promptTokens the mean prompt length
+     * @param answerTokens the mean answer length
+     * @param objectiveMillis the latency objective of the first event
+     * @param pauseMillis the objective for the longest gap between events
+     * @param deadlineMillis the time after which callers give up
+     * @param priority the priority, 0 is highest
      */
     public record Kind(
             String name,
@@ -82,19 +82,19 @@
             int priority) {}
 
     /**
-     * Something that happens.
+     * An injected event.
      *
-     * @param type its type, not null
-     * @param atMillis when, from the start
-     * @param percent the share of the engines that it happens to
-     * @param forMillis how long it lasts for each
-     * @param overMillis the time over which it happens to one engine after the other
-     * @param factor how strong it is, if that matters
+     * @param type the type, not null
+     * @param atMillis the start time, from the start of the replay
+     * @param percent the percentage of engines that are affected
+     * @param forMillis the duration for each engine
+     * @param overMillis the time over which the affected engines are staggered
+     * @param factor the slowdown factor, for SLOW
      */
     public record Event(
             ReplayEventType type, long atMillis, int percent, long forMillis, long overMillis, int factor) {}
 
-    /** Returns the requests a second that the engines bear which are there at the start. */
+    /** Returns the capacity of the initial engines, in requests per second. */
     public double capacityPerSecond() {
         EngineModel model = engine.model();
         double prompt = mean(Kind::promptTokens);
@@ -108,7 +108,7 @@
         return halls * enginesPerHall * begunPerPass / pass * MILLIS_PER_SECOND;
     }
 
-    /** Returns the requests a second at a moment. */
+    /** Returns the request rate at the given time, in requests per second. */
     double requestsPerSecond(double atMillis) {
         int percent = 0;
         for (Step step : load) {
--- a/standins/src/main/java/org/bankturn/replay/LoadPatternReader.java
+++ b/standins/src/main/java/org/bankturn/replay/LoadPatternReader.java
@@ -10,24 +10,24 @@
 import org.bankturn.service.EngineModel;
 
 /**
- * Reads load patterns from YAML files; what is wrong with one is told with its number, file, line and field.
+ * Reads load patterns from YAML files. Errors carry a number, file, line and field.
  *
  * <p>LoadPatternReader has no state.
  */
 public final class LoadPatternReader {
-    private static final int MOST_SECONDS = 3_600;
-    private static final int MOST_HALLS = 100;
-    private static final int MOST_MEMBERS = 10_000;
-    private static final int MOST_TOKENS = 1_000_000;
-    private static final int MOST_PERCENT = 10_000;
-    private static final long MOST_MILLIS = 3_600_000;
+    private static final int MAX_SECONDS = 3_600;
+    private static final int MAX_HALLS = 100;
+    private static final int MAX_MEMBERS = 10_000;
+    private static final int MAX_TOKENS = 1_000_000;
+    private static final int MAX_PERCENT = 10_000;
+    private static final long MAX_MILLIS = 3_600_000;
     private static final double MICROS_PER_MILLI = 1_000;
 
     /**
-     * What came of reading a file.
+     * The result of reading a file.
      *
      * @param pattern the pattern, null if there are errors
-     * @param errors what is wrong, not null
+     * @param errors the errors, not null
      */
     public record Result(LoadPattern pattern, List<DocumentError> errors) {
         /** Copies the errors. */
@@ -54,90 +54,92 @@
         Fields fields = reader.read(text);
         LoadPattern pattern = pattern(fields);
         fields.finish();
-        boolean wrong = !reader.errors().isEmpty();
-        return new Result(wrong ? null : pattern, reader.errors());
+        boolean invalid = !reader.errors().isEmpty();
+        return new Result(invalid ? null : pattern, reader.errors());
     }
 
     private static LoadPattern pattern(Fields fields) {
         return new LoadPattern(
                 fields.text("name"),
-                whole(fields, "seconds", 1, MOST_SECONDS),
-                whole(fields, "halls", 1, MOST_HALLS),
-                whole(fields, "gatewaysPerHall", 1, MOST_MEMBERS),
-                whole(fields, "enginesPerHall", 1, MOST_MEMBERS),
-                whole(fields, "callersPerHall", 1, MOST_MEMBERS),
+                integer(fields, "seconds", 1, MAX_SECONDS),
+                integer(fields, "halls", 1, MAX_HALLS),
+                integer(fields, "gatewaysPerHall", 1, MAX_MEMBERS),
+                integer(fields, "enginesPerHall", 1, MAX_MEMBERS),
+                integer(fields, "callersPerHall", 1, MAX_MEMBERS),
                 millis(fields, "crossHallMicros"),
                 engine(fields.object("engine")),
-                each(fields, "load", LoadPatternReader::step),
-                each(fields, "kinds", LoadPatternReader::kind),
-                fields.has("events") ? each(fields, "events", LoadPatternReader::event) : List.of(),
+                list(fields, "load", LoadPatternReader::step),
+                list(fields, "kinds", LoadPatternReader::kind),
+                fields.has("events") ? list(fields, "events", LoadPatternReader::event) : List.of(),
                 fields.flag("callersRetryFailures", false));
     }
 
     private static LoadPattern.Engine engine(Fields fields) {
         EngineModel model = new EngineModel(
-                whole(fields, "slots", 1, MOST_MEMBERS),
+                integer(fields, "slots", 1, MAX_MEMBERS),
                 fields.number("tokenCapacity", 1, Long.MAX_VALUE),
                 millis(fields, "stepMicros"),
                 millis(fields, "stepMicrosPerRequest"),
                 millis(fields, "stepMicrosPerThousandTokens"),
-                (double) fields.number("promptTokensPerSecond", 1, MOST_TOKENS) / MICROS_PER_MILLI,
-                whole(fields, "promptTokensPerStep", 1, MOST_TOKENS),
-                whole(fields, "stepsPerPass", 1, MOST_TOKENS),
-                whole(fields, "usualAnswerTokens", 1, MOST_TOKENS));
+                (double) fields.number("promptTokensPerSecond", 1, MAX_TOKENS) / MICROS_PER_MILLI,
+                integer(fields, "promptTokensPerStep", 1, MAX_TOKENS),
+                integer(fields, "stepsPerPass", 1, MAX_TOKENS),
+                integer(fields, "usualAnswerTokens", 1, MAX_TOKENS));
         LoadPattern.Engine engine = new LoadPattern.Engine(
-                model, whole(fields, "pairsMicrosPerMillion", 0, MOST_TOKENS), whole(fields, "queue", 0, MOST_MEMBERS));
+                model,
+                integer(fields, "pairsMicrosPerMillion", 0, MAX_TOKENS),
+                integer(fields, "queue", 0, MAX_MEMBERS));
         fields.finish();
         return engine;
     }
 
     private static LoadPattern.Step step(Fields fields) {
         return new LoadPattern.Step(
-                fields.number("atMillis", 0, MOST_MILLIS), whole(fields, "percent", 0, MOST_PERCENT));
+                fields.number("atMillis", 0, MAX_MILLIS), integer(fields, "percent", 0, MAX_PERCENT));
     }
 
     private static LoadPattern.Kind kind(Fields fields) {
         return new LoadPattern.Kind(
                 fields.text("name"),
-                whole(fields, "share", 1, MOST_TOKENS),
-                whole(fields, "promptTokens", 1, MOST_TOKENS),
-                whole(fields, "answerTokens", 1, MOST_TOKENS),
-                whole(fields, "objectiveMillis", 1, MOST_SECONDS),
-                whole(fields, "pauseMillis", 1, MOST_SECONDS),
-                whole(fields, "deadlineMillis", 1, (int) MOST_MILLIS),
-                whole(fields, "priority", 0, MOST_HALLS));
+                integer(fields, "share", 1, MAX_TOKENS),
+                integer(fields, "promptTokens", 1, MAX_TOKENS),
+                integer(fields, "answerTokens", 1, MAX_TOKENS),
+                integer(fields, "objectiveMillis", 1, MAX_SECONDS),
+                integer(fields, "pauseMillis", 1, MAX_SECONDS),
+                integer(fields, "deadlineMillis", 1, (int) MAX_MILLIS),
+                integer(fields, "priority", 0, MAX_HALLS));
     }
 
     private static LoadPattern.Event event(Fields fields) {
         return new LoadPattern.Event(
                 fields.choice("what", ReplayEventType.class, ReplayEventType.SLOW),
-                fields.number("atMillis", 0, MOST_MILLIS),
-                whole(fields, "percent", 0, MOST_PERCENT),
-                fields.number("forMillis", 0, MOST_MILLIS, 0),
-                fields.number("overMillis", 0, MOST_MILLIS, 0),
-                (int) fields.number("factor", 1, MOST_HALLS, 1));
+                fields.number("atMillis", 0, MAX_MILLIS),
+                integer(fields, "percent", 0, MAX_PERCENT),
+                fields.number("forMillis", 0, MAX_MILLIS, 0),
+                fields.number("overMillis", 0, MAX_MILLIS, 0),
+                (int) fields.number("factor", 1, MAX_HALLS, 1));
     }
 
-    /** Reads one entry of a list. */
-    private interface Entry<T> {
+    /** Reads one element of a list. */
+    private interface ElementReader<T> {
         T read(Fields fields);
     }
 
-    private static <T> List<T> each(Fields fields, String name, Entry<T> entry) {
+    private static <T> List<T> list(Fields fields, String name, ElementReader<T> reader) {
         return fields.objects(name).stream()
-                .map(each -> {
-                    T read = entry.read(each);
-                    each.finish();
-                    return read;
+                .map(element -> {
+                    T result = reader.read(element);
+                    element.finish();
+                    return result;
                 })
                 .toList();
     }
 
-    private static int whole(Fields fields, String name, int least, int most) {
-        return (int) fields.number(name, least, most);
+    private static int integer(Fields fields, String name, int min, int max) {
+        return (int) fields.number(name, min, max);
     }
 
     private static double millis(Fields fields, String name) {
-        return (double) fields.number(name, 0, MOST_TOKENS) / MICROS_PER_MILLI;
+        return (double) fields.number(name, 0, MAX_TOKENS) / MICROS_PER_MILLI;
     }
 }
--- a/standins/src/main/java/org/bankturn/replay/LoadReplay.java
+++ b/standins/src/main/java/org/bankturn/replay/LoadReplay.java
@@ -2,7 +2,7 @@
 
 import org.bankturn.routing.PlacementSettings;
 
-/** Replays load patterns; the same pattern, settings and seed give the same result. */
+/** Replays load patterns deterministically: the same pattern, settings and seed give the same result. */
 public final class LoadReplay {
     private LoadReplay() {}
 
@@ -10,8 +10,8 @@
      * Replays a pattern.
      *
      * @param pattern the pattern, not null
-     * @param settings how gateways place requests, not null
-     * @param seed of the random numbers
+     * @param settings the placement settings of the gateways, not null
+     * @param seed the seed of the random numbers
      * @return the result, not null
      */
     public static ReplayResult run(LoadPattern pattern, PlacementSettings settings, long seed) {
--- a/standins/src/main/java/org/bankturn/replay/PlacementRule.java
+++ b/standins/src/main/java/org/bankturn/replay/PlacementRule.java
@@ -2,26 +2,26 @@
 
 import org.bankturn.routing.PlacementSettings;
 
-/** Ways to place requests that are compared in replays. */
+/** Placement policies that replays compare. */
 public enum PlacementRule {
-    /** What gateways use. */
+    /** The default settings. */
     PRESENT,
-    /** The same, without regard to engines that will soon break off what they run. */
+    /** The default, but ignores announced interruptions of engines. */
     BLIND_TO_BREAK_OFFS,
-    /** The same as the first, with questions in turn in place of questions before a request is placed. */
+    /** The default, but polls engines periodically instead of before each placement. */
     ASK_IN_TURN,
-    /** What gateways used before: each watches every engine and takes the best. */
+    /** Each gateway watches every engine and chooses the best. */
     WATCH_ALL,
-    /** Power of two choices over every engine, with the news that gateways had before. */
+    /** Power of two choices over all engines, with periodically polled load. */
     TWO_OF_ALL,
-    /** Any engine of the own data hall, at random. */
+    /** A random engine of the local data hall. */
     RANDOM;
 
     private static final int ALL = Integer.MAX_VALUE;
-    private static final double ANY_TIME = Double.MAX_VALUE;
-    private static final long SELDOM_MILLIS = 10_000;
+    private static final double NO_TIME_LIMIT = Double.MAX_VALUE;
+    private static final long RARE_POLL_MILLIS = 10_000;
 
-    /** Returns the settings of gateways that place requests like that, not null. */
+    /** Returns the placement settings for this policy, not null. */
     public PlacementSettings settings() {
         return switch (this) {
             case PRESENT -> PlacementSettings.DEFAULT;
@@ -29,9 +29,10 @@
                 new PlacementSettings(8, 2, 3, 4, 16, 3, 2, 150, 0.1, 12, 0.5, false, 2_000, 4_000);
             case ASK_IN_TURN -> new PlacementSettings(8, 2, 3, 4, 0, 3, 0, 0, 0.1, 12, 0.5, false, 500, 2_000);
             case WATCH_ALL -> PlacementSettings.WATCH_ALL;
-            case TWO_OF_ALL -> new PlacementSettings(ALL, 0, 0, ALL, 0, 2, 0, 0, 0, 12, ANY_TIME, false, 120, 300);
+            case TWO_OF_ALL -> new PlacementSettings(ALL, 0, 0, ALL, 0, 2, 0, 0, 0, 12, NO_TIME_LIMIT, false, 120, 300);
             case RANDOM ->
-                new PlacementSettings(ALL, 0, 0, ALL, 0, 1, 0, 0, 0, 12, ANY_TIME, false, SELDOM_MILLIS, SELDOM_MILLIS);
+                new PlacementSettings(
+                        ALL, 0, 0, ALL, 0, 1, 0, 0, 0, 12, NO_TIME_LIMIT, false, RARE_POLL_MILLIS, RARE_POLL_MILLIS);
         };
     }
 }
--- a/standins/src/main/java/org/bankturn/replay/ReplayEventType.java
+++ b/standins/src/main/java/org/bankturn/replay/ReplayEventType.java
@@ -1,13 +1,13 @@
 package org.bankturn.replay;
 
-/** What may happen to an engine in a replay. */
+/** The events that a load pattern injects into a replay. */
 public enum ReplayEventType {
-    /** It is not there before, and joins. */
+    /** New engines join. */
     JOIN {
         @Override
         void apply(ReplayedEngine engine, LoadPattern.Event event, VirtualClock time) {}
     },
-    /** It falls silent, and is back after a while. */
+    /** The engine is unresponsive for a while. */
     DARK {
         @Override
         void apply(ReplayedEngine engine, LoadPattern.Event event, VirtualClock time) {
@@ -15,19 +15,19 @@
             time.schedule((double) event.forMillis(), engine::recover);
         }
     },
-    /** It ends: answers under way break off, its address refuses connections, and it is back empty after a while. */
+    /** The engine crashes: its answers are cut off, its address refuses connections, and it restarts empty. */
     CRASH {
         @Override
         void apply(ReplayedEngine engine, LoadPattern.Event event, VirtualClock time) {
             engine.crash((double) event.forMillis());
         }
     },
-    /** A request that ends each engine that begins to run it comes to any gateway, again and again for a while. */
+    /** A request that crashes every engine that runs it is sent repeatedly to random gateways. */
     DEADLY {
         @Override
         void apply(ReplayedEngine engine, LoadPattern.Event event, VirtualClock time) {}
     },
-    /** It is slower by a factor for a while. */
+    /** The engine is slower by a factor for a while. */
     SLOW {
         @Override
         void apply(ReplayedEngine engine, LoadPattern.Event event, VirtualClock time) {
@@ -35,7 +35,7 @@
             time.schedule((double) event.forMillis(), () -> engine.setSlowdown(1));
         }
     },
-    /** It takes up newer weights at once: answers under way are cut, and it takes nothing for a while. */
+    /** The engine updates its weights: its answers are cut off, and it starts none for a while. */
     CHANGE {
         @Override
         void apply(ReplayedEngine engine, LoadPattern.Event event, VirtualClock time) {
@@ -48,9 +48,9 @@
         }
     };
 
-    /** Lets an engine know of it ahead, if it is of the kind that one knows of. */
+    /** Announces a planned event to the engine; does nothing for unplanned ones. */
     void announce(ReplayedEngine engine, double atMillis) {}
 
-    /** Lets it happen to an engine that is there. */
+    /** Applies the event to an engine. */
     abstract void apply(ReplayedEngine engine, LoadPattern.Event event, VirtualClock time);
 }
--- a/standins/src/main/java/org/bankturn/replay/ReplayResult.java
+++ b/standins/src/main/java/org/bankturn/replay/ReplayResult.java
@@ -1,23 +1,23 @@
 package org.bankturn.replay;
 
 /**
- * What came of a replay.
+ * The metrics of a replay.
  *
- * @param requests the requests that were made
- * @param inTime the share answered whole, in time, counted from the first try
- * @param late the share answered whole, late
+ * @param requests the number of requests
+ * @param inTime the share answered completely and within the objectives, measured from the first attempt
+ * @param late the share answered completely but late
  * @param lost the share without an answer
- * @param lostAfterRetry the share without an answer whose callers had come back in vain
- * @param worstSecond the least share in time among the requests of one second
- * @param medianMillis the median time to the first event, of what was answered
- * @param p99Millis the 99th percentile of the same
- * @param rejections the share of the sends that engines rejected as full
- * @param interrupted the share of the sends taken away from an engine that was silent or broke off
- * @param repeatedPromptTokens prompt tokens that were read more than once for that
- * @param loadPolls questions for load, per request
- * @param busyShare the share of the time in which engines were at work
- * @param engineCrashes how often engines ended under a request that ends them
- * @param falselyCondemned how often a request that ends none was refused or stopped as one that does
+ * @param lostAfterRetry the share without an answer after a retry by the caller
+ * @param worstSecond the lowest share answered in time among the requests created in one second
+ * @param medianMillis the median time to the first event of answered requests
+ * @param p99Millis the 99th percentile of the time to the first event
+ * @param rejections the share of attempts that engines rejected as full
+ * @param interrupted the share of attempts lost to unresponsive or interrupted engines
+ * @param repeatedPromptTokens prompt tokens that were read again because of interrupted attempts
+ * @param loadPolls load polls per request
+ * @param busyShare the share of time in which engines were busy
+ * @param engineCrashes the number of engine crashes caused by the crashing request
+ * @param falselyCondemned how often a harmless request was rejected as a crashing one
  */
 public record ReplayResult(
         int requests,
@@ -35,19 +35,19 @@
         double busyShare,
         int engineCrashes,
         int falselyCondemned) {
-    /** A late answer is worth about a quarter of one in time, on the users' sheets. */
-    private static final double LATE_WORTH = 0.25;
+    /** The credit of a late answer, relative to one in time. */
+    private static final double LATE_CREDIT = 0.25;
 
-    /** A caller that came back in vain costs that share of its credit, on the users' pages. */
-    private static final double IN_VAIN_PRICE = 0.3;
+    /** The penalty for a request that failed after a retry. */
+    private static final double FAILED_RETRY_PENALTY = 0.3;
 
-    /** Returns the share of the credit that is earned, less the price of callers that came back in vain. */
+    /** Returns the earned credit less the penalty for failed retries. */
     public double creditNetOfRetries() {
-        return credit() - IN_VAIN_PRICE * lostAfterRetry;
+        return credit() - FAILED_RETRY_PENALTY * lostAfterRetry;
     }
 
-    /** Returns the share of the credit that is earned. */
+    /** Returns the earned share of the possible credit. */
     public double credit() {
-        return inTime + LATE_WORTH * late;
+        return inTime + LATE_CREDIT * late;
     }
 }
--- a/standins/src/main/java/org/bankturn/replay/ReplaySimulation.java
+++ b/standins/src/main/java/org/bankturn/replay/ReplaySimulation.java
@@ -21,31 +21,31 @@
 import org.bankturn.service.ServingConfiguration;
 
 /**
- * Everything in one replay: engines, gateways and callers in their data halls.
+ * A discrete-event simulation of the engines, gateways and callers of all data halls.
  *
  * <p>ReplaySimulation is mutable and not thread-safe.
  */
 final class ReplaySimulation {
     static final String SERVICE = "chat";
 
-    /** The request that ends engines, whenever it comes. */
+    /** The fingerprint of the request that crashes engines. */
     static final RequestFingerprint CRASHING_REQUEST = new RequestFingerprint(-1, -1);
 
-    /** From what a gateway saw to what all gateways know, by way of the control group; 20 to 60 ms on a small site. */
-    private static final double AGREED_MILLIS = 60;
+    /** The time until all gateways know of an agreed change. */
+    private static final double AGREEMENT_MILLIS = 60;
 
-    /** How old news could be, before the process beside an engine looked when it was asked: it looked that often. */
+    /** The sampling interval of engine load, unless engines are polled before placement. */
     private static final double SAMPLE_MILLIS = 100;
 
-    /** How long after it joined an engine is known to every gateway. */
-    private static final double PUBLISHED_MILLIS = 400;
+    /** The time until all gateways know of a joined engine. */
+    private static final double PUBLICATION_MILLIS = 400;
 
     private static final double LATENCY_IN_HALL_MILLIS = 0.1;
     private static final double PERCENT = 100;
     private static final double MILLIS_PER_SECOND = 1_000;
 
-    /** Sizes vary by about as much as their mean, as on the users' sheets; none is larger than that many means. */
-    private static final double MOST_MEANS = 4;
+    /** The upper limit of exponentially distributed sizes, as a multiple of their mean. */
+    private static final double MAX_SIZE_MEANS = 4;
 
     private final LoadPattern pattern;
     private final PlacementSettings settings;
@@ -58,14 +58,14 @@
     private final Map<String, LoadSample> samples = new HashMap<>();
     private final Map<String, List<ReplayedGateway>> gateways = new HashMap<>();
     private final SuspectTable suspects = SuspectTable.empty();
-    private final Set<String> endedUnderDeadly = new HashSet<>();
+    private final Set<String> crashedIncarnations = new HashSet<>();
     private long calls;
 
     /**
-     * What the process beside an engine knows.
+     * A sample of the load of an engine.
      *
-     * @param load the engine's load, not null
-     * @param atMillis when that was
+     * @param load the load, not null
+     * @param atMillis the time of the sample
      */
     record LoadSample(EngineLoad load, double atMillis) {}
 
@@ -135,7 +135,7 @@
         return from.equals(to) ? LATENCY_IN_HALL_MILLIS : pattern.crossHallMillis();
     }
 
-    /** Returns what the process beside an engine answers: what holds now, or what it saw last where it does not look. */
+    /** Returns the load that a poll reports: the current load if polled before placement, else the last sample. */
     LoadSample loadSample(ReplayedEngine engine) {
         if (settings.polledBeforePlacement() > 0) {
             return new LoadSample(engine.load(), time.now());
@@ -147,23 +147,23 @@
         return pattern.callersRetryFailures();
     }
 
-    // ---- what the control group agrees on
+    // ---- changes agreed by the control group
 
-    /** A gateway saw that an engine ended under a request. */
+    /** Records that a gateway saw an engine crash while it ran a request. */
     void crashObserved(String incarnation, RequestFingerprint request) {
         if (request.equals(CRASHING_REQUEST)) {
-            endedUnderDeadly.add(incarnation);
+            crashedIncarnations.add(incarnation);
         }
         agree(() -> suspects.recordCrash(1, request, incarnation));
     }
 
-    /** A gateway saw that a suspected request ran to its end. */
+    /** Records that a gateway saw a suspect request complete. */
     void completionObserved(RequestFingerprint request) {
         agree(() -> suspects.clear(1, request));
     }
 
     private void agree(Runnable change) {
-        time.schedule(AGREED_MILLIS, () -> {
+        time.schedule(AGREEMENT_MILLIS, () -> {
             change.run();
             List<Suspect> content = suspects.content();
             gateways.values().forEach(here -> here.forEach(gateway -> gateway.suspects(content)));
@@ -180,7 +180,7 @@
         gateways.values().forEach(this::startCallers);
         time.runUntil(pattern.seconds() * MILLIS_PER_SECOND);
         double busy = present.stream().mapToDouble(ReplayedEngine::busyMillis).sum();
-        statistics.engineCrashes(endedUnderDeadly.size());
+        statistics.engineCrashes(crashedIncarnations.size());
         return statistics.result(busy / (present.size() * pattern.seconds() * MILLIS_PER_SECOND));
     }
 
@@ -220,19 +220,19 @@
             return;
         }
         if (event.type() == ReplayEventType.DEADLY) {
-            comeAgain(event, time.now() + event.forMillis());
+            repeatCrashingRequest(event, time.now() + event.forMillis());
             return;
         }
         List<ReplayedEngine> shuffled = new ArrayList<>(present);
         for (int number = 0; number < count; number++) {
-            ReplayedEngine hit = shuffled.remove(random.nextInt(shuffled.size()));
-            event.type().announce(hit, time.now() + number * pause);
-            time.schedule(number * pause, () -> event.type().apply(hit, event, time));
+            ReplayedEngine affected = shuffled.remove(random.nextInt(shuffled.size()));
+            event.type().announce(affected, time.now() + number * pause);
+            time.schedule(number * pause, () -> event.type().apply(affected, event, time));
         }
     }
 
-    /** The deadly request comes to any gateway, and again after a pause. */
-    private void comeAgain(LoadPattern.Event event, double untilMillis) {
+    /** Sends the crashing request to a random gateway, and repeats it until the end of the event. */
+    private void repeatCrashingRequest(LoadPattern.Event event, double untilMillis) {
         if (time.now() >= untilMillis) {
             return;
         }
@@ -240,12 +240,12 @@
         LoadPattern.Kind kind = pattern.kinds().get(0);
         gateway.handle(new ReplayedCall(
                 this, kind, gateway.dataHall(), kind.promptTokens(), kind.answerTokens(), CRASHING_REQUEST));
-        time.schedule((double) event.overMillis(), () -> comeAgain(event, untilMillis));
+        time.schedule((double) event.overMillis(), () -> repeatCrashingRequest(event, untilMillis));
     }
 
     private void join(String id, String dataHall) {
         present.add(engine(id, dataHall));
-        time.schedule(PUBLISHED_MILLIS, this::publish);
+        time.schedule(PUBLICATION_MILLIS, this::publish);
     }
 
     // ---- callers
@@ -253,11 +253,11 @@
     private void startCallers(List<ReplayedGateway> here) {
         for (int number = 0; number < pattern.callersPerHall(); number++) {
             ReplayedGateway own = here.get(random.nextInt(here.size()));
-            callLater(own);
+            scheduleNextCall(own);
         }
     }
 
-    private void callLater(ReplayedGateway own) {
+    private void scheduleNextCall(ReplayedGateway own) {
         double callers = (double) pattern.halls() * pattern.callersPerHall();
         double perSecond = pattern.requestsPerSecond(time.now()) / callers;
         double pause = perSecond > 0 ? exponential(MILLIS_PER_SECOND / perSecond) : MILLIS_PER_SECOND;
@@ -265,7 +265,7 @@
             if (perSecond > 0) {
                 call(own);
             }
-            callLater(own);
+            scheduleNextCall(own);
         });
     }
 
@@ -287,7 +287,7 @@
     }
 
     private int size(int mean) {
-        return (int) Math.max(1, Math.min(MOST_MEANS * mean, exponential(mean)));
+        return (int) Math.max(1, Math.min(MAX_SIZE_MEANS * mean, exponential(mean)));
     }
 
     private double exponential(double mean) {
--- a/standins/src/main/java/org/bankturn/replay/ReplayStatistics.java
+++ b/standins/src/main/java/org/bankturn/replay/ReplayStatistics.java
@@ -4,7 +4,7 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * Counts what became of the requests of a replay.
+ * Collects the metrics of a replay.
  *
  * <p>ReplayStatistics is mutable and not thread-safe.
  */
@@ -17,7 +17,7 @@
     private int requests;
     private int inTime;
     private int late;
-    private int refused;
+    private int lost;
     private int lostAfterRetry;
     private int sends;
     private int engineRejections;
@@ -27,26 +27,26 @@
     private int engineCrashes;
     private int falselyCondemned;
 
-    /** A request was made for the first time. */
+    /** Records the first attempt of a request. */
     void requestCreated() {
         requests++;
     }
 
-    /** A request got its whole answer, in time or late, counted in the second in which it was made. */
-    void answered(double madeMillis, boolean wasInTime, double firstEventMillis) {
+    /** Records a complete answer, attributed to the second in which the request was created. */
+    void answered(double createdMillis, boolean wasInTime, double firstEventMillis) {
         inTime += wasInTime ? 1 : 0;
         late += wasInTime ? 0 : 1;
         firstEvents.recordValue((long) firstEventMillis);
-        int[] second = second(madeMillis);
+        int[] second = second(createdMillis);
         second[0]++;
         second[1] += wasInTime ? 1 : 0;
     }
 
-    /** A request ended without an answer, perhaps after its caller had come back. */
-    void lost(double madeMillis, boolean cameBack) {
-        refused++;
-        lostAfterRetry += cameBack ? 1 : 0;
-        second(madeMillis)[0]++;
+    /** Records a request that ended without an answer. */
+    void lost(double createdMillis, boolean retried) {
+        lost++;
+        lostAfterRetry += retried ? 1 : 0;
+        second(createdMillis)[0]++;
     }
 
     private int[] second(double millis) {
@@ -70,7 +70,7 @@
         engineCrashes = engines;
     }
 
-    /** A request that ends no engine was taken for one that does. */
+    /** Records a harmless request that was rejected as a crashing one. */
     void falselyCondemned() {
         falselyCondemned++;
     }
@@ -79,7 +79,7 @@
         loadPolls++;
     }
 
-    /** Returns the figures, not null. */
+    /** Returns the metrics, not null. */
     ReplayResult result(double busyShare) {
         double worstSecond = bySecond.values().stream()
                 .filter(second -> second[0] > 0)
@@ -90,7 +90,7 @@
                 requests,
                 share(inTime),
                 share(late),
-                share(refused),
+                share(lost),
                 share(lostAfterRetry),
                 worstSecond,
                 firstEvents.getValueAtPercentile(50),
--- a/standins/src/main/java/org/bankturn/replay/ReplayedCall.java
+++ b/standins/src/main/java/org/bankturn/replay/ReplayedCall.java
@@ -3,25 +3,25 @@
 import org.bankturn.crash.RequestFingerprint;
 
 /**
- * A caller's request, from its first try to its end.
+ * A caller's request, including its retry.
  *
- * <p>A caller that is refused comes back once, when it is told, but never later than after a third of the time left.
+ * <p>A rejected caller retries once after the given delay, but no later than after a third of the remaining time.
  * ReplayedCall is mutable and not thread-safe.
  */
 final class ReplayedCall {
-    private static final double MOST_WAIT_SHARE = 1.0 / 3;
+    private static final double MAX_RETRY_DELAY_SHARE = 1.0 / 3;
 
     private final ReplaySimulation simulation;
     private final LoadPattern.Kind kind;
     private final String dataHall;
     private final int promptTokens;
     private final int answerTokens;
-    private final double madeMillis;
-    private boolean cameBack;
-    private boolean over;
+    private final double createdMillis;
+    private boolean retried;
+    private boolean finished;
     private double firstEventMillis = -1;
     private double lastEventMillis;
-    private boolean paused;
+    private boolean pauseExceeded;
     private final RequestFingerprint fingerprint;
 
     ReplayedCall(
@@ -37,7 +37,7 @@
         this.dataHall = dataHall;
         this.promptTokens = promptTokens;
         this.answerTokens = answerTokens;
-        this.madeMillis = simulation.time().now();
+        this.createdMillis = simulation.time().now();
     }
 
     LoadPattern.Kind kind() {
@@ -52,7 +52,7 @@
         return answerTokens;
     }
 
-    /** Returns what it has in common with the same request that comes again, not null. */
+    /** Returns the fingerprint that identifies repetitions of this request, not null. */
     RequestFingerprint fingerprint() {
         return fingerprint;
     }
@@ -65,67 +65,69 @@
         return dataHall;
     }
 
-    /** Returns when the caller gives up. */
+    /** Returns the time at which the caller gives up. */
     double expiryMillis() {
-        return madeMillis + kind.deadlineMillis();
+        return createdMillis + kind.deadlineMillis();
     }
 
-    // ---- what the gateway tells
+    // ---- callbacks of the gateway
 
     void eventReceived() {
         double now = simulation.time().now();
         if (firstEventMillis < 0) {
             firstEventMillis = now;
         } else {
-            paused |= now - lastEventMillis > kind.pauseMillis();
+            pauseExceeded |= now - lastEventMillis > kind.pauseMillis();
         }
         lastEventMillis = now;
     }
 
     void answered() {
-        if (over) {
+        if (finished) {
             return;
         }
-        over = true;
+        finished = true;
         if (crashesEngine()) {
             return;
         }
-        double tookMillis = firstEventMillis - madeMillis;
-        simulation.statistics().answered(madeMillis, tookMillis <= kind.objectiveMillis() && !paused, tookMillis);
+        double tookMillis = firstEventMillis - createdMillis;
+        simulation
+                .statistics()
+                .answered(createdMillis, tookMillis <= kind.objectiveMillis() && !pauseExceeded, tookMillis);
     }
 
-    /** The request has not run; the caller may come back. */
-    void rejected(double comeBackMillis) {
-        if (over) {
+    /** Handles a request that was not run and may be retried. */
+    void rejected(double retryAfterMillis) {
+        if (finished) {
             return;
         }
         double left = expiryMillis() - simulation.time().now();
-        if (cameBack || left <= 0) {
+        if (retried || left <= 0) {
             failed();
             return;
         }
-        cameBack = true;
+        retried = true;
         simulation
                 .time()
                 .schedule(
-                        Math.min(comeBackMillis, left * MOST_WAIT_SHARE),
+                        Math.min(retryAfterMillis, left * MAX_RETRY_DELAY_SHARE),
                         () -> simulation.randomGateway(dataHall).handle(this));
     }
 
     void failed() {
-        if (over) {
+        if (finished) {
             return;
         }
-        if (!cameBack
+        if (!retried
                 && simulation.callersRetryFailures()
                 && expiryMillis() > simulation.time().now()) {
-            cameBack = true;
+            retried = true;
             simulation.randomGateway(dataHall).handle(this);
             return;
         }
-        over = true;
+        finished = true;
         if (!crashesEngine()) {
-            simulation.statistics().lost(madeMillis, cameBack);
+            simulation.statistics().lost(createdMillis, retried);
         }
     }
 }
--- a/standins/src/main/java/org/bankturn/replay/ReplayedEngine.java
+++ b/standins/src/main/java/org/bankturn/replay/ReplayedEngine.java
@@ -7,19 +7,19 @@
 import org.bankturn.service.EngineModel;
 
 /**
- * An engine that works in passes: it reads waiting prompts, then writes some tokens of every answer.
+ * A simulated engine that works in passes: it reads waiting prompts, then generates some tokens of every answer.
  *
- * <p>The times are those of {@link EngineModel}; memory is taken to be enough. ReplayedEngine is mutable and not
+ * <p>Step times come from {@link EngineModel}; memory is not modelled. ReplayedEngine is mutable and not
  * thread-safe.
  */
 final class ReplayedEngine {
     private static final double THOUSAND = 1_000;
     private static final double MILLION = 1_000_000;
 
-    /** How long what depends on an engine that went unresponsive stands still before it is cut. */
+    /** The time that connections to an unresponsive engine stall before they are closed. */
     private static final double STALL_MILLIS = 1_500;
 
-    /** A target that ended was back after 4 s, as it was seen on a site. */
+    /** The time that a crashed engine takes to restart. */
     private static final double RESTART_MILLIS = 4_000;
 
     private final VirtualClock time;
@@ -33,7 +33,7 @@
     private boolean inPass;
     private boolean unresponsive;
     private boolean down;
-    private int starts = 1;
+    private int incarnation = 1;
     private boolean updating;
     private double updateAtMillis = Double.NEGATIVE_INFINITY;
     private double slowdown = 1;
@@ -60,26 +60,26 @@
         return unresponsive;
     }
 
-    /** Returns true if it has ended and not started again. */
+    /** Returns true if the engine has crashed and not restarted yet. */
     boolean isDown() {
         return down;
     }
 
-    /** Returns the name of its present start, or of the last one, not null. */
+    /** Returns the id of the current incarnation, or of the last one while the engine is down, not null. */
     String incarnation() {
-        return id + "#" + starts;
+        return id + "#" + incarnation;
     }
 
     double busyMillis() {
         return busyMillis;
     }
 
-    /** Returns what the engine says of itself, not null. */
+    /** Returns the load that the engine reports, not null. */
     EngineLoad load() {
         return new EngineLoad(running.size(), waiting.size(), 0, model.tokenCapacity(), slowdown, updating);
     }
 
-    /** Takes a task; returns false if the engine is full. */
+    /** Queues a task; returns false if the queue is full. */
     boolean offer(EngineTask task) {
         if (running.size() + waiting.size() >= model.slots() + queueLength) {
             return false;
@@ -87,63 +87,63 @@
         waiting.add(task);
         waiting.sort(Comparator.comparingInt(EngineTask::urgency));
         if (!inPass && !unresponsive && !updating) {
-            beginPass();
+            startPass();
         }
         return true;
     }
 
-    /** Ends, with all that was there, and starts again after a while. */
+    /** Crashes the engine with all its tasks, and restarts it after the given time. */
     void crash(double forMillis) {
         if (down) {
             return;
         }
         down = true;
-        List<EngineTask> lost = loseAll();
+        List<EngineTask> lost = removeAllTasks();
         lost.forEach(EngineTask::interrupt);
         time.schedule(forMillis, () -> {
             down = false;
-            starts++;
+            incarnation++;
         });
     }
 
-    /** Falls silent; what was there is cut after a while. */
+    /** Makes the engine unresponsive; its tasks are interrupted after a delay. */
     void becomeUnresponsive() {
         unresponsive = true;
-        List<EngineTask> lost = loseAll();
+        List<EngineTask> lost = removeAllTasks();
         time.schedule(STALL_MILLIS, () -> lost.forEach(EngineTask::interrupt));
     }
 
     void recover() {
         unresponsive = false;
         if (!inPass) {
-            beginPass();
+            startPass();
         }
     }
 
-    /** Is to take up newer weights, which those who ask are told. */
+    /** Announces a weights update, which load polls report. */
     void announceUpdate(double millis) {
         updateAtMillis = millis;
     }
 
-    /** Returns how long until it takes up newer weights, negative if it did or will not. */
+    /** Returns the time until the announced weights update, negative if it is past or none is announced. */
     double millisUntilUpdate() {
         return updateAtMillis - time.now();
     }
 
-    /** Takes up newer weights at once: what was there is cut, and nothing is begun for a while. */
+    /** Updates the weights: interrupts all tasks and starts none for the given time. */
     void updateWeights(double forMillis) {
         updating = true;
-        List<EngineTask> lost = loseAll();
+        List<EngineTask> lost = removeAllTasks();
         lost.forEach(EngineTask::interrupt);
         time.schedule(forMillis, () -> {
             updating = false;
             if (!inPass) {
-                beginPass();
+                startPass();
             }
         });
     }
 
-    private List<EngineTask> loseAll() {
+    private List<EngineTask> removeAllTasks() {
         List<EngineTask> lost = new ArrayList<>(running);
         lost.addAll(waiting);
         running.clear();
@@ -157,7 +157,7 @@
 
     // ---- passes
 
-    private void beginPass() {
+    private void startPass() {
         running.removeIf(EngineTask::isFinished);
         waiting.removeIf(EngineTask::isFinished);
         while (running.size() < model.slots() && !waiting.isEmpty()) {
@@ -206,7 +206,7 @@
         if (!unresponsive && !updating) {
             writing.stream().filter(running::contains).toList().forEach(this::write);
         }
-        beginPass();
+        startPass();
     }
 
     private void write(EngineTask task) {
--- a/standins/src/main/java/org/bankturn/replay/ReplayedGateway.java
+++ b/standins/src/main/java/org/bankturn/replay/ReplayedGateway.java
@@ -23,16 +23,16 @@
 import org.bankturn.service.WeightedService;
 
 /**
- * A gateway that decides as the daemon's does, by the same parts, and whose connections take time but no processor.
+ * A simulated gateway that uses the daemon's routing classes; its connections take virtual time only.
  *
  * <p>ReplayedGateway is mutable and not thread-safe.
  */
 final class ReplayedGateway {
     private static final double CONNECTION_MILLIS = 2;
-    private static final double QUESTION_MILLIS = 25;
-    private static final long PLAN_MILLIS = 1_000;
-    private static final long LEAST_PAUSE_MILLIS = 20;
-    private static final RetryLimits RETRIES = new RetryLimits(0.2, 254, 10_000);
+    private static final double POLL_TIMEOUT_MILLIS = 25;
+    private static final long WATCH_PLAN_MILLIS = 1_000;
+    private static final long MIN_POLL_PAUSE_MILLIS = 20;
+    private static final RetryLimits RETRY_LIMITS = new RetryLimits(0.2, 254, 10_000);
 
     private final ReplaySimulation simulation;
     private final VirtualClock time;
@@ -41,10 +41,10 @@
     private final TargetTable targets;
     private final RequestPolicy policy;
     private final WatchPlan plan;
-    private final LoadPollSchedule questions;
+    private final LoadPollSchedule pollSchedule;
     private final KnownSuspects suspects = KnownSuspects.empty();
     private List<TargetSighting> sightings = List.of();
-    private int busiest;
+    private int maxInFlight;
 
     ReplayedGateway(
             ReplaySimulation simulation,
@@ -57,9 +57,9 @@
         this.name = name;
         this.dataHall = dataHall;
         this.targets = TargetTable.of(time, dataHall, settings, random);
-        this.policy = RequestPolicy.of(time, targets, RETRIES, random);
+        this.policy = RequestPolicy.of(time, targets, RETRY_LIMITS, random);
         this.plan = WatchPlan.of(settings, name, dataHall);
-        this.questions = LoadPollSchedule.of(settings);
+        this.pollSchedule = LoadPollSchedule.of(settings);
     }
 
     String name() {
@@ -71,8 +71,8 @@
     }
 
     void start() {
-        planAgain();
-        askLater();
+        refreshWatchPlan();
+        schedulePolls();
     }
 
     void published(List<TargetSighting> newer) {
@@ -88,17 +88,17 @@
 
     // ---- watching
 
-    private void planAgain() {
+    private void refreshWatchPlan() {
         watch();
-        busiest = targets.inFlightAtEngines();
-        time.schedule(PLAN_MILLIS, this::planAgain);
+        maxInFlight = targets.inFlightAtEngines();
+        time.schedule(WATCH_PLAN_MILLIS, this::refreshWatchPlan);
     }
 
     private void watch() {
         List<WatchPlan.Engine> engines = sightings.stream()
                 .map(each -> new WatchPlan.Engine(each.id(), each.dataHall(), each.slots()))
                 .toList();
-        Set<String> watched = plan.watched(engines, simulation.gatewaysIn(dataHall), busiest);
+        Set<String> watched = plan.watched(engines, simulation.gatewaysIn(dataHall), maxInFlight);
         Set<String> near = new HashSet<>();
         Set<String> far = new HashSet<>();
         for (TargetSighting each : sightings) {
@@ -107,39 +107,39 @@
             }
         }
         targets.setWatched(watched);
-        questions.setWatched(near, far, time.millis());
+        pollSchedule.setWatched(near, far, time.millis());
     }
 
-    private void askLater() {
-        double pause = (double) Math.max(LEAST_PAUSE_MILLIS, questions.nextPollDelayMillis(time.millis()));
+    private void schedulePolls() {
+        double pause = (double) Math.max(MIN_POLL_PAUSE_MILLIS, pollSchedule.nextPollDelayMillis(time.millis()));
         time.schedule(pause, () -> {
-            askAllDue();
-            askLater();
+            pollDueEngines();
+            schedulePolls();
         });
     }
 
-    private void askAllDue() {
-        questions.next(time.millis()).ifPresent(id -> {
-            ask(simulation.engine(id));
-            askAllDue();
+    private void pollDueEngines() {
+        pollSchedule.next(time.millis()).ifPresent(id -> {
+            pollLoad(simulation.engine(id));
+            pollDueEngines();
         });
     }
 
-    private void ask(ReplayedEngine engine) {
-        ask(engine, () -> {});
+    private void pollLoad(ReplayedEngine engine) {
+        pollLoad(engine, () -> {});
     }
 
-    private void ask(ReplayedEngine engine, Runnable then) {
+    private void pollLoad(ReplayedEngine engine, Runnable then) {
         simulation.statistics().loadPolled();
         if (engine.isUnresponsive() || engine.isDown()) {
-            time.schedule(QUESTION_MILLIS, then);
+            time.schedule(POLL_TIMEOUT_MILLIS, then);
             return;
         }
-        double way = simulation.latencyMillis(dataHall, engine.dataHall());
+        double latency = simulation.latencyMillis(dataHall, engine.dataHall());
         ReplaySimulation.LoadSample sample = simulation.loadSample(engine);
-        time.schedule(2 * way, () -> {
-            long ageMillis = (long) (time.now() - way - sample.atMillis());
-            targets.loadReported(engine.id(), sample.load(), ageMillis, (long) (2 * way));
+        time.schedule(2 * latency, () -> {
+            long ageMillis = (long) (time.now() - latency - sample.atMillis());
+            targets.loadReported(engine.id(), sample.load(), ageMillis, (long) (2 * latency));
             if (engine.millisUntilUpdate() > 0) {
                 targets.interruptionAnnounced(engine.id(), (long) engine.millisUntilUpdate());
             }
@@ -165,51 +165,51 @@
         RequestProgress progress =
                 RequestProgress.of(route, simulation.service(), call.promptTokens(), (long) call.expiryMillis());
         if (suspects.isCondemned(call.fingerprint())) {
-            stopped(call);
+            recordCondemned(call);
             call.rejected((double) RetryAfter.CONDEMNED_MILLIS);
             return;
         }
         policy.requestArrived(progress);
-        Forwarded forwarded = new Forwarded(call, progress);
-        time.schedule(call.expiryMillis() - time.now(), forwarded::timeUp);
+        ForwardedRequest forwarded = new ForwardedRequest(call, progress);
+        time.schedule(call.expiryMillis() - time.now(), forwarded::deadlineReached);
         forwarded.sendToNext();
     }
 
-    private void stopped(ReplayedCall call) {
+    private void recordCondemned(ReplayedCall call) {
         if (!call.crashesEngine()) {
             simulation.statistics().falselyCondemned();
         }
     }
 
-    /** One request on its way. */
-    private final class Forwarded {
+    /** A request that is being forwarded. */
+    private final class ForwardedRequest {
         private final ReplayedCall call;
         private final RequestProgress progress;
-        private int tokensPassed;
-        private boolean over;
-        private Turn turn;
+        private int forwardedTokens;
+        private boolean finished;
+        private Attempt attempt;
 
-        Forwarded(ReplayedCall call, RequestProgress progress) {
+        ForwardedRequest(ReplayedCall call, RequestProgress progress) {
             this.call = call;
             this.progress = progress;
         }
 
         void sendToNext() {
-            if (over) {
+            if (finished) {
                 return;
             }
             NextStep step = policy.next(progress);
-            if (step instanceof NextStep.PollLoad asking) {
-                int[] open = {asking.targets().size()};
-                asking.targets()
-                        .forEach(id -> ask(simulation.engine(id), () -> {
-                            if (--open[0] == 0) {
+            if (step instanceof NextStep.PollLoad poll) {
+                int[] pending = {poll.targets().size()};
+                poll.targets()
+                        .forEach(id -> pollLoad(simulation.engine(id), () -> {
+                            if (--pending[0] == 0) {
                                 sendToNext();
                             }
                         }));
             } else if (step instanceof NextStep.Send send) {
-                turn = new Turn(this, send.candidate());
-                turn.begin();
+                attempt = new Attempt(this, send.candidate());
+                attempt.start();
             } else if (step instanceof NextStep.GiveUp giveUp) {
                 end();
                 if (progress.mayHaveRun()) {
@@ -220,62 +220,62 @@
             }
         }
 
-        void timeUp() {
-            if (!over) {
+        void deadlineReached() {
+            if (!finished) {
                 end();
                 call.failed();
             }
         }
 
         private void end() {
-            over = true;
-            if (turn != null) {
-                turn.cancel();
+            finished = true;
+            if (attempt != null) {
+                attempt.cancel();
             }
         }
     }
 
-    /** One engine's turn at a request. */
-    private final class Turn implements EngineTask.Listener {
-        private final Forwarded request;
-        private final TargetTable.Candidate choice;
+    /** One attempt to serve a request on an engine. */
+    private final class Attempt implements EngineTask.Listener {
+        private final ForwardedRequest request;
+        private final TargetTable.Candidate candidate;
         private final ReplayedEngine engine;
         private final EngineTask task;
-        private final double way;
-        private final double beganMillis = time.now();
-        private double heardMillis = time.now();
+        private final double latency;
+        private final double startMillis = time.now();
+        private double lastDataMillis = time.now();
         private boolean promptPending = true;
-        private boolean over;
+        private boolean finished;
 
-        Turn(Forwarded request, TargetTable.Candidate choice) {
+        Attempt(ForwardedRequest request, TargetTable.Candidate candidate) {
             this.request = request;
-            this.choice = choice;
-            this.engine = simulation.engine(choice.target().sighting().id());
-            this.way = simulation.latencyMillis(dataHall, engine.dataHall());
+            this.candidate = candidate;
+            this.engine = simulation.engine(candidate.target().sighting().id());
+            this.latency = simulation.latencyMillis(dataHall, engine.dataHall());
             this.task = EngineTask.of(
                     request.progress.route().priority(),
-                    request.progress.promptTokens() + request.tokensPassed,
-                    request.call.answerTokens() - request.tokensPassed,
+                    request.progress.promptTokens() + request.forwardedTokens,
+                    request.call.answerTokens() - request.forwardedTokens,
                     request.call.crashesEngine(),
                     this);
         }
 
-        void begin() {
-            choice.target().requestStarted(request.progress.promptTokens(), time.millis());
+        void start() {
+            candidate.target().requestStarted(request.progress.promptTokens(), time.millis());
             if (engine.isDown()) {
-                time.schedule(2 * way, this::refusedConnection);
+                time.schedule(2 * latency, this::connectionRefused);
                 return;
             }
             request.progress.sent();
-            questions.requestSent(time.millis());
-            busiest = Math.max(busiest, targets.inFlightAtEngines());
+            pollSchedule.requestSent(time.millis());
+            maxInFlight = Math.max(maxInFlight, targets.inFlightAtEngines());
             simulation.statistics().sent();
-            time.schedule(way + CONNECTION_MILLIS, this::arrive);
-            watchSilence();
+            time.schedule(latency + CONNECTION_MILLIS, this::submit);
+            scheduleSilenceCheck();
         }
 
-        private void arrive() {
-            if (over || engine.isUnresponsive()) {
+        private void submit() {
+            if (finished || engine.isUnresponsive()) {
                 return;
             }
             if (engine.isDown()) {
@@ -284,143 +284,143 @@
             }
             if (!engine.offer(task)) {
                 simulation.statistics().rejected();
-                time.schedule(way, this::rejected);
+                time.schedule(latency, this::rejected);
             }
         }
 
-        private void refusedConnection() {
-            if (over) {
+        private void connectionRefused() {
+            if (finished) {
                 return;
             }
             finish();
-            choice.target().requestFailed(time.millis());
+            candidate.target().requestFailed(time.millis());
             request.progress.connectionFailed();
             request.sendToNext();
         }
 
         private void rejected() {
-            if (over) {
+            if (finished) {
                 return;
             }
             finish();
-            choice.target().markFull(time.millis());
+            candidate.target().markFull(time.millis());
             request.progress.notRun();
             request.sendToNext();
         }
 
         @Override
         public void tokensGenerated(int tokens) {
-            time.schedule(way, () -> take(tokens));
+            time.schedule(latency, () -> eventReceived(tokens));
         }
 
-        private void take(int tokens) {
-            if (over) {
+        private void eventReceived(int tokens) {
+            if (finished) {
                 return;
             }
-            heardMillis = time.now();
-            choice.target().dataReceived(time.millis(), 0);
+            lastDataMillis = time.now();
+            candidate.target().dataReceived(time.millis(), 0);
             if (promptPending) {
                 promptPending = false;
-                choice.target().promptRead(request.progress.promptTokens());
-                long took = (long) (time.now() - beganMillis);
-                policy.correction(request.progress.service()).observed(choice.predictedMillis(), (double) took);
-                choice.target().firstEventReceived(choice.predictedMillis(), took);
+                candidate.target().promptRead(request.progress.promptTokens());
+                long took = (long) (time.now() - startMillis);
+                policy.correction(request.progress.service()).observed(candidate.predictedMillis(), (double) took);
+                candidate.target().firstEventReceived(candidate.predictedMillis(), took);
             }
-            request.tokensPassed += tokens;
+            request.forwardedTokens += tokens;
             request.progress.eventForwarded("e");
             request.call.eventReceived();
         }
 
         @Override
         public void completed() {
-            time.schedule(way, () -> {
-                if (!over) {
+            time.schedule(latency, () -> {
+                if (!finished) {
                     finish();
-                    request.over = true;
-                    noteWhole(request.call.fingerprint());
+                    request.finished = true;
+                    recordCompletion(request.call.fingerprint());
                     request.call.answered();
                 }
             });
         }
 
-        private void noteWhole(RequestFingerprint whole) {
-            if (!suspects.endedTargetsOf(whole).isEmpty()) {
-                suspects.recordCompletion(whole);
-                simulation.completionObserved(whole);
+        private void recordCompletion(RequestFingerprint fingerprint) {
+            if (!suspects.endedTargetsOf(fingerprint).isEmpty()) {
+                suspects.recordCompletion(fingerprint);
+                simulation.completionObserved(fingerprint);
             }
         }
 
         @Override
         public void interrupted() {
             String incarnation = engine.incarnation();
-            boolean ended = engine.isDown();
-            // the gateway looks at the engine once more before the request goes on
-            time.schedule(ended ? 3 * way : way, () -> {
-                if (over) {
+            boolean crashed = engine.isDown();
+            // a crash takes another round trip, in which the gateway checks the engine
+            time.schedule(crashed ? 3 * latency : latency, () -> {
+                if (finished) {
                     return;
                 }
-                if (ended) {
+                if (crashed) {
                     suspects.recordCrash(incarnation, request.call.fingerprint());
                     simulation.crashObserved(incarnation, request.call.fingerprint());
                 }
                 if (suspects.isCondemned(request.call.fingerprint())) {
-                    stopped(request.call);
+                    recordCondemned(request.call);
                     finish();
-                    request.over = true;
+                    request.finished = true;
                     request.call.failed();
                 } else {
-                    lost(request);
+                    retryElsewhere();
                 }
             });
         }
 
-        private void lost(Forwarded lost) {
-            if (over) {
+        private void retryElsewhere() {
+            if (finished) {
                 return;
             }
             finish();
-            choice.target().requestFailed(time.millis());
-            simulation.statistics().interrupted(lost.progress.promptTokens());
-            lost.progress.outcomeUnknown();
-            lost.sendToNext();
+            candidate.target().requestFailed(time.millis());
+            simulation.statistics().interrupted(request.progress.promptTokens());
+            request.progress.outcomeUnknown();
+            request.sendToNext();
         }
 
-        private void watchSilence() {
-            double left = heardMillis
-                    + policy.silenceTimeoutMillis(request.progress, choice, (long) heardMillis)
+        private void scheduleSilenceCheck() {
+            double left = lastDataMillis
+                    + policy.silenceTimeoutMillis(request.progress, candidate, (long) lastDataMillis)
                     - time.now();
             time.schedule(Math.max(1, left), this::checkSilence);
         }
 
         private void checkSilence() {
-            if (over) {
+            if (finished) {
                 return;
             }
-            boolean silent = time.now() - heardMillis
-                    >= policy.silenceTimeoutMillis(request.progress, choice, (long) heardMillis);
+            boolean silent = time.now() - lastDataMillis
+                    >= policy.silenceTimeoutMillis(request.progress, candidate, (long) lastDataMillis);
             if (!silent) {
-                watchSilence();
+                scheduleSilenceCheck();
                 return;
             }
             if (policy.canRetryElsewhere(request.progress)) {
                 task.cancel();
-                lost(request);
+                retryElsewhere();
             }
         }
 
         void cancel() {
-            if (!over) {
+            if (!finished) {
                 task.cancel();
                 finish();
             }
         }
 
         private void finish() {
-            over = true;
-            choice.target().requestEnded((long) beganMillis, time.millis());
+            finished = true;
+            candidate.target().requestEnded((long) startMillis, time.millis());
             if (promptPending) {
                 promptPending = false;
-                choice.target().promptRead(request.progress.promptTokens());
+                candidate.target().promptRead(request.progress.promptTokens());
             }
         }
     }
--- a/standins/src/main/java/org/bankturn/replay/VirtualClock.java
+++ b/standins/src/main/java/org/bankturn/replay/VirtualClock.java
@@ -4,25 +4,26 @@
 import org.bankturn.time.Clock;
 
 /**
- * Time that moves from one thing that happens to the next.
+ * A discrete-event scheduler whose clock advances from one scheduled action to the next.
  *
- * <p>Things that happen at the same moment happen in the order in which they were asked for, so that a replay repeats.
+ * <p>Actions for the same time run in the order in which they were scheduled, so that replays are reproducible.
  * VirtualClock is mutable and not thread-safe.
  */
 final class VirtualClock implements Clock {
-    private final PriorityQueue<Planned> planned = new PriorityQueue<>();
+    private final PriorityQueue<ScheduledAction> queue = new PriorityQueue<>();
     private double now;
     private long sequence;
 
-    private record Planned(double atMillis, long sequence, Runnable action) implements Comparable<Planned> {
+    private record ScheduledAction(double atMillis, long sequence, Runnable action)
+            implements Comparable<ScheduledAction> {
         @Override
-        public int compareTo(Planned other) {
+        public int compareTo(ScheduledAction other) {
             int byTime = Double.compare(atMillis, other.atMillis);
             return byTime != 0 ? byTime : Long.compare(sequence, other.sequence);
         }
     }
 
-    /** Returns the time, in milliseconds from the start, as exactly as it is known. */
+    /** Returns the time in milliseconds from the start, with fractions. */
     double now() {
         return now;
     }
@@ -32,15 +33,15 @@
         return (long) now;
     }
 
-    /** Does something later; a delay of 0 or less means after what is planned for now. */
+    /** Schedules an action; with a delay of 0 or less it runs after the actions already scheduled for now. */
     void schedule(double delayMillis, Runnable action) {
-        planned.add(new Planned(now + Math.max(0, delayMillis), sequence++, action));
+        queue.add(new ScheduledAction(now + Math.max(0, delayMillis), sequence++, action));
     }
 
-    /** Lets everything happen up to that moment. */
+    /** Runs all actions up to the given time. */
     void runUntil(double endMillis) {
-        while (!planned.isEmpty() && planned.peek().atMillis() <= endMillis) {
-            Planned next = planned.poll();
+        while (!queue.isEmpty() && queue.peek().atMillis() <= endMillis) {
+            ScheduledAction next = queue.poll();
             now = next.atMillis();
             next.action().run();
         }
--- a/standins/src/main/java/org/bankturn/replay/package-info.java
+++ b/standins/src/main/java/org/bankturn/replay/package-info.java
@@ -1,2 +1,2 @@
-/** Replays load through the decisions of gateways, in virtual time, without a network or processes. */
+/** Simulates load on the gateways' routing decisions, in virtual time and without a network or processes. */
 package org.bankturn.replay;
--- a/standins/src/test/java/org/bankturn/replay/LoadReplayTest.java
+++ b/standins/src/test/java/org/bankturn/replay/LoadReplayTest.java
@@ -7,12 +7,12 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Replays of the load patterns under examples/load; they repeat to the last request, whatever else the machine does. */
+/** Replays the load patterns of examples/load, which give the same result on every machine. */
 class LoadReplayTest {
     private static final Path FOLDER = Path.of("../examples/load");
     private static final long SEED = 1;
 
-    /** Each gateway that watches all engines takes the best, the same as the others: some are full beside idle ones. */
+    /** Guards against gateways that all choose the same engines while others are idle. */
     @Test
     void engines_that_join_are_used_and_do_not_leave_others_full() throws IOException {
         ReplayResult present = replay("joins", PlacementRule.PRESENT);
@@ -22,7 +22,7 @@
         assertThat(replay("joins", PlacementRule.WATCH_ALL).credit()).isLessThan(0.80);
     }
 
-    /** Seventy questions a request were asked when every gateway watched every engine. */
+    /** Guards against a polling rate that grows with the product of gateways and engines. */
     @Test
     void questions_follow_the_requests_and_not_gateways_times_engines() throws IOException {
         assertThat(replay("joins", PlacementRule.PRESENT).loadPolls()).isLessThan(2.5);
@@ -37,17 +37,14 @@
                 .isGreaterThan(replay("steady-90", PlacementRule.RANDOM).credit() + 0.10);
     }
 
-    /**
-     * With a third more requests than engines bear, 54 in 100 were answered in time where 77 could be, with twice as many 30
-     * where 50 could be: places went to callers who had been refused before, and whose answers were late whatever happened.
-     */
+    /** Guards against retries that take slots from first attempts under overload, though they are already late. */
     @Test
     void while_there_are_too_few_places_for_all_first_tries_get_them() throws IOException {
-        assertThat(inTimeOfPossible("steady-130", 1.3)).isGreaterThan(0.8);
-        assertThat(inTimeOfPossible("steady-200", 2.0)).isGreaterThan(0.8);
+        assertThat(inTimeShareOfCapacity("steady-130", 1.3)).isGreaterThan(0.8);
+        assertThat(inTimeShareOfCapacity("steady-200", 2.0)).isGreaterThan(0.8);
     }
 
-    private static double inTimeOfPossible(String name, double load) throws IOException {
+    private static double inTimeShareOfCapacity(String name, double load) throws IOException {
         double inTime = 0;
         for (long seed = 1; seed <= 3; seed++) {
             inTime += replay(name, PlacementRule.PRESENT, seed).inTime() / 3;
@@ -55,7 +52,7 @@
         return inTime * load;
     }
 
-    /** A shortage that passes leaves many callers to come back, and there are places for them then. */
+    /** Guards against callers that are lost although their retry comes after the shortage has passed. */
     @Test
     void callers_who_come_back_after_a_shortage_are_served() throws IOException {
         ReplayResult result = replay("part-dark", PlacementRule.PRESENT);
@@ -63,41 +60,38 @@
         assertThat(result.credit()).isGreaterThan(0.88);
     }
 
-    /** Old news of engines that are nearly full is not good enough; a question before the request is. */
+    /** Polling before placement must yield more credit than periodic polling. */
     @Test
     void questions_before_a_request_are_worth_more_than_as_many_in_turn() throws IOException {
-        double before = 0;
-        double inTurn = 0;
+        double beforePlacement = 0;
+        double periodic = 0;
         for (long seed = 1; seed <= 4; seed++) {
-            before += LoadReplay.run(pattern("steady-90"), PlacementRule.PRESENT.settings(), seed)
+            beforePlacement += LoadReplay.run(pattern("steady-90"), PlacementRule.PRESENT.settings(), seed)
                     .credit();
-            inTurn += LoadReplay.run(pattern("steady-90"), PlacementRule.ASK_IN_TURN.settings(), seed)
+            periodic += LoadReplay.run(pattern("steady-90"), PlacementRule.ASK_IN_TURN.settings(), seed)
                     .credit();
         }
-        assertThat(before).isGreaterThan(inTurn);
+        assertThat(beforePlacement).isGreaterThan(periodic);
     }
 
-    /**
-     * While 15 engines took up newer weights one after the other, 133 streams were cut, many of them a second time at the
-     * engine where they went on: their prompts, 158 thousand tokens, were read again, and 35 had no attempt left.
-     */
+    /** Guards against streams that are moved to an engine that is about to update its weights. */
     @Test
     void while_engines_change_one_after_the_other_fewer_answers_are_cut_where_gateways_know_whose_turn_is_next()
             throws IOException {
-        double cut = 0;
-        double cutBlindly = 0;
+        double interrupted = 0;
+        double interruptedBlind = 0;
         double credit = 0;
-        double creditBlindly = 0;
+        double creditBlind = 0;
         for (long seed = 1; seed <= 4; seed++) {
             ReplayResult present = replay("rolling-change", PlacementRule.PRESENT, seed);
             ReplayResult blind = replay("rolling-change", PlacementRule.BLIND_TO_BREAK_OFFS, seed);
-            cut += present.interrupted();
-            cutBlindly += blind.interrupted();
+            interrupted += present.interrupted();
+            interruptedBlind += blind.interrupted();
             credit += present.credit();
-            creditBlindly += blind.credit();
+            creditBlind += blind.credit();
         }
-        assertThat(cut).isLessThan(0.75 * cutBlindly);
-        assertThat(credit).isGreaterThan(creditBlindly);
+        assertThat(interrupted).isLessThan(0.75 * interruptedBlind);
+        assertThat(credit).isGreaterThan(creditBlind);
     }
 
     @Test
@@ -120,10 +114,7 @@
         assertThat(errors).anyMatch(error -> error.startsWith("1003 p.yaml:") && error.contains("halls"));
     }
 
-    /**
-     * A request that ends each engine that begins to run it came four times a second for ten seconds. While nothing remembered
-     * it, it ended 40 to 44 engines in four replays, of 18 that were back after 4 s.
-     */
+    /** Guards against a repeated request that crashes every engine on which it runs. */
     @Test
     void a_request_that_ends_its_engines_is_stopped_soon_after_the_third() throws IOException {
         for (long seed = 1; seed <= 4; seed++) {
@@ -135,20 +126,17 @@
         }
     }
 
-    /**
-     * Engines that end for reasons of their own take sound requests with them, some of them three times. Where some engines
-     * end, that is one request in tens of thousands, which four replays need not show.
-     */
+    /** Guards against unrelated engine crashes that condemn harmless requests; these are rare, so 40 seeds are replayed. */
     @Test
     void hardly_any_sound_request_is_taken_for_one_that_ends_its_engines() throws IOException {
-        int stopped = 0;
+        int condemned = 0;
         int requests = 0;
         for (long seed = 1; seed <= 40; seed++) {
             ReplayResult some = replay("crash-15", PlacementRule.PRESENT, seed);
-            stopped += some.falselyCondemned();
+            condemned += some.falselyCondemned();
             requests += some.requests();
         }
-        assertThat(stopped * 10_000).isLessThan(requests);
+        assertThat(condemned * 10_000).isLessThan(requests);
         for (long seed = 1; seed <= 4; seed++) {
             ReplayResult most = replay("crash-60", PlacementRule.PRESENT, seed);
             assertThat((double) most.falselyCondemned() / most.requests()).isLessThan(0.006);
