--- a/cli/src/main/java/org/bankturn/cli/Texts.java
+++ b/cli/src/main/java/org/bankturn/cli/TextRenderer.java
@@ -4,10 +4,10 @@
 import java.util.Locale;
 
 /** Renders answers for people. */
-final class Texts {
+final class TextRenderer {
     private static final int SHORT_DIGEST = 12;
 
-    private Texts() {}
+    private TextRenderer() {}
 
     static String applied(JsonNode answer) {
         if (answer.path("outcome").asText().equals("fileAccepted")) {
--- a/cli/src/main/java/org/bankturn/cli/WatchCommand.java
+++ b/cli/src/main/java/org/bankturn/cli/WatchCommand.java
@@ -24,7 +24,7 @@
             if (printed > 0 && !pause()) {
                 return ExitCode.DONE;
             }
-            print(client().get("/operator/status").body(), Texts::status);
+            print(client().get("/operator/status").body(), TextRenderer::status);
         }
         return ExitCode.DONE;
     }
