--- a/cli/src/main/java/org/bankturn/cli/ApplyCommand.java
+++ b/cli/src/main/java/org/bankturn/cli/ApplyCommand.java
@@ -30,7 +30,7 @@
     ExitCode run() throws IOException {
         String query = "?by=" + URLEncoder.encode(submittedBy, StandardCharsets.UTF_8);
         OperatorClient.Answer answer = client().post("/operator/files" + query, Files.readString(Path.of(file)));
-        print(answer.body(), TextRenderer::applied);
+        print(answer.body(), TextRenderer::applyResult);
         return switch (answer.body().path("outcome").asText()) {
             case "fileAccepted" -> ExitCode.DONE;
             case "fileRefused" -> ExitCode.REFUSED;
--- a/cli/src/main/java/org/bankturn/cli/HistoryCommand.java
+++ b/cli/src/main/java/org/bankturn/cli/HistoryCommand.java
@@ -13,7 +13,7 @@
     ExitCode run() throws IOException {
         OperatorClient.Answer answer = client().get("/operator/history");
         boolean noQuorum = answer.body().has("outcome");
-        print(answer.body(), noQuorum ? TextRenderer::applied : TextRenderer::history);
+        print(answer.body(), noQuorum ? TextRenderer::applyResult : TextRenderer::history);
         return noQuorum ? ExitCode.UNKNOWN : ExitCode.DONE;
     }
 }
--- a/cli/src/main/java/org/bankturn/cli/StatusCommand.java
+++ b/cli/src/main/java/org/bankturn/cli/StatusCommand.java
@@ -13,7 +13,7 @@
     ExitCode run() throws IOException {
         OperatorClient.Answer answer = client().get("/operator/status");
         boolean noQuorum = answer.body().has("outcome");
-        print(answer.body(), noQuorum ? TextRenderer::applied : TextRenderer::status);
+        print(answer.body(), noQuorum ? TextRenderer::applyResult : TextRenderer::status);
         return noQuorum ? ExitCode.UNKNOWN : ExitCode.DONE;
     }
 }
--- a/cli/src/main/java/org/bankturn/cli/TextRenderer.java
+++ b/cli/src/main/java/org/bankturn/cli/TextRenderer.java
@@ -9,7 +9,7 @@
 
     private TextRenderer() {}
 
-    static String applied(JsonNode answer) {
+    static String applyResult(JsonNode answer) {
         if (answer.path("outcome").asText().equals("fileAccepted")) {
             return "accepted: " + answer.path("name").asText() + " number " + answer.path("number")
                     + " in force from index " + answer.path("index");
