--- a/cli/src/main/java/org/bankturn/cli/ShowCommand.java
+++ b/cli/src/main/java/org/bankturn/cli/ShowCommand.java
@@ -13,7 +13,7 @@
     ExitCode run() throws IOException {
         OperatorClient.Answer answer = client().get("/operator/show");
         boolean noQuorum = answer.body().has("outcome");
-        print(answer.body(), noQuorum ? TextRenderer::applyResult : TextRenderer::shown);
+        print(answer.body(), noQuorum ? TextRenderer::applyResult : TextRenderer::configuration);
         return noQuorum ? ExitCode.UNKNOWN : ExitCode.DONE;
     }
 }
--- a/cli/src/main/java/org/bankturn/cli/TextRenderer.java
+++ b/cli/src/main/java/org/bankturn/cli/TextRenderer.java
@@ -23,7 +23,7 @@
         return "not known whether it was applied (" + answer.path("code").asText() + "); send it again";
     }
 
-    static String shown(JsonNode answer) {
+    static String configuration(JsonNode answer) {
         StringBuilder text = new StringBuilder();
         text.append("index ")
                 .append(answer.path("index"))
