--- a/cli/src/main/java/org/bankturn/cli/ApplyCommand.java
+++ b/cli/src/main/java/org/bankturn/cli/ApplyCommand.java
@@ -10,17 +10,17 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 
-/** {@code bankturn apply}: submits a file; it may be sent again at any time and gives the same answer. */
-@Command(name = "apply", description = "Submits a file, which is applied whole or not at all.")
+/** {@code bankturn apply}: submits a file. Submitting the same file again is idempotent. */
+@Command(name = "apply", description = "Submits a file, which is applied completely or not at all.")
 public final class ApplyCommand extends OperatorCommand {
-    @Arguments(title = "FILE", description = "The operators' file.")
+    @Arguments(title = "FILE", description = "The operator file.")
     @Required
     private String file;
 
     @Option(
             name = {"--by"},
             title = "NAME",
-            description = "Who submits it; shown to others who find its number held.")
+            description = "The name of the submitter, shown when the number is already taken.")
     private String submittedBy = System.getProperty("user.name", "unnamed");
 
     /** Created by the command-line parser. */
--- a/cli/src/main/java/org/bankturn/cli/BankturnTool.java
+++ b/cli/src/main/java/org/bankturn/cli/BankturnTool.java
@@ -4,10 +4,10 @@
 import com.github.rvesse.airline.help.Help;
 import com.github.rvesse.airline.parser.errors.ParseException;
 
-/** The command {@code bankturn}. */
+/** The entry point of the command {@code bankturn}. */
 @Cli(
         name = "bankturn",
-        description = "Submits operators' files to bankturn and reads back what is in force.",
+        description = "Submits operator files to bankturn and shows the configuration in force.",
         defaultCommand = Help.class,
         commands = {
             Help.class,
@@ -48,8 +48,8 @@
         }
         if (command instanceof Help<?> help) {
             help.run();
-            boolean asked = arguments.length == 0 || arguments[0].equals(HELP);
-            return asked ? ExitCode.DONE.number() : ExitCode.USAGE.number();
+            boolean helpRequested = arguments.length == 0 || arguments[0].equals(HELP);
+            return helpRequested ? ExitCode.DONE.number() : ExitCode.USAGE.number();
         }
         return ((OperatorCommand) command).runAndReport().number();
     }
--- a/cli/src/main/java/org/bankturn/cli/ExitCode.java
+++ b/cli/src/main/java/org/bankturn/cli/ExitCode.java
@@ -1,16 +1,16 @@
 package org.bankturn.cli;
 
-/** What the tool exits with; see docs/OPERATING.md. */
+/** Exit codes of the tool; see docs/OPERATING.md. */
 enum ExitCode {
-    /** The command did what it says. */
+    /** The command succeeded. */
     DONE(0),
-    /** The command line was not understood. */
+    /** The command line is invalid. */
     USAGE(2),
-    /** The file was refused, and nothing of it was applied. */
+    /** The file was rejected; nothing of it was applied. */
     REFUSED(3),
     /** No address answered. */
     UNREACHABLE(4),
-    /** No majority of control boxes answered; whether the file was applied is not known: send it again. */
+    /** No majority of control boxes answered; whether the file was applied is unknown, so submit it again. */
     UNKNOWN(5);
 
     private final int number;
--- a/cli/src/main/java/org/bankturn/cli/HistoryCommand.java
+++ b/cli/src/main/java/org/bankturn/cli/HistoryCommand.java
@@ -3,7 +3,7 @@
 import com.github.rvesse.airline.annotations.Command;
 import java.io.IOException;
 
-/** {@code bankturn history}: shows every file that was ever accepted. */
+/** {@code bankturn history}: lists all accepted files. */
 @Command(name = "history", description = "Lists every accepted file, oldest first.")
 public final class HistoryCommand extends OperatorCommand {
     /** Created by the command-line parser. */
--- a/cli/src/main/java/org/bankturn/cli/OperatorClient.java
+++ b/cli/src/main/java/org/bankturn/cli/OperatorClient.java
@@ -15,20 +15,20 @@
 import java.util.concurrent.CompletionException;
 
 /**
- * Asks entry or control processes over HTTP, one address after another until one answers.
+ * An HTTP client for entry and control processes that fails over from one address to the next.
  *
- * <p>OperatorClient is used by one thread.
+ * <p>OperatorClient is not thread-safe.
  */
 final class OperatorClient {
     private static final ObjectMapper JSON = new ObjectMapper();
     private static final long TIMEOUT_MILLIS = 10_000;
-    private static final int MAXIMUM_ANSWER_BYTES = 256 << 20;
+    private static final int MAX_ANSWER_BYTES = 256 << 20;
     private static final int SERVER_ERROR = 500;
 
     private final List<String> addresses;
 
     /**
-     * An answer.
+     * A response.
      *
      * @param status the HTTP status
      * @param body the JSON body, not null
@@ -40,42 +40,43 @@
     }
 
     Answer get(String path) throws IOException {
-        return tryEach(address -> HttpRequest.get("http://" + address + path).build());
+        return firstAnswer(
+                address -> HttpRequest.get("http://" + address + path).build());
     }
 
     Answer post(String path, String text) throws IOException {
-        return tryEach(address -> HttpRequest.post("http://" + address + path)
+        return firstAnswer(address -> HttpRequest.post("http://" + address + path)
                 .withBody(text.getBytes(StandardCharsets.UTF_8))
                 .build());
     }
 
-    private interface RequestMaker {
-        HttpRequest make(String address);
+    private interface RequestFactory {
+        HttpRequest create(String address);
     }
 
-    /** An answer that only tells of trouble on that side is kept while the next address is tried. */
-    private Answer tryEach(RequestMaker maker) throws IOException {
-        Answer troubled = null;
-        IOException failed = new IOException("no address given");
+    /** Returns the first answer below 500; if there is none, the last server error. */
+    private Answer firstAnswer(RequestFactory factory) throws IOException {
+        Answer serverError = null;
+        IOException failure = new IOException("no address given");
         for (String address : addresses) {
             try {
-                Answer answer = exchange(maker, address);
+                Answer answer = exchange(factory, address);
                 if (answer.status() < SERVER_ERROR) {
                     return answer;
                 }
-                troubled = answer;
+                serverError = answer;
             } catch (CompletionException e) {
-                failed = new IOException(
+                failure = new IOException(
                         address + " did not answer: " + e.getCause().getMessage(), e);
             }
         }
-        if (troubled != null) {
-            return troubled;
+        if (serverError != null) {
+            return serverError;
         }
-        throw failed;
+        throw failure;
     }
 
-    private static Answer exchange(RequestMaker maker, String address) {
+    private static Answer exchange(RequestFactory factory, String address) {
         Eventloop eventloop = Eventloop.builder().withCurrentThread().build();
         HttpClient client = HttpClient.builder(eventloop)
                 .withConnectTimeout(Duration.ofSeconds(1))
@@ -83,8 +84,8 @@
                 .build();
         CompletableFuture<Answer> future = eventloop.submit(() -> Promises.timeout(
                 TIMEOUT_MILLIS,
-                client.request(maker.make(address))
-                        .then(response -> response.loadBody(MAXIMUM_ANSWER_BYTES)
+                client.request(factory.create(address))
+                        .then(response -> response.loadBody(MAX_ANSWER_BYTES)
                                 .then(body -> Promise.of(new Answer(
                                         response.getCode(), JSON.readTree(body.getString(StandardCharsets.UTF_8))))))));
         eventloop.run();
--- a/cli/src/main/java/org/bankturn/cli/OperatorCommand.java
+++ b/cli/src/main/java/org/bankturn/cli/OperatorCommand.java
@@ -7,14 +7,14 @@
 import java.util.List;
 import java.util.function.Function;
 
-/** What every command of the tool shares: addresses, output, and how trouble ends it. */
+/** Base class of all commands: server addresses, output format and error reporting. */
 abstract class OperatorCommand {
-    private static final String ENVIRONMENT = "BANKTURN_ADDRESSES";
+    private static final String ADDRESSES_VARIABLE = "BANKTURN_ADDRESSES";
 
     @Option(
             name = {"--addresses"},
             title = "HOST:PORT,...",
-            description = "Entry or control processes to ask, the next when one does not answer; else the environment"
+            description = "Entry or control processes, tried in order; defaults to the environment"
                     + " variable BANKTURN_ADDRESSES.",
             type = OptionType.COMMAND)
     private String addresses;
@@ -22,14 +22,14 @@
     @Option(
             name = {"--output"},
             title = "text|json",
-            description = "How to print answers.",
+            description = "The output format.",
             type = OptionType.COMMAND)
     private String output = "text";
 
     /** Runs the command. */
     abstract ExitCode run() throws IOException;
 
-    /** Runs the command and says what went wrong, if anything did. */
+    /** Runs the command and prints any error to standard error. */
     final ExitCode runAndReport() {
         if (!output.equals("text") && !output.equals("json")) {
             System.err.println("--output must be text or json, not " + output);
@@ -44,11 +44,11 @@
     }
 
     final boolean hasAddresses() {
-        return addresses != null || System.getenv(ENVIRONMENT) != null;
+        return addresses != null || System.getenv(ADDRESSES_VARIABLE) != null;
     }
 
     final OperatorClient client() {
-        String list = addresses != null ? addresses : System.getenv().getOrDefault(ENVIRONMENT, "");
+        String list = addresses != null ? addresses : System.getenv().getOrDefault(ADDRESSES_VARIABLE, "");
         return new OperatorClient(List.of(list.split(",")).stream()
                 .filter(text -> !text.isBlank())
                 .toList());
--- a/cli/src/main/java/org/bankturn/cli/OutputFormat.java
+++ b/cli/src/main/java/org/bankturn/cli/OutputFormat.java
@@ -3,16 +3,16 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import java.util.function.Function;
 
-/** How the tool prints an answer. */
+/** The formats in which the tool prints answers. */
 enum OutputFormat {
-    /** For people. */
+    /** Human-readable text. */
     TEXT {
         @Override
         String render(JsonNode answer, Function<JsonNode, String> text) {
             return text.apply(answer);
         }
     },
-    /** For programs: the answer as it came, one JSON document. */
+    /** The unmodified answer, as one JSON document. */
     JSON {
         @Override
         String render(JsonNode answer, Function<JsonNode, String> text) {
--- a/cli/src/main/java/org/bankturn/cli/ShowCommand.java
+++ b/cli/src/main/java/org/bankturn/cli/ShowCommand.java
@@ -3,7 +3,7 @@
 import com.github.rvesse.airline.annotations.Command;
 import java.io.IOException;
 
-/** {@code bankturn show}: shows what is in force in the process that answers. */
+/** {@code bankturn show}: shows the configuration in force in the process that answers. */
 @Command(name = "show", description = "Shows the files and versions in force.")
 public final class ShowCommand extends OperatorCommand {
     /** Created by the command-line parser. */
--- a/cli/src/main/java/org/bankturn/cli/StatusCommand.java
+++ b/cli/src/main/java/org/bankturn/cli/StatusCommand.java
@@ -3,8 +3,8 @@
 import com.github.rvesse.airline.annotations.Command;
 import java.io.IOException;
 
-/** {@code bankturn status}: shows how every process is, who lags, and for how long. */
-@Command(name = "status", description = "Shows the leader, versions, and every process.")
+/** {@code bankturn status}: shows the state of every process and how far it lags behind. */
+@Command(name = "status", description = "Shows the leader, the versions and all processes.")
 public final class StatusCommand extends OperatorCommand {
     /** Created by the command-line parser. */
     public StatusCommand() {}
--- a/cli/src/main/java/org/bankturn/cli/TextRenderer.java
+++ b/cli/src/main/java/org/bankturn/cli/TextRenderer.java
@@ -3,9 +3,9 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import java.util.Locale;
 
-/** Renders answers for people. */
+/** Renders answers as human-readable text. */
 final class TextRenderer {
-    private static final int SHORT_DIGEST = 12;
+    private static final int SHORT_DIGEST_LENGTH = 12;
 
     private TextRenderer() {}
 
@@ -71,30 +71,30 @@
                         .append(String.format(
                                 Locale.ROOT, "%.2f", entry.getValue().asDouble()))
                         .append('\n'));
-        answer.path("processes").forEach(line -> appendProcess(text, line));
+        answer.path("processes").forEach(process -> appendProcess(text, process));
         return text.toString();
     }
 
-    private static void appendProcess(StringBuilder text, JsonNode line) {
+    private static void appendProcess(StringBuilder text, JsonNode process) {
         text.append(String.format(
                 Locale.ROOT,
                 "%-24s %-14s %-12s index %-6d heard %d ms ago",
-                line.path("process").asText(),
-                line.path("role").asText(),
-                line.path("dataHall").asText(),
-                line.path("configurationIndex").asLong(),
-                line.path("reportAgeMillis").asLong()));
-        if (line.path("behindMillis").asLong() > 0) {
+                process.path("process").asText(),
+                process.path("role").asText(),
+                process.path("dataHall").asText(),
+                process.path("configurationIndex").asLong(),
+                process.path("reportAgeMillis").asLong()));
+        if (process.path("behindMillis").asLong() > 0) {
             text.append("  BEHIND for ")
-                    .append(line.path("behindMillis").asLong())
+                    .append(process.path("behindMillis").asLong())
                     .append(" ms");
         }
-        line.path("loaded").forEach(manifest -> text.append("  ").append(shorten(manifest.asText())));
-        if (line.path("leaving").asBoolean()) {
+        process.path("loaded").forEach(manifest -> text.append("  ").append(shorten(manifest.asText())));
+        if (process.path("leaving").asBoolean()) {
             text.append("  leaving");
         }
-        if (!line.path("note").asText().isEmpty()) {
-            text.append("  NOTE ").append(line.path("note").asText());
+        if (!process.path("note").asText().isEmpty()) {
+            text.append("  NOTE ").append(process.path("note").asText());
         }
         text.append('\n');
     }
@@ -110,6 +110,6 @@
     }
 
     private static String shorten(String digest) {
-        return digest.substring(0, Math.min(SHORT_DIGEST, digest.length()));
+        return digest.substring(0, Math.min(SHORT_DIGEST_LENGTH, digest.length()));
     }
 }
--- a/cli/src/main/java/org/bankturn/cli/ValidateCommand.java
+++ b/cli/src/main/java/org/bankturn/cli/ValidateCommand.java
@@ -17,12 +17,12 @@
 import org.bankturn.configuration.FileRecord;
 import org.bankturn.document.DocumentError;
 
-/** {@code bankturn validate}: checks a file without applying it, against what is in force if addresses are given. */
-@Command(name = "validate", description = "Checks a file and lists every error in it; applies nothing.")
+/** {@code bankturn validate}: checks a file without applying it, against the configuration in force if addresses are given. */
+@Command(name = "validate", description = "Checks a file and lists its errors, without applying it.")
 public final class ValidateCommand extends OperatorCommand {
     private static final ObjectMapper JSON = new ObjectMapper();
 
-    @Arguments(title = "FILE", description = "The operators' file.")
+    @Arguments(title = "FILE", description = "The operator file.")
     @Required
     private String file;
 
@@ -31,25 +31,25 @@
 
     @Override
     ExitCode run() throws IOException {
-        Configuration base = hasAddresses() ? inForce() : Configuration.empty();
+        Configuration base = hasAddresses() ? currentConfiguration() : Configuration.empty();
         List<DocumentError> errors = base.check(file, Files.readString(Path.of(file)));
         ObjectNode answer = JSON.createObjectNode().put("valid", errors.isEmpty());
         errors.forEach(error -> answer.withArray("errors").add(error.toString()));
-        print(answer, ValidateCommand::text);
+        print(answer, ValidateCommand::renderText);
         return errors.isEmpty() ? ExitCode.DONE : ExitCode.REFUSED;
     }
 
-    private Configuration inForce() throws IOException {
+    private Configuration currentConfiguration() throws IOException {
         JsonNode shown = client().get("/operator/show").body();
         List<FileRecord> files = new ArrayList<>();
         shown.path("files")
-                .forEach(each -> files.add(new FileRecord(
-                        each.path("name").asText(),
-                        each.path("number").asLong(),
-                        each.path("index").asLong(),
-                        each.path("submittedBy").asText(),
-                        each.path("digest").asText(),
-                        each.path("text").asText())));
+                .forEach(file -> files.add(new FileRecord(
+                        file.path("name").asText(),
+                        file.path("number").asLong(),
+                        file.path("index").asLong(),
+                        file.path("submittedBy").asText(),
+                        file.path("digest").asText(),
+                        file.path("text").asText())));
         Map<String, String> inService = new LinkedHashMap<>();
         shown.path("inService")
                 .properties()
@@ -57,7 +57,7 @@
         return Configuration.of(shown.path("index").asLong(), files, inService);
     }
 
-    private static String text(JsonNode answer) {
+    private static String renderText(JsonNode answer) {
         if (answer.path("valid").asBoolean()) {
             return "valid";
         }
--- a/cli/src/main/java/org/bankturn/cli/WatchCommand.java
+++ b/cli/src/main/java/org/bankturn/cli/WatchCommand.java
@@ -4,7 +4,7 @@
 import com.github.rvesse.airline.annotations.Option;
 import java.io.IOException;
 
-/** {@code bankturn watch}: prints the status again and again, until it is stopped or the count is reached. */
+/** {@code bankturn watch}: prints the status repeatedly, until it is stopped or the count is reached. */
 @Command(name = "watch", description = "Prints the status every second.")
 public final class WatchCommand extends OperatorCommand {
     private static final long PAUSE_MILLIS = 1_000;
@@ -12,7 +12,7 @@
     @Option(
             name = {"--count"},
             title = "N",
-            description = "Stop after N times; 0 goes on until stopped.")
+            description = "Stop after N times; 0 repeats until stopped.")
     private int count;
 
     /** Created by the command-line parser. */
--- a/cli/src/main/java/org/bankturn/cli/package-info.java
+++ b/cli/src/main/java/org/bankturn/cli/package-info.java
@@ -1,4 +1,4 @@
 /**
- * The operators' command-line tool: submits files and reads back what is in force.
+ * The command-line tool for operators: submits files and shows the configuration in force.
  */
 package org.bankturn.cli;
