--- a/standins/src/main/java/org/bankturn/harness/Caller.java
+++ b/standins/src/main/java/org/bankturn/harness/Caller.java
@@ -25,7 +25,7 @@
 
     private final HttpClient client =
             HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).build();
-    private final CallerTally tally;
+    private final CallerStatistics tally;
     private final Set<String> knownWeights;
     private final int tokens;
 
@@ -36,7 +36,7 @@
      * @param knownWeights the SHA-256 of every whole version's weights, not null
      * @param tokens the tokens of a whole answer
      */
-    public Caller(CallerTally tally, Set<String> knownWeights, int tokens) {
+    public Caller(CallerStatistics tally, Set<String> knownWeights, int tokens) {
         this.tally = tally;
         this.knownWeights = Set.copyOf(knownWeights);
         this.tokens = tokens;
--- a/standins/src/main/java/org/bankturn/harness/CallerTally.java
+++ b/standins/src/main/java/org/bankturn/harness/CallerStatistics.java
@@ -10,9 +10,9 @@
 /**
  * What callers saw, and what that says of the promises.
  *
- * <p>CallerTally is thread-safe.
+ * <p>CallerStatistics is thread-safe.
  */
-public final class CallerTally {
+public final class CallerStatistics {
     private final AtomicInteger sent = new AtomicInteger();
     private final AtomicInteger whole = new AtomicInteger();
     private final AtomicInteger refused = new AtomicInteger();
@@ -23,7 +23,7 @@
     private final ConcurrentLinkedQueue<String> notes = new ConcurrentLinkedQueue<>();
 
     /** Creates an empty tally. */
-    public CallerTally() {}
+    public CallerStatistics() {}
 
     void sent() {
         sent.incrementAndGet();
--- a/standins/src/main/java/org/bankturn/quickstart/Quickstart.java
+++ b/standins/src/main/java/org/bankturn/quickstart/Quickstart.java
@@ -20,7 +20,7 @@
 import org.bankturn.harness.Await;
 import org.bankturn.harness.BurstBound;
 import org.bankturn.harness.Caller;
-import org.bankturn.harness.CallerTally;
+import org.bankturn.harness.CallerStatistics;
 import org.bankturn.harness.DeploymentPlan;
 import org.bankturn.harness.LocalDeployment;
 import org.bankturn.standin.EngineStandin;
@@ -90,7 +90,7 @@
         move(running, 1, Map.of("v1", first), "v1", first);
         awaitInService(running, first);
 
-        CallerTally tally = new CallerTally();
+        CallerStatistics tally = new CallerStatistics();
         List<Thread> callers = startCallers(running, tally, Set.of(first.digest(), second.digest()));
         move(running, 2, Map.of("v1", first, "v2", second), "v2", second);
         awaitInService(running, second);
@@ -131,7 +131,7 @@
     private static void awaitInService(LocalDeployment running, Weights weights) {
         for (DeploymentPlan.Place entry : running.plan().entries()) {
             Await.until("version in service at " + entry.name(), TIMEOUT_MILLIS, () -> {
-                CallerTally tally = new CallerTally();
+                CallerStatistics tally = new CallerStatistics();
                 new Caller(tally, Set.of(weights.digest()), EngineStandin.Settings.DEFAULT.tokens())
                         .chat(running.httpAddress(entry.name()), "account-1");
                 return tally.wholeCount() == 1;
@@ -139,7 +139,7 @@
         }
     }
 
-    private List<Thread> startCallers(LocalDeployment running, CallerTally tally, Set<String> knownWeights) {
+    private List<Thread> startCallers(LocalDeployment running, CallerStatistics tally, Set<String> knownWeights) {
         Caller caller = new Caller(tally, knownWeights, EngineStandin.Settings.DEFAULT.tokens());
         List<Thread> threads = new ArrayList<>();
         for (int number = 0; number < CALLERS; number++) {
@@ -171,7 +171,7 @@
         }
     }
 
-    private static boolean judge(LocalDeployment running, CallerTally tally) {
+    private static boolean judge(LocalDeployment running, CallerStatistics tally) {
         Map<String, Integer> runs = running.runsById();
         long doubled = tally.doubled(runs);
         long lost = tally.lost(runs);
--- a/standins/src/test/java/org/bankturn/harness/SmallDeployment.java
+++ b/standins/src/test/java/org/bankturn/harness/SmallDeployment.java
@@ -24,7 +24,7 @@
     private static final ObjectMapper JSON = new ObjectMapper();
 
     final LocalDeployment running;
-    final CallerTally tally = new CallerTally();
+    final CallerStatistics tally = new CallerStatistics();
     final Caller caller = new Caller(tally, Set.of(FIRST.digest(), SECOND.digest()), ENGINE.tokens());
 
     private SmallDeployment(LocalDeployment running) {
