--- a/standins/src/main/java/org/bankturn/harness/Caller.java
+++ b/standins/src/main/java/org/bankturn/harness/Caller.java
@@ -25,19 +25,19 @@
 
     private final HttpClient client =
             HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).build();
-    private final CallerStatistics tally;
+    private final CallerStatistics statistics;
     private final Set<String> knownWeights;
     private final int tokens;
 
     /**
      * Creates a caller.
      *
-     * @param tally counts what it sees, not null
+     * @param statistics counts what it sees, not null
      * @param knownWeights the SHA-256 of every whole version's weights, not null
      * @param tokens the tokens of a whole answer
      */
-    public Caller(CallerStatistics tally, Set<String> knownWeights, int tokens) {
-        this.tally = tally;
+    public Caller(CallerStatistics statistics, Set<String> knownWeights, int tokens) {
+        this.statistics = statistics;
         this.knownWeights = Set.copyOf(knownWeights);
         this.tokens = tokens;
     }
@@ -96,7 +96,7 @@
     }
 
     private int exchange(HttpRequest request, String unsafeId, String chatId) {
-        tally.sent();
+        statistics.sent();
         try {
             HttpResponse<byte[]> response = client.send(request, HttpResponse.BodyHandlers.ofByteArray());
             String text = new String(response.body(), StandardCharsets.UTF_8);
@@ -105,13 +105,13 @@
             }
             String fault = chatId == null ? faultInCall(text, unsafeId) : faultInChat(text, chatId);
             if (fault == null) {
-                tally.answeredWhole(unsafeId);
+                statistics.answeredWhole(unsafeId);
             } else {
-                tally.wrong(fault);
+                statistics.wrong(fault);
             }
             return ResultCode.REQUEST_ANSWERED.number();
         } catch (IOException e) {
-            tally.unknown("cut: " + e);
+            statistics.unknown("cut: " + e);
             return ResultCode.OUTCOME_UNKNOWN.number();
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
@@ -123,9 +123,9 @@
         JsonNode answer = JSON.readTree(text);
         int code = answer.path("code").asInt();
         if (answer.path("notRun").asBoolean()) {
-            tally.refused(unsafeId);
+            statistics.refused(unsafeId);
         } else {
-            tally.unknown(text.strip());
+            statistics.unknown(text.strip());
         }
         return code;
     }
--- a/standins/src/main/java/org/bankturn/harness/CallerStatistics.java
+++ b/standins/src/main/java/org/bankturn/harness/CallerStatistics.java
@@ -22,7 +22,7 @@
     private final Set<String> refusedIds = ConcurrentHashMap.newKeySet();
     private final ConcurrentLinkedQueue<String> notes = new ConcurrentLinkedQueue<>();
 
-    /** Creates an empty tally. */
+    /** Creates an empty statistics. */
     public CallerStatistics() {}
 
     void sent() {
--- a/standins/src/test/java/org/bankturn/harness/RequestFailureTest.java
+++ b/standins/src/test/java/org/bankturn/harness/RequestFailureTest.java
@@ -35,9 +35,9 @@
                 String id = UUID.randomUUID().toString();
                 deployment.caller.callOnce(deployment.running.httpAddress("two-entry"), "account-2", "booking", id);
             }
-            assertThat(deployment.tally.wrongCount()).isZero();
-            assertThat(deployment.tally.unknownCount())
-                    .as("%s", deployment.tally.firstNotes())
+            assertThat(deployment.statistics.wrongCount()).isZero();
+            assertThat(deployment.statistics.unknownCount())
+                    .as("%s", deployment.statistics.firstNotes())
                     .isZero();
             assertThat(deployment.running.runsById()).hasSize(4);
         }
@@ -46,7 +46,7 @@
     @Test
     void planned_stops_of_a_target_and_an_entry_process_cut_off_nothing() throws IOException {
         try (SmallDeployment deployment = SmallDeployment.serving()) {
-            int refusedBefore = deployment.tally.refusedCount();
+            int refusedBefore = deployment.statistics.refusedCount();
             List<CompletableFuture<Integer>> running = chatAtOnce(deployment, "two-entry", 8);
             Await.until(
                     "the engine works",
@@ -57,11 +57,11 @@
             assertThat(running).allSatisfy(call -> assertThat(call.join()).isEqualTo(ANSWERED));
             assertThat(deployment.running.daemon("two-assistant").awaitEnd()).isEqualTo(143);
             assertThat(deployment.running.daemon("two-entry").awaitEnd()).isEqualTo(143);
-            assertThat(deployment.tally.unknownCount())
-                    .as("%s", deployment.tally.firstNotes())
+            assertThat(deployment.statistics.unknownCount())
+                    .as("%s", deployment.statistics.firstNotes())
                     .isZero();
-            assertThat(deployment.tally.wrongCount()).isZero();
-            assertThat(deployment.tally.refusedCount()).isEqualTo(refusedBefore);
+            assertThat(deployment.statistics.wrongCount()).isZero();
+            assertThat(deployment.statistics.refusedCount()).isEqualTo(refusedBefore);
             assertThat(deployment.chat("one-entry")).isEqualTo(ANSWERED);
         }
     }
@@ -78,8 +78,8 @@
                     () -> deployment.running.engine("two-assistant").answered() > before);
             deployment.running.daemon("two-assistant").kill();
             call.join();
-            assertThat(deployment.tally.wrongCount())
-                    .as("%s", deployment.tally.firstNotes())
+            assertThat(deployment.statistics.wrongCount())
+                    .as("%s", deployment.statistics.firstNotes())
                     .isZero();
             Await.until("others answer", SmallDeployment.PATIENCE, () -> deployment.chat("two-entry") == ANSWERED);
         }
@@ -119,8 +119,10 @@
                 deployment.caller.callOnce(other, "account-1", "booking", id);
             }
             threads.shutdownNow();
-            assertThat(deployment.tally.doubled(deployment.running.runsById())).isZero();
-            assertThat(deployment.tally.lost(deployment.running.runsById())).isZero();
+            assertThat(deployment.statistics.doubled(deployment.running.runsById()))
+                    .isZero();
+            assertThat(deployment.statistics.lost(deployment.running.runsById()))
+                    .isZero();
         }
     }
 
@@ -142,7 +144,8 @@
                     "keyed requests run again",
                     SmallDeployment.PATIENCE,
                     () -> deployment.caller.callOnce(address, "account-1", "booking", "healed") == ANSWERED);
-            assertThat(deployment.tally.doubled(deployment.running.runsById())).isZero();
+            assertThat(deployment.statistics.doubled(deployment.running.runsById()))
+                    .isZero();
         }
     }
 
--- a/standins/src/test/java/org/bankturn/harness/SmallDeployment.java
+++ b/standins/src/test/java/org/bankturn/harness/SmallDeployment.java
@@ -24,8 +24,8 @@
     private static final ObjectMapper JSON = new ObjectMapper();
 
     final LocalDeployment running;
-    final CallerStatistics tally = new CallerStatistics();
-    final Caller caller = new Caller(tally, Set.of(FIRST.digest(), SECOND.digest()), ENGINE.tokens());
+    final CallerStatistics statistics = new CallerStatistics();
+    final Caller caller = new Caller(statistics, Set.of(FIRST.digest(), SECOND.digest()), ENGINE.tokens());
 
     private SmallDeployment(LocalDeployment running) {
         this.running = running;
--- a/standins/src/test/java/org/bankturn/harness/WeightsFailureTest.java
+++ b/standins/src/test/java/org/bankturn/harness/WeightsFailureTest.java
@@ -58,7 +58,7 @@
                 }
             }
             deployment.awaitServing();
-            assertThat(deployment.tally.wrongCount()).isZero();
+            assertThat(deployment.statistics.wrongCount()).isZero();
         }
     }
 
