--- a/standins/src/main/java/org/bankturn/harness/Caller.java
+++ b/standins/src/main/java/org/bankturn/harness/Caller.java
@@ -105,7 +105,7 @@
             }
             String fault = chatId == null ? faultInCall(text, unsafeId) : faultInChat(text, chatId);
             if (fault == null) {
-                statistics.answeredWhole(unsafeId);
+                statistics.answerComplete(unsafeId);
             } else {
                 statistics.wrong(fault);
             }
--- a/standins/src/main/java/org/bankturn/harness/CallerStatistics.java
+++ b/standins/src/main/java/org/bankturn/harness/CallerStatistics.java
@@ -29,7 +29,7 @@
         sent.incrementAndGet();
     }
 
-    void answeredWhole(String unsafeId) {
+    void answerComplete(String unsafeId) {
         whole.incrementAndGet();
         if (unsafeId != null) {
             confirmedIds.add(unsafeId);
