--- a/standins/src/main/java/org/bankturn/harness/Caller.java
+++ b/standins/src/main/java/org/bankturn/harness/Caller.java
@@ -107,7 +107,7 @@
             if (fault == null) {
                 statistics.answerComplete(unsafeId);
             } else {
-                statistics.wrong(fault);
+                statistics.answerIncorrect(fault);
             }
             return ResultCode.REQUEST_ANSWERED.number();
         } catch (IOException e) {
--- a/standins/src/main/java/org/bankturn/harness/CallerStatistics.java
+++ b/standins/src/main/java/org/bankturn/harness/CallerStatistics.java
@@ -48,7 +48,7 @@
         notes.add(why);
     }
 
-    void wrong(String why) {
+    void answerIncorrect(String why) {
         wrong.incrementAndGet();
         notes.add("WRONG " + why);
     }
