--- a/standins/src/main/java/org/bankturn/harness/CallerStatistics.java
+++ b/standins/src/main/java/org/bankturn/harness/CallerStatistics.java
@@ -59,7 +59,7 @@
     }
 
     /** Returns the requests answered whole, with the right content. */
-    public int wholeCount() {
+    public int completeCount() {
         return whole.get();
     }
 
--- a/standins/src/main/java/org/bankturn/quickstart/Quickstart.java
+++ b/standins/src/main/java/org/bankturn/quickstart/Quickstart.java
@@ -134,7 +134,7 @@
                 CallerStatistics tally = new CallerStatistics();
                 new Caller(tally, Set.of(weights.digest()), EngineStandin.Settings.DEFAULT.tokens())
                         .chat(running.httpAddress(entry.name()), "account-1");
-                return tally.wholeCount() == 1;
+                return tally.completeCount() == 1;
             });
         }
     }
@@ -180,7 +180,7 @@
                 "requests: sent %d, answered whole %d, refused %d, unknown %d, wrong %d, doubled %d, lost %d,"
                         + " refused but ran %d",
                 tally.sentCount(),
-                tally.wholeCount(),
+                tally.completeCount(),
                 tally.refusedCount(),
                 tally.unknownCount(),
                 tally.wrongCount(),
@@ -189,8 +189,8 @@
                 refusedButRan);
         tally.firstNotes().forEach(note -> report("  %s", note));
         boolean accounted = tally.sentCount()
-                == tally.wholeCount() + tally.refusedCount() + tally.unknownCount() + tally.wrongCount();
-        return accounted && tally.wholeCount() > 0 && tally.wrongCount() + doubled + lost + refusedButRan == 0;
+                == tally.completeCount() + tally.refusedCount() + tally.unknownCount() + tally.wrongCount();
+        return accounted && tally.completeCount() > 0 && tally.wrongCount() + doubled + lost + refusedButRan == 0;
     }
 
     private static void report(String format, Object... values) {
