--- a/standins/src/main/java/org/bankturn/harness/CallerStatistics.java
+++ b/standins/src/main/java/org/bankturn/harness/CallerStatistics.java
@@ -74,7 +74,7 @@
     }
 
     /** Returns the answers that were short, swapped, mixed or of the wrong weights. */
-    public int wrongCount() {
+    public int incorrectCount() {
         return wrong.get();
     }
 
--- a/standins/src/main/java/org/bankturn/quickstart/Quickstart.java
+++ b/standins/src/main/java/org/bankturn/quickstart/Quickstart.java
@@ -183,14 +183,14 @@
                 tally.completeCount(),
                 tally.refusedCount(),
                 tally.unknownCount(),
-                tally.wrongCount(),
+                tally.incorrectCount(),
                 doubled,
                 lost,
                 refusedButRan);
         tally.firstNotes().forEach(note -> report("  %s", note));
         boolean accounted = tally.sentCount()
-                == tally.completeCount() + tally.refusedCount() + tally.unknownCount() + tally.wrongCount();
-        return accounted && tally.completeCount() > 0 && tally.wrongCount() + doubled + lost + refusedButRan == 0;
+                == tally.completeCount() + tally.refusedCount() + tally.unknownCount() + tally.incorrectCount();
+        return accounted && tally.completeCount() > 0 && tally.incorrectCount() + doubled + lost + refusedButRan == 0;
     }
 
     private static void report(String format, Object... values) {
--- a/standins/src/test/java/org/bankturn/harness/CutHallTest.java
+++ b/standins/src/test/java/org/bankturn/harness/CutHallTest.java
@@ -41,7 +41,7 @@
                     () -> deployment.caller.callOnce(address, "account-1", "booking", "healed") == ANSWERED);
             assertThat(deployment.applyThrough(address, 2, "v1", "minority")).isEqualTo(3);
             assertThat(deployment.running.runsById()).doesNotContainKey("cut").containsEntry("healed", 1);
-            assertThat(deployment.statistics.wrongCount()).isZero();
+            assertThat(deployment.statistics.incorrectCount()).isZero();
         }
     }
 
--- a/standins/src/test/java/org/bankturn/harness/RequestFailureTest.java
+++ b/standins/src/test/java/org/bankturn/harness/RequestFailureTest.java
@@ -35,7 +35,7 @@
                 String id = UUID.randomUUID().toString();
                 deployment.caller.callOnce(deployment.running.httpAddress("two-entry"), "account-2", "booking", id);
             }
-            assertThat(deployment.statistics.wrongCount()).isZero();
+            assertThat(deployment.statistics.incorrectCount()).isZero();
             assertThat(deployment.statistics.unknownCount())
                     .as("%s", deployment.statistics.firstNotes())
                     .isZero();
@@ -60,7 +60,7 @@
             assertThat(deployment.statistics.unknownCount())
                     .as("%s", deployment.statistics.firstNotes())
                     .isZero();
-            assertThat(deployment.statistics.wrongCount()).isZero();
+            assertThat(deployment.statistics.incorrectCount()).isZero();
             assertThat(deployment.statistics.refusedCount()).isEqualTo(refusedBefore);
             assertThat(deployment.chat("one-entry")).isEqualTo(ANSWERED);
         }
@@ -78,7 +78,7 @@
                     () -> deployment.running.engine("two-assistant").answered() > before);
             deployment.running.daemon("two-assistant").kill();
             call.join();
-            assertThat(deployment.statistics.wrongCount())
+            assertThat(deployment.statistics.incorrectCount())
                     .as("%s", deployment.statistics.firstNotes())
                     .isZero();
             Await.until("others answer", SmallDeployment.PATIENCE, () -> deployment.chat("two-entry") == ANSWERED);
--- a/standins/src/test/java/org/bankturn/harness/WeightsFailureTest.java
+++ b/standins/src/test/java/org/bankturn/harness/WeightsFailureTest.java
@@ -58,7 +58,7 @@
                 }
             }
             deployment.awaitServing();
-            assertThat(deployment.statistics.wrongCount()).isZero();
+            assertThat(deployment.statistics.incorrectCount()).isZero();
         }
     }
 
