--- a/standins/src/main/java/org/bankturn/harness/CallerStatistics.java
+++ b/standins/src/main/java/org/bankturn/harness/CallerStatistics.java
@@ -79,7 +79,7 @@
     }
 
     /** Returns the first few notes on what was unknown or wrong, not null. */
-    public List<String> firstNotes() {
+    public List<String> firstFailures() {
         return notes.stream().limit(5).toList();
     }
 
--- a/standins/src/main/java/org/bankturn/quickstart/Quickstart.java
+++ b/standins/src/main/java/org/bankturn/quickstart/Quickstart.java
@@ -187,7 +187,7 @@
                 doubled,
                 lost,
                 refusedButRan);
-        tally.firstNotes().forEach(note -> report("  %s", note));
+        tally.firstFailures().forEach(note -> report("  %s", note));
         boolean accounted = tally.sentCount()
                 == tally.completeCount() + tally.refusedCount() + tally.unknownCount() + tally.incorrectCount();
         return accounted && tally.completeCount() > 0 && tally.incorrectCount() + doubled + lost + refusedButRan == 0;
--- a/standins/src/test/java/org/bankturn/harness/RequestFailureTest.java
+++ b/standins/src/test/java/org/bankturn/harness/RequestFailureTest.java
@@ -37,7 +37,7 @@
             }
             assertThat(deployment.statistics.incorrectCount()).isZero();
             assertThat(deployment.statistics.unknownCount())
-                    .as("%s", deployment.statistics.firstNotes())
+                    .as("%s", deployment.statistics.firstFailures())
                     .isZero();
             assertThat(deployment.running.runsById()).hasSize(4);
         }
@@ -58,7 +58,7 @@
             assertThat(deployment.running.daemon("two-assistant").awaitEnd()).isEqualTo(143);
             assertThat(deployment.running.daemon("two-entry").awaitEnd()).isEqualTo(143);
             assertThat(deployment.statistics.unknownCount())
-                    .as("%s", deployment.statistics.firstNotes())
+                    .as("%s", deployment.statistics.firstFailures())
                     .isZero();
             assertThat(deployment.statistics.incorrectCount()).isZero();
             assertThat(deployment.statistics.refusedCount()).isEqualTo(refusedBefore);
@@ -79,7 +79,7 @@
             deployment.running.daemon("two-assistant").kill();
             call.join();
             assertThat(deployment.statistics.incorrectCount())
-                    .as("%s", deployment.statistics.firstNotes())
+                    .as("%s", deployment.statistics.firstFailures())
                     .isZero();
             Await.until("others answer", SmallDeployment.PATIENCE, () -> deployment.chat("two-entry") == ANSWERED);
         }
