--- a/standins/src/main/java/org/bankturn/harness/CallerStatistics.java
+++ b/standins/src/main/java/org/bankturn/harness/CallerStatistics.java
@@ -89,7 +89,7 @@
      * @param runsById how often each ran, not null
      * @return the number, 0 if the promise holds
      */
-    public long doubled(Map<String, Integer> runsById) {
+    public long executedRepeatedly(Map<String, Integer> runsById) {
         return runsById.values().stream().filter(runs -> runs > 1).count();
     }
 
--- a/standins/src/main/java/org/bankturn/quickstart/Quickstart.java
+++ b/standins/src/main/java/org/bankturn/quickstart/Quickstart.java
@@ -173,7 +173,7 @@
 
     private static boolean judge(LocalDeployment running, CallerStatistics tally) {
         Map<String, Integer> runs = running.runsById();
-        long doubled = tally.doubled(runs);
+        long doubled = tally.executedRepeatedly(runs);
         long lost = tally.lost(runs);
         long refusedButRan = tally.refusedButRan(runs);
         report(
--- a/standins/src/test/java/org/bankturn/harness/RequestFailureTest.java
+++ b/standins/src/test/java/org/bankturn/harness/RequestFailureTest.java
@@ -119,7 +119,7 @@
                 deployment.caller.callOnce(other, "account-1", "booking", id);
             }
             threads.shutdownNow();
-            assertThat(deployment.statistics.doubled(deployment.running.runsById()))
+            assertThat(deployment.statistics.executedRepeatedly(deployment.running.runsById()))
                     .isZero();
             assertThat(deployment.statistics.lost(deployment.running.runsById()))
                     .isZero();
@@ -144,7 +144,7 @@
                     "keyed requests run again",
                     SmallDeployment.PATIENCE,
                     () -> deployment.caller.callOnce(address, "account-1", "booking", "healed") == ANSWERED);
-            assertThat(deployment.statistics.doubled(deployment.running.runsById()))
+            assertThat(deployment.statistics.executedRepeatedly(deployment.running.runsById()))
                     .isZero();
         }
     }
