--- a/standins/src/main/java/org/bankturn/harness/CallerStatistics.java
+++ b/standins/src/main/java/org/bankturn/harness/CallerStatistics.java
@@ -99,7 +99,7 @@
      * @param runsById how often each ran, not null
      * @return the number, 0 if the promise holds
      */
-    public long lost(Map<String, Integer> runsById) {
+    public long confirmedButNotExecuted(Map<String, Integer> runsById) {
         return confirmedIds.stream().filter(id -> !runsById.containsKey(id)).count();
     }
 
--- a/standins/src/main/java/org/bankturn/quickstart/Quickstart.java
+++ b/standins/src/main/java/org/bankturn/quickstart/Quickstart.java
@@ -174,7 +174,7 @@
     private static boolean judge(LocalDeployment running, CallerStatistics tally) {
         Map<String, Integer> runs = running.runsById();
         long doubled = tally.executedRepeatedly(runs);
-        long lost = tally.lost(runs);
+        long lost = tally.confirmedButNotExecuted(runs);
         long refusedButRan = tally.refusedButRan(runs);
         report(
                 "requests: sent %d, answered whole %d, refused %d, unknown %d, wrong %d, doubled %d, lost %d,"
--- a/standins/src/test/java/org/bankturn/harness/RequestFailureTest.java
+++ b/standins/src/test/java/org/bankturn/harness/RequestFailureTest.java
@@ -121,7 +121,7 @@
             threads.shutdownNow();
             assertThat(deployment.statistics.executedRepeatedly(deployment.running.runsById()))
                     .isZero();
-            assertThat(deployment.statistics.lost(deployment.running.runsById()))
+            assertThat(deployment.statistics.confirmedButNotExecuted(deployment.running.runsById()))
                     .isZero();
         }
     }
