--- a/standins/src/main/java/org/bankturn/harness/CallerStatistics.java
+++ b/standins/src/main/java/org/bankturn/harness/CallerStatistics.java
@@ -109,7 +109,7 @@
      * @param runsById how often each ran, not null
      * @return the number, 0 if the promise holds
      */
-    public long refusedButRan(Map<String, Integer> runsById) {
+    public long refusedButExecuted(Map<String, Integer> runsById) {
         return refusedIds.stream()
                 .filter(id -> !confirmedIds.contains(id))
                 .filter(runsById::containsKey)
--- a/standins/src/main/java/org/bankturn/quickstart/Quickstart.java
+++ b/standins/src/main/java/org/bankturn/quickstart/Quickstart.java
@@ -175,7 +175,7 @@
         Map<String, Integer> runs = running.runsById();
         long doubled = tally.executedRepeatedly(runs);
         long lost = tally.confirmedButNotExecuted(runs);
-        long refusedButRan = tally.refusedButRan(runs);
+        long refusedButRan = tally.refusedButExecuted(runs);
         report(
                 "requests: sent %d, answered whole %d, refused %d, unknown %d, wrong %d, doubled %d, lost %d,"
                         + " refused but ran %d",
