--- a/standins/src/main/java/org/bankturn/harness/DaemonHandle.java
+++ b/standins/src/main/java/org/bankturn/harness/DaemonHandle.java
@@ -36,7 +36,7 @@
     }
 
     /** Returns another daemon with the same settings, not started, not null. */
-    public DaemonHandle twin() {
+    public DaemonHandle duplicate() {
         return new DaemonHandle(name, settings, log);
     }
 
--- a/standins/src/test/java/org/bankturn/harness/WeightsFailureTest.java
+++ b/standins/src/test/java/org/bankturn/harness/WeightsFailureTest.java
@@ -89,7 +89,7 @@
     void a_second_process_for_the_same_box_does_not_start() throws IOException {
         try (SmallDeployment deployment = SmallDeployment.start(SmallDeployment.ENGINE)) {
             DaemonHandle first = deployment.running.daemon("one-assistant");
-            DaemonHandle second = first.twin();
+            DaemonHandle second = first.duplicate();
             second.start();
             assertThat(second.awaitEnd()).isEqualTo(4);
             assertThat(first.isAlive()).isTrue();
