--- a/standins/src/main/java/org/bankturn/bench/BurstBench.java
+++ b/standins/src/main/java/org/bankturn/bench/BurstBench.java
@@ -133,7 +133,7 @@
                 return boxes - dying;
             }
             case "stalled" -> {
-                running.daemon("box-1").freeze();
+                running.daemon("box-1").suspend();
                 return boxes - 1;
             }
             case "changed" -> {
--- a/standins/src/main/java/org/bankturn/harness/DaemonHandle.java
+++ b/standins/src/main/java/org/bankturn/harness/DaemonHandle.java
@@ -132,7 +132,7 @@
     }
 
     /** Stops the daemon's threads (SIGSTOP). */
-    public void freeze() {
+    public void suspend() {
         signal("-STOP");
     }
 
--- a/standins/src/test/java/org/bankturn/harness/ControlFailureTest.java
+++ b/standins/src/test/java/org/bankturn/harness/ControlFailureTest.java
@@ -50,7 +50,7 @@
             String leader = deployment.leader();
             String other = leader.equals("two-entry") ? "three-entry" : "two-entry";
             DaemonHandle frozen = deployment.running.daemon(leader);
-            frozen.freeze();
+            frozen.suspend();
             Await.until("another box leads and accepts", SmallDeployment.PATIENCE, () -> {
                 try {
                     return deployment.applyThrough(deployment.running.httpAddress(other), 2, "v2", "after") == 0;
--- a/standins/src/test/java/org/bankturn/harness/RequestFailureTest.java
+++ b/standins/src/test/java/org/bankturn/harness/RequestFailureTest.java
@@ -129,8 +129,8 @@
     @Test
     void a_hall_without_a_majority_serves_its_own_requests_and_refuses_keyed_ones_truthfully() throws IOException {
         try (SmallDeployment deployment = SmallDeployment.serving()) {
-            deployment.running.daemon("two-entry").freeze();
-            deployment.running.daemon("three-entry").freeze();
+            deployment.running.daemon("two-entry").suspend();
+            deployment.running.daemon("three-entry").suspend();
             String address = deployment.running.httpAddress("one-entry");
             assertThat(deployment.chat("one-entry")).isEqualTo(ANSWERED);
             int refused = deployment.caller.callOnce(address, "account-1", "booking", "cut-off");
