--- a/standins/src/main/java/org/bankturn/harness/DaemonHandle.java
+++ b/standins/src/main/java/org/bankturn/harness/DaemonHandle.java
@@ -137,7 +137,7 @@
     }
 
     /** Lets the daemon's threads go on (SIGCONT). */
-    public void thaw() {
+    public void resume() {
         signal("-CONT");
     }
 
--- a/standins/src/main/java/org/bankturn/harness/LocalDeployment.java
+++ b/standins/src/main/java/org/bankturn/harness/LocalDeployment.java
@@ -251,7 +251,7 @@
 
     @Override
     public void close() throws IOException {
-        daemons.values().stream().filter(DaemonHandle::isAlive).forEach(DaemonHandle::thaw);
+        daemons.values().stream().filter(DaemonHandle::isAlive).forEach(DaemonHandle::resume);
         daemons.values().stream().filter(DaemonHandle::isAlive).forEach(DaemonHandle::kill);
         engines.values().forEach(EngineStandin::close);
         services.forEach(PlainServiceStandin::close);
--- a/standins/src/test/java/org/bankturn/harness/ControlFailureTest.java
+++ b/standins/src/test/java/org/bankturn/harness/ControlFailureTest.java
@@ -60,7 +60,7 @@
             });
             deployment.awaitFile(other, 2);
             long accepted = deployment.indexAt(other);
-            frozen.thaw();
+            frozen.resume();
             assertThat(deployment.applyThrough(deployment.running.httpAddress(leader), 2, "v1", "late"))
                     .isEqualTo(3);
             deployment.awaitIndex(leader, accepted);
--- a/standins/src/test/java/org/bankturn/harness/RequestFailureTest.java
+++ b/standins/src/test/java/org/bankturn/harness/RequestFailureTest.java
@@ -138,8 +138,8 @@
             assertThat(deployment.running.runsById()).doesNotContainKey("cut-off");
             assertThat(deployment.caller.callWithoutKey(address, "account-1", "booking", "no-key"))
                     .isEqualTo(ANSWERED);
-            deployment.running.daemon("two-entry").thaw();
-            deployment.running.daemon("three-entry").thaw();
+            deployment.running.daemon("two-entry").resume();
+            deployment.running.daemon("three-entry").resume();
             Await.until(
                     "keyed requests run again",
                     SmallDeployment.PATIENCE,
