--- a/standins/src/main/java/org/bankturn/harness/DaemonHandle.java
+++ b/standins/src/main/java/org/bankturn/harness/DaemonHandle.java
@@ -121,7 +121,7 @@
     }
 
     /** Asks the daemon to stop as planned, without waiting. */
-    public void beginStop() {
+    public void requestStop() {
         process.destroy();
     }
 
--- a/standins/src/test/java/org/bankturn/harness/RequestFailureTest.java
+++ b/standins/src/test/java/org/bankturn/harness/RequestFailureTest.java
@@ -52,8 +52,8 @@
                     "the engine works",
                     SmallDeployment.PATIENCE,
                     () -> deployment.running.engine("two-assistant").answered() > 1);
-            deployment.running.daemon("two-assistant").beginStop();
-            deployment.running.daemon("two-entry").beginStop();
+            deployment.running.daemon("two-assistant").requestStop();
+            deployment.running.daemon("two-entry").requestStop();
             assertThat(running).allSatisfy(call -> assertThat(call.join()).isEqualTo(ANSWERED));
             assertThat(deployment.running.daemon("two-assistant").awaitEnd()).isEqualTo(143);
             assertThat(deployment.running.daemon("two-entry").awaitEnd()).isEqualTo(143);
