--- a/standins/src/main/java/org/bankturn/harness/DaemonHandle.java
+++ b/standins/src/main/java/org/bankturn/harness/DaemonHandle.java
@@ -117,7 +117,7 @@
     /** Stops the daemon as planned (SIGTERM) and waits for its end. */
     public void stop() {
         process.destroy();
-        awaitEnd();
+        awaitExit();
     }
 
     /** Asks the daemon to stop as planned, without waiting. */
@@ -128,7 +128,7 @@
     /** Kills the daemon (SIGKILL) and waits for its end. */
     public void kill() {
         process.destroyForcibly();
-        awaitEnd();
+        awaitExit();
     }
 
     /** Stops the daemon's threads (SIGSTOP). */
@@ -151,7 +151,7 @@
      *
      * @return the code
      */
-    public int awaitEnd() {
+    public int awaitExit() {
         try {
             if (!process.waitFor(STOP_SECONDS, TimeUnit.SECONDS)) {
                 process.destroyForcibly();
--- a/standins/src/test/java/org/bankturn/harness/RequestFailureTest.java
+++ b/standins/src/test/java/org/bankturn/harness/RequestFailureTest.java
@@ -55,8 +55,8 @@
             deployment.running.daemon("two-assistant").requestStop();
             deployment.running.daemon("two-entry").requestStop();
             assertThat(running).allSatisfy(call -> assertThat(call.join()).isEqualTo(ANSWERED));
-            assertThat(deployment.running.daemon("two-assistant").awaitEnd()).isEqualTo(143);
-            assertThat(deployment.running.daemon("two-entry").awaitEnd()).isEqualTo(143);
+            assertThat(deployment.running.daemon("two-assistant").awaitExit()).isEqualTo(143);
+            assertThat(deployment.running.daemon("two-entry").awaitExit()).isEqualTo(143);
             assertThat(deployment.statistics.unknownCount())
                     .as("%s", deployment.statistics.firstFailures())
                     .isZero();
--- a/standins/src/test/java/org/bankturn/harness/WeightsFailureTest.java
+++ b/standins/src/test/java/org/bankturn/harness/WeightsFailureTest.java
@@ -91,7 +91,7 @@
             DaemonHandle first = deployment.running.daemon("one-assistant");
             DaemonHandle second = first.duplicate();
             second.start();
-            assertThat(second.awaitEnd()).isEqualTo(4);
+            assertThat(second.awaitExit()).isEqualTo(4);
             assertThat(first.isAlive()).isTrue();
         }
     }
