--- a/standins/src/main/java/org/bankturn/harness/LocalDeployment.java
+++ b/standins/src/main/java/org/bankturn/harness/LocalDeployment.java
@@ -232,7 +232,7 @@
      * @param name the process's name, not null
      * @throws IOException if it cannot be deleted
      */
-    public void loseDisk(String name) throws IOException {
+    public void deleteData(String name) throws IOException {
         deleteTree(folder.resolve(name).resolve("data"));
     }
 
--- a/standins/src/test/java/org/bankturn/harness/ControlFailureTest.java
+++ b/standins/src/test/java/org/bankturn/harness/ControlFailureTest.java
@@ -30,7 +30,7 @@
     private static void loseDiskOf(SmallDeployment deployment, String box) throws IOException {
         DaemonHandle daemon = deployment.running.daemon(box);
         daemon.kill();
-        deployment.running.loseDisk(box);
+        deployment.running.deleteData(box);
         daemon.start();
         daemon.awaitReady();
         Await.until(box + " is a member in its new life", SmallDeployment.PATIENCE, () -> {
