--- a/standins/src/main/java/org/bankturn/harness/LocalDeployment.java
+++ b/standins/src/main/java/org/bankturn/harness/LocalDeployment.java
@@ -243,7 +243,7 @@
      * @param hall the hall, not null
      * @param cut true to cut, false to heal
      */
-    public void setCutOff(String hall, boolean cut) {
+    public void setPartitioned(String hall, boolean cut) {
         links.stream()
                 .filter(link -> link.fromHall().equals(hall) || link.toHall().equals(hall))
                 .forEach(link -> link.relay().setCut(cut));
--- a/standins/src/test/java/org/bankturn/harness/CutHallTest.java
+++ b/standins/src/test/java/org/bankturn/harness/CutHallTest.java
@@ -18,7 +18,7 @@
             String other = leader.equals("two-entry") ? "three-entry" : "two-entry";
             String address = deployment.running.httpAddress(leader);
             long before = deployment.indexAt(leader);
-            deployment.running.setCutOff(hall, true);
+            deployment.running.setPartitioned(hall, true);
             Await.until("the others accept a file", SmallDeployment.PATIENCE, () -> {
                 try {
                     return deployment.applyThrough(deployment.running.httpAddress(other), 2, "v2", "majority") == 0;
@@ -33,7 +33,7 @@
             assertThat(deployment.indexAt(leader)).isGreaterThanOrEqualTo(before);
             deployment.awaitFile(other, 2);
             long accepted = deployment.indexAt(other);
-            deployment.running.setCutOff(hall, false);
+            deployment.running.setPartitioned(hall, false);
             deployment.awaitIndex(leader, accepted);
             Await.until(
                     "keyed requests run again",
