--- a/standins/src/main/java/org/bankturn/harness/LocalDeployment.java
+++ b/standins/src/main/java/org/bankturn/harness/LocalDeployment.java
@@ -246,7 +246,7 @@
     public void setPartitioned(String hall, boolean cut) {
         links.stream()
                 .filter(link -> link.fromHall().equals(hall) || link.toHall().equals(hall))
-                .forEach(link -> link.relay().setCut(cut));
+                .forEach(link -> link.relay().setPartitioned(cut));
     }
 
     @Override
--- a/standins/src/main/java/org/bankturn/harness/Relay.java
+++ b/standins/src/main/java/org/bankturn/harness/Relay.java
@@ -20,7 +20,7 @@
     private final int destinationPort;
     private final List<Socket> sockets = new CopyOnWriteArrayList<>();
     private final Object gate = new Object();
-    private boolean cut;
+    private boolean partitioned;
 
     static Relay start(int port, int destinationPort) throws IOException {
         ServerSocket listener = new ServerSocket(port, 50, InetAddress.getLoopbackAddress());
@@ -34,16 +34,16 @@
         this.destinationPort = destinationPort;
     }
 
-    void setCut(boolean value) {
+    void setPartitioned(boolean value) {
         synchronized (gate) {
-            cut = value;
+            partitioned = value;
             gate.notifyAll();
         }
     }
 
     @Override
     public void close() throws IOException {
-        setCut(false);
+        setPartitioned(false);
         listener.close();
         for (Socket socket : sockets) {
             socket.close();
@@ -87,7 +87,7 @@
 
     private void awaitOpen() throws InterruptedException {
         synchronized (gate) {
-            while (cut) {
+            while (partitioned) {
                 gate.wait();
             }
         }
