--- a/standins/src/main/java/org/bankturn/harness/DeploymentPlan.java
+++ b/standins/src/main/java/org/bankturn/harness/DeploymentPlan.java
@@ -19,7 +19,7 @@
         List<String> dataHalls,
         String region,
         List<Place> entries,
-        List<TargetPlace> targets,
+        List<TargetBox> targets,
         List<Account> accounts,
         List<String> plainServices) {
     /** The service that a model answers, and the model's name. */
@@ -31,7 +31,7 @@
     public record Place(String name, String dataHall, boolean control) {}
 
     /** A target box, its hall and its service. */
-    public record TargetPlace(String name, String dataHall, String service) {}
+    public record TargetBox(String name, String dataHall, String service) {}
 
     /** A client account, its weight and its halls. */
     public record Account(String name, int weight, List<String> dataHalls) {}
@@ -56,9 +56,9 @@
      */
     public static DeploymentPlan burst(int boxes) {
         List<String> halls = List.of("hall");
-        List<TargetPlace> targets = new ArrayList<>();
+        List<TargetBox> targets = new ArrayList<>();
         for (int number = 1; number <= boxes; number++) {
-            targets.add(new TargetPlace("box-" + number, "hall", ASSISTANT));
+            targets.add(new TargetBox("box-" + number, "hall", ASSISTANT));
         }
         List<Place> entries = List.of(new Place("entry-1", "hall", true));
         return new DeploymentPlan("burst", halls, "region", entries, targets, accounts(halls), List.of());
@@ -73,12 +73,12 @@
     public static DeploymentPlan small() {
         List<String> halls = List.of("one", "two", "three");
         List<Place> entries = new ArrayList<>();
-        List<TargetPlace> targets = new ArrayList<>();
+        List<TargetBox> targets = new ArrayList<>();
         for (String hall : halls) {
             entries.add(new Place(hall + "-entry", hall, true));
-            targets.add(new TargetPlace(hall + "-assistant", hall, ASSISTANT));
+            targets.add(new TargetBox(hall + "-assistant", hall, ASSISTANT));
         }
-        targets.add(new TargetPlace("one-booking", "one", "booking"));
+        targets.add(new TargetBox("one-booking", "one", "booking"));
         return new DeploymentPlan("small", halls, "region", entries, targets, accounts(halls), List.of("booking"));
     }
 
@@ -86,18 +86,18 @@
         List<Place> entries = new ArrayList<>();
         int[] entriesPerHall = {3, 2, 2};
         int[] assistantsPerHall = {3, 3, 2};
-        List<TargetPlace> targets = new ArrayList<>();
+        List<TargetBox> targets = new ArrayList<>();
         for (int position = 0; position < halls.size(); position++) {
             String hall = halls.get(position);
             for (int number = 1; number <= entriesPerHall[position]; number++) {
                 entries.add(new Place(hall + "-entry-" + number, hall, number == 1));
             }
             for (int number = 1; number <= assistantsPerHall[position]; number++) {
-                targets.add(new TargetPlace(hall + "-assistant-" + number, hall, ASSISTANT));
+                targets.add(new TargetBox(hall + "-assistant-" + number, hall, ASSISTANT));
             }
-            targets.add(new TargetPlace(hall + "-" + unsafe, hall, unsafe));
+            targets.add(new TargetBox(hall + "-" + unsafe, hall, unsafe));
         }
-        targets.add(new TargetPlace(halls.get(0) + "-" + other, halls.get(0), other));
+        targets.add(new TargetBox(halls.get(0) + "-" + other, halls.get(0), other));
         return new DeploymentPlan(name, halls, region, entries, targets, accounts(halls), List.of(unsafe, other));
     }
 
--- a/standins/src/main/java/org/bankturn/harness/LocalDeployment.java
+++ b/standins/src/main/java/org/bankturn/harness/LocalDeployment.java
@@ -13,7 +13,7 @@
 import java.util.stream.Stream;
 import org.bankturn.distribution.DistributionPolicy;
 import org.bankturn.harness.DeploymentPlan.Place;
-import org.bankturn.harness.DeploymentPlan.TargetPlace;
+import org.bankturn.harness.DeploymentPlan.TargetBox;
 import org.bankturn.standin.EngineStandin;
 import org.bankturn.standin.OriginStandin;
 import org.bankturn.standin.PlainServiceStandin;
@@ -90,7 +90,7 @@
             addresses.put(entry.name(), new Addresses(ports.nextAddress(), ports.nextAddress(), ""));
         }
         startLinks();
-        for (TargetPlace target : plan.targets()) {
+        for (TargetBox target : plan.targets()) {
             int backend = ports.next();
             startBackend(target, backend);
             addresses.put(
@@ -99,7 +99,7 @@
         for (Place entry : plan.entries()) {
             prepareDaemon(entry.name(), entrySettings(entry));
         }
-        for (TargetPlace target : plan.targets()) {
+        for (TargetBox target : plan.targets()) {
             prepareDaemon(target.name(), targetSettings(target));
         }
     }
@@ -205,7 +205,7 @@
                 daemon(entry.name()).start();
             }
         }
-        for (TargetPlace target : plan.targets()) {
+        for (TargetBox target : plan.targets()) {
             daemon(target.name()).start();
         }
         daemons.values().forEach(DaemonHandle::awaitReady);
@@ -287,7 +287,7 @@
                 .orElseGet(() -> addresses.get(process).node());
     }
 
-    private void startBackend(TargetPlace target, int port) throws IOException {
+    private void startBackend(TargetBox target, int port) throws IOException {
         if (target.service().equals(DeploymentPlan.ASSISTANT)) {
             engines.put(target.name(), EngineStandin.start(port, options.engine()));
         } else {
@@ -312,7 +312,7 @@
         return text.append("entry: {workerThreads: 2, stopGraceMillis: 500}\n").toString();
     }
 
-    private String targetSettings(TargetPlace target) {
+    private String targetSettings(TargetBox target) {
         return common(target.name(), target.dataHall(), "target")
                 .append("target:\n  chunkFolder: ")
                 .append(folder.resolve(target.name()).resolve("chunks"))
--- a/standins/src/test/java/org/bankturn/harness/WeightsFailureTest.java
+++ b/standins/src/test/java/org/bankturn/harness/WeightsFailureTest.java
@@ -51,7 +51,7 @@
                     "the second version arrives",
                     SmallDeployment.PATIENCE,
                     () -> deployment.running.enginesWith(SmallDeployment.SECOND) == 3);
-            for (DeploymentPlan.TargetPlace target : deployment.running.plan().targets()) {
+            for (DeploymentPlan.TargetBox target : deployment.running.plan().targets()) {
                 if (target.service().equals(DeploymentPlan.ASSISTANT)) {
                     assertThat(loadedBy(deployment, target.name()))
                             .isSubsetOf(SmallDeployment.FIRST.digest(), SmallDeployment.SECOND.digest());
