--- a/standins/src/main/java/org/bankturn/harness/DeploymentPlan.java
+++ b/standins/src/main/java/org/bankturn/harness/DeploymentPlan.java
@@ -18,7 +18,7 @@
         String name,
         List<String> dataHalls,
         String region,
-        List<Place> entries,
+        List<EntryBox> entries,
         List<TargetBox> targets,
         List<Account> accounts,
         List<String> plainServices) {
@@ -28,7 +28,7 @@
     private static final int LARGE_WEIGHT = 4;
 
     /** A process and its hall. */
-    public record Place(String name, String dataHall, boolean control) {}
+    public record EntryBox(String name, String dataHall, boolean control) {}
 
     /** A target box, its hall and its service. */
     public record TargetBox(String name, String dataHall, String service) {}
@@ -60,7 +60,7 @@
         for (int number = 1; number <= boxes; number++) {
             targets.add(new TargetBox("box-" + number, "hall", ASSISTANT));
         }
-        List<Place> entries = List.of(new Place("entry-1", "hall", true));
+        List<EntryBox> entries = List.of(new EntryBox("entry-1", "hall", true));
         return new DeploymentPlan("burst", halls, "region", entries, targets, accounts(halls), List.of());
     }
 
@@ -72,10 +72,10 @@
      */
     public static DeploymentPlan small() {
         List<String> halls = List.of("one", "two", "three");
-        List<Place> entries = new ArrayList<>();
+        List<EntryBox> entries = new ArrayList<>();
         List<TargetBox> targets = new ArrayList<>();
         for (String hall : halls) {
-            entries.add(new Place(hall + "-entry", hall, true));
+            entries.add(new EntryBox(hall + "-entry", hall, true));
             targets.add(new TargetBox(hall + "-assistant", hall, ASSISTANT));
         }
         targets.add(new TargetBox("one-booking", "one", "booking"));
@@ -83,14 +83,14 @@
     }
 
     private static DeploymentPlan of(String name, List<String> halls, String region, String unsafe, String other) {
-        List<Place> entries = new ArrayList<>();
+        List<EntryBox> entries = new ArrayList<>();
         int[] entriesPerHall = {3, 2, 2};
         int[] assistantsPerHall = {3, 3, 2};
         List<TargetBox> targets = new ArrayList<>();
         for (int position = 0; position < halls.size(); position++) {
             String hall = halls.get(position);
             for (int number = 1; number <= entriesPerHall[position]; number++) {
-                entries.add(new Place(hall + "-entry-" + number, hall, number == 1));
+                entries.add(new EntryBox(hall + "-entry-" + number, hall, number == 1));
             }
             for (int number = 1; number <= assistantsPerHall[position]; number++) {
                 targets.add(new TargetBox(hall + "-assistant-" + number, hall, ASSISTANT));
--- a/standins/src/main/java/org/bankturn/harness/LocalDeployment.java
+++ b/standins/src/main/java/org/bankturn/harness/LocalDeployment.java
@@ -12,7 +12,7 @@
 import java.util.stream.Collectors;
 import java.util.stream.Stream;
 import org.bankturn.distribution.DistributionPolicy;
-import org.bankturn.harness.DeploymentPlan.Place;
+import org.bankturn.harness.DeploymentPlan.EntryBox;
 import org.bankturn.harness.DeploymentPlan.TargetBox;
 import org.bankturn.standin.EngineStandin;
 import org.bankturn.standin.OriginStandin;
@@ -86,7 +86,7 @@
         int originPort = ports.next();
         this.originAddress = "127.0.0.1:" + originPort;
         this.origin = OriginStandin.start(originPort, options.originBytesPerSecond());
-        for (Place entry : plan.entries()) {
+        for (EntryBox entry : plan.entries()) {
             addresses.put(entry.name(), new Addresses(ports.nextAddress(), ports.nextAddress(), ""));
         }
         startLinks();
@@ -96,7 +96,7 @@
             addresses.put(
                     target.name(), new Addresses(ports.nextAddress(), ports.nextAddress(), "127.0.0.1:" + backend));
         }
-        for (Place entry : plan.entries()) {
+        for (EntryBox entry : plan.entries()) {
             prepareDaemon(entry.name(), entrySettings(entry));
         }
         for (TargetBox target : plan.targets()) {
@@ -198,7 +198,7 @@
      * @throws IOException if one cannot be started
      */
     public void startAll() throws IOException {
-        for (Place entry : plan.entries()) {
+        for (EntryBox entry : plan.entries()) {
             if (entry.control()) {
                 daemon(entry.name()).start("--form-control-group");
             } else {
@@ -266,7 +266,7 @@
     // ---- stand-ins, links and files
 
     private void startLinks() throws IOException {
-        for (Place entry : plan.entries()) {
+        for (EntryBox entry : plan.entries()) {
             String node = addresses.get(entry.name()).node();
             int nodePort = Integer.parseInt(node.substring(node.lastIndexOf(':') + 1));
             for (String hall : plan.dataHalls()) {
@@ -302,7 +302,7 @@
         daemons.put(name, new DaemonHandle(name, file, own.resolve("log.json")));
     }
 
-    private String entrySettings(Place entry) {
+    private String entrySettings(EntryBox entry) {
         StringBuilder text = common(entry.name(), entry.dataHall(), entry.control() ? "entry, control" : "entry");
         if (entry.control()) {
             text.append("control: {dataFolder: ")
@@ -339,7 +339,7 @@
                 .append(own.node());
         text.append("\ntraces: ").append(options.traces()).append("\ncontrolBoxes:\n");
         plan.entries().stream()
-                .filter(Place::control)
+                .filter(EntryBox::control)
                 .forEach(box -> text.append("  - {name: ")
                         .append(box.name())
                         .append(", nodeAddress: '")
--- a/standins/src/main/java/org/bankturn/quickstart/Quickstart.java
+++ b/standins/src/main/java/org/bankturn/quickstart/Quickstart.java
@@ -129,7 +129,7 @@
 
     /** A version is in service once a caller of every entry process gets answers made with its weights. */
     private static void awaitInService(LocalDeployment running, Weights weights) {
-        for (DeploymentPlan.Place entry : running.plan().entries()) {
+        for (DeploymentPlan.EntryBox entry : running.plan().entries()) {
             Await.until("version in service at " + entry.name(), TIMEOUT_MILLIS, () -> {
                 CallerStatistics tally = new CallerStatistics();
                 new Caller(tally, Set.of(weights.digest()), EngineStandin.Settings.DEFAULT.tokens())
@@ -156,7 +156,7 @@
         while (calling) {
             DeploymentPlan.Account account =
                     plan.accounts().get(random.nextInt(plan.accounts().size()));
-            List<DeploymentPlan.Place> allowed = plan.entries().stream()
+            List<DeploymentPlan.EntryBox> allowed = plan.entries().stream()
                     .filter(entry -> account.dataHalls().contains(entry.dataHall()))
                     .toList();
             String address = running.httpAddress(
--- a/standins/src/test/java/org/bankturn/harness/ControlFailureTest.java
+++ b/standins/src/test/java/org/bankturn/harness/ControlFailureTest.java
@@ -73,7 +73,7 @@
         try (SmallDeployment deployment = SmallDeployment.start(SmallDeployment.ENGINE)) {
             deployment.apply(1, "v1");
             List<CompletableFuture<Integer>> racers = new ArrayList<>();
-            for (DeploymentPlan.Place entry : deployment.running.plan().entries()) {
+            for (DeploymentPlan.EntryBox entry : deployment.running.plan().entries()) {
                 String text = Files.readString(deployment.running.folder().resolve("operators-1.yaml"))
                         .replace("number: 1", "number: 2")
                         .replace("region: region", "region: by-" + entry.name());
@@ -127,7 +127,7 @@
     /** Returns the whole of what each entry process shows. */
     private static List<JsonNode> shownEverywhere(SmallDeployment deployment) throws IOException {
         List<JsonNode> shown = new ArrayList<>();
-        for (DeploymentPlan.Place entry : deployment.running.plan().entries()) {
+        for (DeploymentPlan.EntryBox entry : deployment.running.plan().entries()) {
             shown.add(deployment.read("show", entry.name()));
         }
         return shown;
--- a/standins/src/test/java/org/bankturn/harness/SmallDeployment.java
+++ b/standins/src/test/java/org/bankturn/harness/SmallDeployment.java
@@ -84,7 +84,7 @@
     }
 
     void awaitServing() {
-        for (DeploymentPlan.Place entry : running.plan().entries()) {
+        for (DeploymentPlan.EntryBox entry : running.plan().entries()) {
             Await.until("answers at " + entry.name(), PATIENCE, () -> chat(entry.name()) == 2000);
         }
     }
