--- a/standins/src/test/java/org/bankturn/harness/PortsTest.java
+++ b/standins/src/test/java/org/bankturn/harness/PortBlockTest.java
@@ -5,7 +5,7 @@
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
 
-class PortsTest {
+class PortBlockTest {
     private static final int PORTS = 60;
 
     /** Where systems begin to take ports for outgoing connections, if they are not told otherwise. */
