--- a/standins/src/test/java/org/bankturn/harness/CutHallTest.java
+++ b/standins/src/test/java/org/bankturn/harness/HallPartitionTest.java
@@ -7,7 +7,7 @@
 import org.junit.jupiter.api.Test;
 
 /** A data hall cut off from the others in silence, with real processes and links. */
-class CutHallTest {
+class HallPartitionTest {
     private static final int ANSWERED = ResultCode.REQUEST_ANSWERED.number();
 
     @Test
