--- a/standins/src/test/java/org/bankturn/harness/ControlFailureTest.java
+++ b/standins/src/test/java/org/bankturn/harness/ControlFailureTest.java
@@ -33,7 +33,7 @@
         deployment.running.deleteData(box);
         daemon.start();
         daemon.awaitReady();
-        Await.until(box + " is a member in its new life", SmallDeployment.PATIENCE, () -> {
+        Await.until(box + " is a member in its new life", SmallDeployment.TIMEOUT_MILLIS, () -> {
             try {
                 JsonNode members = deployment.read("status", "one-entry").path("members");
                 return members.size() == 3 && !members.toString().contains("\"" + box + "#1\"");
@@ -51,7 +51,7 @@
             String other = leader.equals("two-entry") ? "three-entry" : "two-entry";
             DaemonHandle frozen = deployment.running.daemon(leader);
             frozen.suspend();
-            Await.until("another box leads and accepts", SmallDeployment.PATIENCE, () -> {
+            Await.until("another box leads and accepts", SmallDeployment.TIMEOUT_MILLIS, () -> {
                 try {
                     return deployment.applyThrough(deployment.running.httpAddress(other), 2, "v2", "after") == 0;
                 } catch (IOException e) {
--- a/standins/src/test/java/org/bankturn/harness/HallPartitionTest.java
+++ b/standins/src/test/java/org/bankturn/harness/HallPartitionTest.java
@@ -19,7 +19,7 @@
             String address = deployment.running.httpAddress(leader);
             long before = deployment.indexAt(leader);
             deployment.running.setPartitioned(hall, true);
-            Await.until("the others accept a file", SmallDeployment.PATIENCE, () -> {
+            Await.until("the others accept a file", SmallDeployment.TIMEOUT_MILLIS, () -> {
                 try {
                     return deployment.applyThrough(deployment.running.httpAddress(other), 2, "v2", "majority") == 0;
                 } catch (IOException e) {
@@ -37,7 +37,7 @@
             deployment.awaitIndex(leader, accepted);
             Await.until(
                     "keyed requests run again",
-                    SmallDeployment.PATIENCE,
+                    SmallDeployment.TIMEOUT_MILLIS,
                     () -> deployment.caller.callOnce(address, "account-1", "booking", "healed") == ANSWERED);
             assertThat(deployment.applyThrough(address, 2, "v1", "minority")).isEqualTo(3);
             assertThat(deployment.running.runsById()).doesNotContainKey("cut").containsEntry("healed", 1);
--- a/standins/src/test/java/org/bankturn/harness/RequestFailureTest.java
+++ b/standins/src/test/java/org/bankturn/harness/RequestFailureTest.java
@@ -50,7 +50,7 @@
             List<CompletableFuture<Integer>> running = chatAtOnce(deployment, "two-entry", 8);
             Await.until(
                     "the engine works",
-                    SmallDeployment.PATIENCE,
+                    SmallDeployment.TIMEOUT_MILLIS,
                     () -> deployment.running.engine("two-assistant").answered() > 1);
             deployment.running.daemon("two-assistant").requestStop();
             deployment.running.daemon("two-entry").requestStop();
@@ -74,14 +74,15 @@
                     chatAtOnce(deployment, "two-entry", 1).get(0);
             Await.until(
                     "the engine works",
-                    SmallDeployment.PATIENCE,
+                    SmallDeployment.TIMEOUT_MILLIS,
                     () -> deployment.running.engine("two-assistant").answered() > before);
             deployment.running.daemon("two-assistant").kill();
             call.join();
             assertThat(deployment.statistics.incorrectCount())
                     .as("%s", deployment.statistics.firstFailures())
                     .isZero();
-            Await.until("others answer", SmallDeployment.PATIENCE, () -> deployment.chat("two-entry") == ANSWERED);
+            Await.until(
+                    "others answer", SmallDeployment.TIMEOUT_MILLIS, () -> deployment.chat("two-entry") == ANSWERED);
         }
     }
 
@@ -111,7 +112,7 @@
             }
             Await.until(
                     "some ran",
-                    SmallDeployment.PATIENCE,
+                    SmallDeployment.TIMEOUT_MILLIS,
                     () -> deployment.running.runsById().size() >= 4);
             deployment.running.daemon("three-entry").kill();
             String other = deployment.running.httpAddress("one-entry");
@@ -142,7 +143,7 @@
             deployment.running.daemon("three-entry").resume();
             Await.until(
                     "keyed requests run again",
-                    SmallDeployment.PATIENCE,
+                    SmallDeployment.TIMEOUT_MILLIS,
                     () -> deployment.caller.callOnce(address, "account-1", "booking", "healed") == ANSWERED);
             assertThat(deployment.statistics.executedRepeatedly(deployment.running.runsById()))
                     .isZero();
--- a/standins/src/test/java/org/bankturn/harness/SmallDeployment.java
+++ b/standins/src/test/java/org/bankturn/harness/SmallDeployment.java
@@ -17,7 +17,7 @@
 
 /** A small deployment for one test, with what tests ask of it. */
 final class SmallDeployment implements AutoCloseable {
-    static final long PATIENCE = 60_000;
+    static final long TIMEOUT_MILLIS = 60_000;
     static final EngineStandin.Settings ENGINE = new EngineStandin.Settings(true, 10, 60, 20);
     static final Weights FIRST = Weights.make(1, 4 << 20, 256 << 10);
     static final Weights SECOND = Weights.make(2, 4 << 20, 256 << 10);
@@ -85,7 +85,7 @@
 
     void awaitServing() {
         for (DeploymentPlan.EntryBox entry : running.plan().entries()) {
-            Await.until("answers at " + entry.name(), PATIENCE, () -> chat(entry.name()) == 2000);
+            Await.until("answers at " + entry.name(), TIMEOUT_MILLIS, () -> chat(entry.name()) == 2000);
         }
     }
 
@@ -94,7 +94,7 @@
     }
 
     void awaitIndex(String process, long index) {
-        Await.until(process + " at " + index, PATIENCE, () -> {
+        Await.until(process + " at " + index, TIMEOUT_MILLIS, () -> {
             try {
                 return indexAt(process) >= index;
             } catch (IOException e) {
@@ -105,7 +105,7 @@
 
     /** Waits until a process shows an operators' file; an accepted one is shown there a little later than it is accepted. */
     void awaitFile(String process, long number) {
-        Await.until("file " + number + " shown by " + process, PATIENCE, () -> {
+        Await.until("file " + number + " shown by " + process, TIMEOUT_MILLIS, () -> {
             try {
                 return read("show", process)
                                 .path("files")
--- a/standins/src/test/java/org/bankturn/harness/WeightsFailureTest.java
+++ b/standins/src/test/java/org/bankturn/harness/WeightsFailureTest.java
@@ -21,14 +21,14 @@
             deployment.apply(1, "v1");
             Await.until(
                     "operators are told",
-                    SmallDeployment.PATIENCE,
+                    SmallDeployment.TIMEOUT_MILLIS,
                     () -> notes(deployment).contains("3002"));
             assertThat(loadedBy(deployment, "one-assistant")).isEmpty();
             deployment.running.origin().corrupt(false);
             deployment.apply(2, "v2");
             Await.until(
                     "the next version arrives",
-                    SmallDeployment.PATIENCE,
+                    SmallDeployment.TIMEOUT_MILLIS,
                     () -> deployment.running.enginesWith(SmallDeployment.SECOND) == 3);
         }
     }
@@ -49,7 +49,7 @@
             deployment.apply(2, "v2");
             Await.until(
                     "the second version arrives",
-                    SmallDeployment.PATIENCE,
+                    SmallDeployment.TIMEOUT_MILLIS,
                     () -> deployment.running.enginesWith(SmallDeployment.SECOND) == 3);
             for (DeploymentPlan.TargetBox target : deployment.running.plan().targets()) {
                 if (target.service().equals(DeploymentPlan.ASSISTANT)) {
@@ -75,7 +75,7 @@
             }
             Await.until(
                     "every engine serves",
-                    SmallDeployment.PATIENCE,
+                    SmallDeployment.TIMEOUT_MILLIS,
                     () -> deployment.running.enginesWith(SmallDeployment.FIRST) == 3);
             double copies = deployment
                     .running
