--- a/standins/src/test/java/org/bankturn/harness/SmallDeployment.java
+++ b/standins/src/test/java/org/bankturn/harness/SmallDeployment.java
@@ -19,13 +19,13 @@
 final class SmallDeployment implements AutoCloseable {
     static final long TIMEOUT_MILLIS = 60_000;
     static final EngineStandin.Settings ENGINE = new EngineStandin.Settings(true, 10, 60, 20);
-    static final Weights FIRST = Weights.make(1, 4 << 20, 256 << 10);
+    static final Weights WEIGHTS_V1 = Weights.make(1, 4 << 20, 256 << 10);
     static final Weights SECOND = Weights.make(2, 4 << 20, 256 << 10);
     private static final ObjectMapper JSON = new ObjectMapper();
 
     final LocalDeployment running;
     final CallerStatistics statistics = new CallerStatistics();
-    final Caller caller = new Caller(statistics, Set.of(FIRST.digest(), SECOND.digest()), ENGINE.tokens());
+    final Caller caller = new Caller(statistics, Set.of(WEIGHTS_V1.digest(), SECOND.digest()), ENGINE.tokens());
 
     private SmallDeployment(LocalDeployment running) {
         this.running = running;
@@ -35,7 +35,7 @@
         LocalDeployment.Options options =
                 new LocalDeployment.Options(32 << 20, 16 << 20, DistributionPolicy.ORIGIN_BYTES, 3, 32, engine, false);
         SmallDeployment deployment = new SmallDeployment(LocalDeployment.prepare(DeploymentPlan.small(), options));
-        deployment.running.origin().offer(FIRST);
+        deployment.running.origin().offer(WEIGHTS_V1);
         deployment.running.origin().offer(SECOND);
         deployment.running.startAll();
         return deployment;
@@ -54,7 +54,7 @@
     }
 
     int applyThrough(String addresses, long number, String wanted, String by) throws IOException {
-        Path file = running.writeOperatorFile(number, Map.of("v1", FIRST, "v2", SECOND), wanted);
+        Path file = running.writeOperatorFile(number, Map.of("v1", WEIGHTS_V1, "v2", SECOND), wanted);
         return tool("apply", "--addresses", addresses, "--by", by, file.toString());
     }
 
--- a/standins/src/test/java/org/bankturn/harness/WeightsFailureTest.java
+++ b/standins/src/test/java/org/bankturn/harness/WeightsFailureTest.java
@@ -54,7 +54,7 @@
             for (DeploymentPlan.TargetBox target : deployment.running.plan().targets()) {
                 if (target.service().equals(DeploymentPlan.ASSISTANT)) {
                     assertThat(loadedBy(deployment, target.name()))
-                            .isSubsetOf(SmallDeployment.FIRST.digest(), SmallDeployment.SECOND.digest());
+                            .isSubsetOf(SmallDeployment.WEIGHTS_V1.digest(), SmallDeployment.SECOND.digest());
                 }
             }
             deployment.awaitServing();
@@ -76,11 +76,11 @@
             Await.until(
                     "every engine serves",
                     SmallDeployment.TIMEOUT_MILLIS,
-                    () -> deployment.running.enginesWith(SmallDeployment.FIRST) == 3);
+                    () -> deployment.running.enginesWith(SmallDeployment.WEIGHTS_V1) == 3);
             double copies = deployment
                     .running
                     .origin()
-                    .copiesSent(SmallDeployment.FIRST.manifest().digest());
+                    .copiesSent(SmallDeployment.WEIGHTS_V1.manifest().digest());
             assertThat(copies).isLessThanOrEqualTo(4.0);
         }
     }
