--- a/standins/src/test/java/org/bankturn/harness/ControlFailureTest.java
+++ b/standins/src/test/java/org/bankturn/harness/ControlFailureTest.java
@@ -112,7 +112,7 @@
      */
     @Test
     void a_bad_file_changes_nothing_and_a_resent_one_gets_the_same_answer() throws IOException {
-        try (SmallDeployment deployment = SmallDeployment.serving()) {
+        try (SmallDeployment deployment = SmallDeployment.startServing()) {
             List<JsonNode> shown = shownEverywhere(deployment);
             assertThat(shown).allSatisfy(each -> assertThat(each.path("files")).hasSize(1));
             assertThat(deployment.apply(2, "no-such-version")).isEqualTo(3);
--- a/standins/src/test/java/org/bankturn/harness/HallPartitionTest.java
+++ b/standins/src/test/java/org/bankturn/harness/HallPartitionTest.java
@@ -12,7 +12,7 @@
 
     @Test
     void a_cut_off_hall_serves_what_it_can_and_joins_again_without_a_revert() throws IOException {
-        try (SmallDeployment deployment = SmallDeployment.serving()) {
+        try (SmallDeployment deployment = SmallDeployment.startServing()) {
             String leader = deployment.leader();
             String hall = leader.substring(0, leader.indexOf('-'));
             String other = leader.equals("two-entry") ? "three-entry" : "two-entry";
--- a/standins/src/test/java/org/bankturn/harness/RequestFailureTest.java
+++ b/standins/src/test/java/org/bankturn/harness/RequestFailureTest.java
@@ -29,7 +29,7 @@
 
     @Test
     void callers_at_once_each_get_the_whole_answer_to_their_own_request() throws IOException {
-        try (SmallDeployment deployment = SmallDeployment.serving()) {
+        try (SmallDeployment deployment = SmallDeployment.startServing()) {
             for (int round = 0; round < 4; round++) {
                 chatAtOnce(deployment, "two-entry", 16).forEach(CompletableFuture::join);
                 String id = UUID.randomUUID().toString();
@@ -45,7 +45,7 @@
 
     @Test
     void planned_stops_of_a_target_and_an_entry_process_cut_off_nothing() throws IOException {
-        try (SmallDeployment deployment = SmallDeployment.serving()) {
+        try (SmallDeployment deployment = SmallDeployment.startServing()) {
             int refusedBefore = deployment.statistics.refusedCount();
             List<CompletableFuture<Integer>> running = chatAtOnce(deployment, "two-entry", 8);
             Await.until(
@@ -68,7 +68,7 @@
 
     @Test
     void a_target_process_killed_while_it_answers_shows_a_cut_and_never_a_short_answer() throws IOException {
-        try (SmallDeployment deployment = SmallDeployment.serving()) {
+        try (SmallDeployment deployment = SmallDeployment.startServing()) {
             int before = deployment.running.engine("two-assistant").answered();
             CompletableFuture<Integer> call =
                     chatAtOnce(deployment, "two-entry", 1).get(0);
@@ -88,7 +88,7 @@
 
     @Test
     void a_keyed_request_runs_at_most_once_through_whatever_entry_it_is_retried() throws IOException {
-        try (SmallDeployment deployment = SmallDeployment.serving()) {
+        try (SmallDeployment deployment = SmallDeployment.startServing()) {
             String id = UUID.randomUUID().toString();
             for (String entry : List.of("one-entry", "two-entry", "three-entry", "one-entry")) {
                 String address = deployment.running.httpAddress(entry);
@@ -101,7 +101,7 @@
 
     @Test
     void an_entry_process_killed_with_claims_in_hand_leaves_no_request_to_run_twice() throws IOException {
-        try (SmallDeployment deployment = SmallDeployment.serving()) {
+        try (SmallDeployment deployment = SmallDeployment.startServing()) {
             List<String> ids = new ArrayList<>();
             ExecutorService threads = Executors.newFixedThreadPool(8);
             String doomed = deployment.running.httpAddress("three-entry");
@@ -129,7 +129,7 @@
 
     @Test
     void a_hall_without_a_majority_serves_its_own_requests_and_refuses_keyed_ones_truthfully() throws IOException {
-        try (SmallDeployment deployment = SmallDeployment.serving()) {
+        try (SmallDeployment deployment = SmallDeployment.startServing()) {
             deployment.running.daemon("two-entry").suspend();
             deployment.running.daemon("three-entry").suspend();
             String address = deployment.running.httpAddress("one-entry");
@@ -152,7 +152,7 @@
 
     @Test
     void an_account_is_not_served_in_a_hall_that_the_files_do_not_allow() throws IOException {
-        try (SmallDeployment deployment = SmallDeployment.serving()) {
+        try (SmallDeployment deployment = SmallDeployment.startServing()) {
             int refused = deployment.caller.chat(deployment.running.httpAddress("two-entry"), "account-10");
             assertThat(refused).isEqualTo(ResultCode.NOT_RUN_RESIDENCY.number());
             assertThat(deployment.caller.chat(deployment.running.httpAddress("one-entry"), "account-10"))
--- a/standins/src/test/java/org/bankturn/harness/SmallDeployment.java
+++ b/standins/src/test/java/org/bankturn/harness/SmallDeployment.java
@@ -42,7 +42,7 @@
     }
 
     /** Starts with the first version in service at every entry process. */
-    static SmallDeployment serving() throws IOException {
+    static SmallDeployment startServing() throws IOException {
         SmallDeployment deployment = start(ENGINE);
         deployment.apply(1, "v1");
         deployment.awaitServing();
