--- a/standins/src/main/java/org/bankturn/bench/BurstBench.java
+++ b/standins/src/main/java/org/bankturn/bench/BurstBench.java
@@ -72,7 +72,7 @@
         if (!output.equals("json")) {
             throw new IllegalArgumentException("--output must be json: " + output);
         }
-        weights = Weights.make(1, mebibytes * MEBIBYTE, chunkKibibytes << 10);
+        weights = Weights.generate(1, mebibytes * MEBIBYTE, chunkKibibytes << 10);
         long originRate = 4L * weights.bytes().length / wantedSeconds;
         long boxRate = 2L * weights.bytes().length / wantedSeconds;
         DistributionPolicy chosen =
@@ -138,7 +138,7 @@
             }
             case "changed" -> {
                 Weights first = weights;
-                weights = Weights.make(2, mebibytes * MEBIBYTE, chunkKibibytes << 10);
+                weights = Weights.generate(2, mebibytes * MEBIBYTE, chunkKibibytes << 10);
                 running.origin().offer(weights);
                 apply(2, Map.of("v1", first, "v2", weights), "v2");
                 return boxes;
--- a/standins/src/main/java/org/bankturn/bench/FanOutBench.java
+++ b/standins/src/main/java/org/bankturn/bench/FanOutBench.java
@@ -43,7 +43,7 @@
 
     @Override
     public String call() throws IOException {
-        Weights weights = Weights.make(1, 1 << 18, 1 << 16);
+        Weights weights = Weights.generate(1, 1 << 18, 1 << 16);
         LocalDeployment.Options options = new LocalDeployment.Options(
                 64 << 20, 64 << 20, DistributionPolicy.ORIGIN_BYTES, boxes, 64, EngineStandin.Settings.DEFAULT, false);
         try (LocalDeployment running = LocalDeployment.prepare(DeploymentPlan.burst(boxes), options)) {
--- a/standins/src/main/java/org/bankturn/bench/OverheadBench.java
+++ b/standins/src/main/java/org/bankturn/bench/OverheadBench.java
@@ -49,7 +49,7 @@
 
     @Override
     public String call() throws IOException, InterruptedException {
-        Weights weights = Weights.make(1, 1 << 20, 256 << 10);
+        Weights weights = Weights.generate(1, 1 << 20, 256 << 10);
         LocalDeployment.Options options = new LocalDeployment.Options(
                 64 << 20, 64 << 20, DistributionPolicy.ORIGIN_BYTES, 3, 64, EngineStandin.Settings.DEFAULT, false);
         try (LocalDeployment running = LocalDeployment.prepare(DeploymentPlan.small(), options)) {
--- a/standins/src/main/java/org/bankturn/quickstart/Quickstart.java
+++ b/standins/src/main/java/org/bankturn/quickstart/Quickstart.java
@@ -74,8 +74,8 @@
         DistributionPolicy policy = donor ? DistributionPolicy.TIME_TO_REPLICAS : DistributionPolicy.ORIGIN_BYTES;
         LocalDeployment.Options options = new LocalDeployment.Options(
                 ORIGIN_RATE, BOX_RATE, policy, plan.assistantCount() - 2, 64, EngineStandin.Settings.DEFAULT, false);
-        Weights first = Weights.make(1, WEIGHT_MEBIBYTES * MEBIBYTE, MEBIBYTE);
-        Weights second = Weights.make(2, WEIGHT_MEBIBYTES * MEBIBYTE, MEBIBYTE);
+        Weights first = Weights.generate(1, WEIGHT_MEBIBYTES * MEBIBYTE, MEBIBYTE);
+        Weights second = Weights.generate(2, WEIGHT_MEBIBYTES * MEBIBYTE, MEBIBYTE);
         try (LocalDeployment running = LocalDeployment.prepare(plan, options)) {
             return run(running, first, second);
         }
--- a/standins/src/main/java/org/bankturn/standin/Weights.java
+++ b/standins/src/main/java/org/bankturn/standin/Weights.java
@@ -21,7 +21,7 @@
      * @param chunkBytes the size of a chunk
      * @return the weights, not null
      */
-    public static Weights make(long seed, int totalBytes, int chunkBytes) {
+    public static Weights generate(long seed, int totalBytes, int chunkBytes) {
         byte[] bytes = new byte[totalBytes];
         new Random(seed).nextBytes(bytes);
         List<String> digests = new ArrayList<>();
--- a/standins/src/test/java/org/bankturn/harness/SmallDeployment.java
+++ b/standins/src/test/java/org/bankturn/harness/SmallDeployment.java
@@ -19,8 +19,8 @@
 final class SmallDeployment implements AutoCloseable {
     static final long TIMEOUT_MILLIS = 60_000;
     static final EngineStandin.Settings ENGINE = new EngineStandin.Settings(true, 10, 60, 20);
-    static final Weights WEIGHTS_V1 = Weights.make(1, 4 << 20, 256 << 10);
-    static final Weights WEIGHTS_V2 = Weights.make(2, 4 << 20, 256 << 10);
+    static final Weights WEIGHTS_V1 = Weights.generate(1, 4 << 20, 256 << 10);
+    static final Weights WEIGHTS_V2 = Weights.generate(2, 4 << 20, 256 << 10);
     private static final ObjectMapper JSON = new ObjectMapper();
 
     final LocalDeployment running;
