--- a/standins/src/main/java/org/bankturn/standin/OriginStandin.java
+++ b/standins/src/main/java/org/bankturn/standin/OriginStandin.java
@@ -63,10 +63,10 @@
     /**
      * Makes the origin send damaged bytes, or stop doing so.
      *
-     * @param corrupt true to damage what it sends
+     * @param corrupting true to damage what it sends
      */
-    public void corrupt(boolean corrupt) {
-        corrupting = corrupt;
+    public void setCorrupting(boolean corrupting) {
+        this.corrupting = corrupting;
     }
 
     /**
--- a/standins/src/test/java/org/bankturn/harness/WeightsFailureTest.java
+++ b/standins/src/test/java/org/bankturn/harness/WeightsFailureTest.java
@@ -17,14 +17,14 @@
     @Test
     void a_corrupting_origin_stops_the_copy_with_a_note_and_nothing_is_loaded() throws IOException {
         try (SmallDeployment deployment = SmallDeployment.start(SmallDeployment.ENGINE)) {
-            deployment.running.origin().corrupt(true);
+            deployment.running.origin().setCorrupting(true);
             deployment.apply(1, "v1");
             Await.until(
                     "operators are told",
                     SmallDeployment.TIMEOUT_MILLIS,
                     () -> notes(deployment).contains("3002"));
             assertThat(loadedBy(deployment, "one-assistant")).isEmpty();
-            deployment.running.origin().corrupt(false);
+            deployment.running.origin().setCorrupting(false);
             deployment.apply(2, "v2");
             Await.until(
                     "the next version arrives",
