--- a/standins/src/main/java/org/bankturn/bench/BurstBench.java
+++ b/standins/src/main/java/org/bankturn/bench/BurstBench.java
@@ -81,7 +81,7 @@
                 originRate, boxRate, chosen, boxes, 64, EngineStandin.Settings.DEFAULT, false);
         try (LocalDeployment deployment = LocalDeployment.prepare(DeploymentPlan.burst(boxes), options)) {
             running = deployment;
-            running.origin().offer(weights);
+            running.origin().publish(weights);
             running.startAll();
             return measure(BurstBound.of(weights.bytes().length, boxes, originRate, boxRate));
         }
@@ -139,7 +139,7 @@
             case "changed" -> {
                 Weights first = weights;
                 weights = Weights.generate(2, mebibytes * MEBIBYTE, chunkKibibytes << 10);
-                running.origin().offer(weights);
+                running.origin().publish(weights);
                 apply(2, Map.of("v1", first, "v2", weights), "v2");
                 return boxes;
             }
--- a/standins/src/main/java/org/bankturn/bench/FanOutBench.java
+++ b/standins/src/main/java/org/bankturn/bench/FanOutBench.java
@@ -47,7 +47,7 @@
         LocalDeployment.Options options = new LocalDeployment.Options(
                 64 << 20, 64 << 20, DistributionPolicy.ORIGIN_BYTES, boxes, 64, EngineStandin.Settings.DEFAULT, false);
         try (LocalDeployment running = LocalDeployment.prepare(DeploymentPlan.burst(boxes), options)) {
-            running.origin().offer(weights);
+            running.origin().publish(weights);
             running.startAll();
             apply(running, running.writeOperatorFile(1, Map.of("v1", weights), "v1"));
             Await.until("all serve", 200_000, () -> running.enginesWith(weights) == boxes);
--- a/standins/src/main/java/org/bankturn/bench/OverheadBench.java
+++ b/standins/src/main/java/org/bankturn/bench/OverheadBench.java
@@ -53,7 +53,7 @@
         LocalDeployment.Options options = new LocalDeployment.Options(
                 64 << 20, 64 << 20, DistributionPolicy.ORIGIN_BYTES, 3, 64, EngineStandin.Settings.DEFAULT, false);
         try (LocalDeployment running = LocalDeployment.prepare(DeploymentPlan.small(), options)) {
-            running.origin().offer(weights);
+            running.origin().publish(weights);
             running.startAll();
             String file =
                     running.writeOperatorFile(1, Map.of("v1", weights), "v1").toString();
--- a/standins/src/main/java/org/bankturn/quickstart/Quickstart.java
+++ b/standins/src/main/java/org/bankturn/quickstart/Quickstart.java
@@ -82,8 +82,8 @@
     }
 
     private boolean run(LocalDeployment running, Weights first, Weights second) throws IOException {
-        running.origin().offer(first);
-        running.origin().offer(second);
+        running.origin().publish(first);
+        running.origin().publish(second);
         long startNanos = System.nanoTime();
         running.startAll();
         report("%d processes ready after %.1f s", running.daemons().size(), secondsSince(startNanos));
--- a/standins/src/main/java/org/bankturn/standin/OriginStandin.java
+++ b/standins/src/main/java/org/bankturn/standin/OriginStandin.java
@@ -55,7 +55,7 @@
      *
      * @param added its weights, not null
      */
-    public void offer(Weights added) {
+    public void publish(Weights added) {
         weights.put(added.manifest().digest(), added);
         sentBytes.put(added.manifest().digest(), new AtomicLong());
     }
--- a/standins/src/test/java/org/bankturn/harness/SmallDeployment.java
+++ b/standins/src/test/java/org/bankturn/harness/SmallDeployment.java
@@ -35,8 +35,8 @@
         LocalDeployment.Options options =
                 new LocalDeployment.Options(32 << 20, 16 << 20, DistributionPolicy.ORIGIN_BYTES, 3, 32, engine, false);
         SmallDeployment deployment = new SmallDeployment(LocalDeployment.prepare(DeploymentPlan.small(), options));
-        deployment.running.origin().offer(WEIGHTS_V1);
-        deployment.running.origin().offer(WEIGHTS_V2);
+        deployment.running.origin().publish(WEIGHTS_V1);
+        deployment.running.origin().publish(WEIGHTS_V2);
         deployment.running.startAll();
         return deployment;
     }
