--- a/standins/src/main/java/org/bankturn/standin/BoxListStandin.java
+++ b/standins/src/main/java/org/bankturn/standin/BoxListStandin.java
@@ -45,7 +45,7 @@
      *
      * @param box its name, not null
      */
-    public void leaves(String box) {
+    public void markLeaving(String box) {
         leavingSinceMillis.put(box, clock.millis());
     }
 
