--- a/standins/src/main/java/org/bankturn/standin/EngineStandin.java
+++ b/standins/src/main/java/org/bankturn/standin/EngineStandin.java
@@ -38,7 +38,7 @@
     private final Executor loader = ForkJoinPool.commonPool();
     private final Map<String, String> weightsByManifest = new ConcurrentHashMap<>();
     private final FenceGuard guard = new FenceGuard();
-    private final AtomicInteger answered = new AtomicInteger();
+    private final AtomicInteger startedAnswers = new AtomicInteger();
     private final AtomicInteger running = new AtomicInteger();
     private StandinServer server;
 
@@ -74,8 +74,8 @@
     }
 
     /** Returns the number of answers begun. */
-    public int answered() {
-        return answered.get();
+    public int startedAnswers() {
+        return startedAnswers.get();
     }
 
     /** Returns the SHA-256 of the weights loaded, by manifest, not null. */
@@ -143,7 +143,7 @@
             }
             JsonNode read = JSON.readTree(body.getArray());
             String id = read.path("user").asText();
-            answered.incrementAndGet();
+            startedAnswers.incrementAndGet();
             running.incrementAndGet();
             return Promises.delay(settings.firstTokenMillis()).map(nothing -> stream(id, weights));
         });
--- a/standins/src/test/java/org/bankturn/harness/RequestFailureTest.java
+++ b/standins/src/test/java/org/bankturn/harness/RequestFailureTest.java
@@ -51,7 +51,7 @@
             Await.until(
                     "the engine works",
                     SmallDeployment.TIMEOUT_MILLIS,
-                    () -> deployment.running.engine("two-assistant").answered() > 1);
+                    () -> deployment.running.engine("two-assistant").startedAnswers() > 1);
             deployment.running.daemon("two-assistant").requestStop();
             deployment.running.daemon("two-entry").requestStop();
             assertThat(running).allSatisfy(call -> assertThat(call.join()).isEqualTo(ANSWERED));
@@ -69,13 +69,13 @@
     @Test
     void a_target_process_killed_while_it_answers_shows_a_cut_and_never_a_short_answer() throws IOException {
         try (SmallDeployment deployment = SmallDeployment.startServing()) {
-            int before = deployment.running.engine("two-assistant").answered();
+            int before = deployment.running.engine("two-assistant").startedAnswers();
             CompletableFuture<Integer> call =
                     chatAtOnce(deployment, "two-entry", 1).get(0);
             Await.until(
                     "the engine works",
                     SmallDeployment.TIMEOUT_MILLIS,
-                    () -> deployment.running.engine("two-assistant").answered() > before);
+                    () -> deployment.running.engine("two-assistant").startedAnswers() > before);
             deployment.running.daemon("two-assistant").kill();
             call.join();
             assertThat(deployment.statistics.incorrectCount())
