--- a/standins/src/main/java/org/bankturn/harness/LocalDeployment.java
+++ b/standins/src/main/java/org/bankturn/harness/LocalDeployment.java
@@ -28,7 +28,7 @@
     private final DeploymentPlan plan;
     private final Options options;
     private final Path folder;
-    private final Ports ports;
+    private final PortBlock ports;
     private final OriginStandin origin;
     private final String originAddress;
     private final Map<String, Addresses> addresses = new LinkedHashMap<>();
@@ -81,7 +81,7 @@
         this.options = options;
         this.folder = Files.createTempDirectory("bankturn-");
         int processes = plan.entries().size() + plan.targets().size();
-        this.ports = Ports.find(
+        this.ports = PortBlock.find(
                 3 * processes + plan.entries().size() * plan.dataHalls().size() + 1);
         int originPort = ports.next();
         this.originAddress = "127.0.0.1:" + originPort;
--- a/standins/src/main/java/org/bankturn/harness/Ports.java
+++ b/standins/src/main/java/org/bankturn/harness/PortBlock.java
@@ -9,10 +9,10 @@
 /**
  * Free ports on loopback, all different, below those that the system gives to outgoing connections.
  *
- * <p>Ports are handed out in blocks. The first port of a block is listened on until the block is given back, so that two
+ * <p>PortBlock are handed out in blocks. The first port of a block is listened on until the block is given back, so that two
  * deployments on one machine, of one process or of two, never have one in common.
  */
-final class Ports implements AutoCloseable {
+final class PortBlock implements AutoCloseable {
     private static final int FIRST_BLOCK = 10_000;
     private static final int BLOCK_PORTS = 500;
     private static final int BLOCKS = 22;
@@ -32,7 +32,7 @@
      * @return the ports, not null
      * @throws IOException if all blocks are claimed
      */
-    static Ports find(int count) throws IOException {
+    static PortBlock find(int count) throws IOException {
         if (count < 0 || count >= BLOCK_PORTS) {
             throw new IllegalArgumentException("count must be from 0 to " + (BLOCK_PORTS - 1) + ", not " + count);
         }
@@ -40,13 +40,13 @@
             int firstPort = FIRST_BLOCK + NEXT_BLOCK.getAndIncrement() % BLOCKS * BLOCK_PORTS;
             Optional<ServerSocket> claim = listen(firstPort);
             if (claim.isPresent()) {
-                return new Ports(claim.get(), firstPort);
+                return new PortBlock(claim.get(), firstPort);
             }
         }
         throw new IOException("all " + BLOCKS + " blocks of ports are taken");
     }
 
-    private Ports(ServerSocket claim, int firstPort) {
+    private PortBlock(ServerSocket claim, int firstPort) {
         this.claim = claim;
         this.firstPort = firstPort;
     }
