--- a/standins/src/main/java/org/bankturn/harness/LocalDeployment.java
+++ b/standins/src/main/java/org/bankturn/harness/LocalDeployment.java
@@ -81,7 +81,7 @@
         this.options = options;
         this.folder = Files.createTempDirectory("bankturn-");
         int processes = plan.entries().size() + plan.targets().size();
-        this.ports = PortBlock.find(
+        this.ports = PortBlock.claim(
                 3 * processes + plan.entries().size() * plan.dataHalls().size() + 1);
         int originPort = ports.next();
         this.originAddress = "127.0.0.1:" + originPort;
--- a/standins/src/main/java/org/bankturn/harness/PortBlock.java
+++ b/standins/src/main/java/org/bankturn/harness/PortBlock.java
@@ -32,7 +32,7 @@
      * @return the ports, not null
      * @throws IOException if all blocks are claimed
      */
-    static PortBlock find(int count) throws IOException {
+    static PortBlock claim(int count) throws IOException {
         if (count < 0 || count >= BLOCK_PORTS) {
             throw new IllegalArgumentException("count must be from 0 to " + (BLOCK_PORTS - 1) + ", not " + count);
         }
--- a/standins/src/test/java/org/bankturn/harness/PortBlockTest.java
+++ b/standins/src/test/java/org/bankturn/harness/PortBlockTest.java
@@ -18,14 +18,14 @@
      */
     @Test
     void the_ports_of_a_deployment_are_not_given_to_outgoing_connections() throws Exception {
-        PortBlock ports = PortBlock.find(PORTS);
+        PortBlock ports = PortBlock.claim(PORTS);
         assertThat(IntStream.range(0, PORTS).map(number -> ports.next())).allMatch(port -> port < FIRST_OUTGOING_PORT);
     }
 
     @Test
     void two_deployments_have_no_port_in_common() throws Exception {
-        PortBlock one = PortBlock.find(PORTS);
-        PortBlock other = PortBlock.find(PORTS);
+        PortBlock one = PortBlock.claim(PORTS);
+        PortBlock other = PortBlock.claim(PORTS);
         int[] ports = IntStream.range(0, PORTS).map(number -> one.next()).toArray();
         assertThat(IntStream.range(0, PORTS).map(number -> other.next()).toArray())
                 .doesNotContain(ports);
