--- a/standins/src/main/java/org/bankturn/bench/FanOutBench.java
+++ b/standins/src/main/java/org/bankturn/bench/FanOutBench.java
@@ -43,11 +43,11 @@
 
     @Override
     public String call() throws IOException {
-        Weights weights = Weights.make(1, 1 << 18, 1 << 16);
+        Weights weights = Weights.generate(1, 1 << 18, 1 << 16);
         LocalDeployment.Options options = new LocalDeployment.Options(
                 64 << 20, 64 << 20, DistributionPolicy.ORIGIN_BYTES, boxes, 64, EngineStandin.Settings.DEFAULT, false);
         try (LocalDeployment running = LocalDeployment.prepare(DeploymentPlan.burst(boxes), options)) {
-            running.origin().offer(weights);
+            running.origin().publish(weights);
             running.startAll();
             apply(running, running.writeOperatorFile(1, Map.of("v1", weights), "v1"));
             Await.until("all serve", 200_000, () -> running.enginesWith(weights) == boxes);
--- a/standins/src/main/java/org/bankturn/harness/CallerTally.java
+++ b/standins/src/main/java/org/bankturn/harness/CallerStatistics.java
@@ -10,9 +10,9 @@
 /**
  * What callers saw, and what that says of the promises.
  *
- * <p>CallerTally is thread-safe.
+ * <p>CallerStatistics is thread-safe.
  */
-public final class CallerTally {
+public final class CallerStatistics {
     private final AtomicInteger sent = new AtomicInteger();
     private final AtomicInteger whole = new AtomicInteger();
     private final AtomicInteger refused = new AtomicInteger();
@@ -22,14 +22,14 @@
     private final Set<String> refusedIds = ConcurrentHashMap.newKeySet();
     private final ConcurrentLinkedQueue<String> notes = new ConcurrentLinkedQueue<>();
 
-    /** Creates an empty tally. */
-    public CallerTally() {}
+    /** Creates an empty statistics. */
+    public CallerStatistics() {}
 
     void sent() {
         sent.incrementAndGet();
     }
 
-    void answeredWhole(String unsafeId) {
+    void answerComplete(String unsafeId) {
         whole.incrementAndGet();
         if (unsafeId != null) {
             confirmedIds.add(unsafeId);
@@ -48,7 +48,7 @@
         notes.add(why);
     }
 
-    void wrong(String why) {
+    void answerIncorrect(String why) {
         wrong.incrementAndGet();
         notes.add("WRONG " + why);
     }
@@ -59,7 +59,7 @@
     }
 
     /** Returns the requests answered whole, with the right content. */
-    public int wholeCount() {
+    public int completeCount() {
         return whole.get();
     }
 
@@ -74,12 +74,12 @@
     }
 
     /** Returns the answers that were short, swapped, mixed or of the wrong weights. */
-    public int wrongCount() {
+    public int incorrectCount() {
         return wrong.get();
     }
 
     /** Returns the first few notes on what was unknown or wrong, not null. */
-    public List<String> firstNotes() {
+    public List<String> firstFailures() {
         return notes.stream().limit(5).toList();
     }
 
@@ -89,7 +89,7 @@
      * @param runsById how often each ran, not null
      * @return the number, 0 if the promise holds
      */
-    public long doubled(Map<String, Integer> runsById) {
+    public long executedRepeatedly(Map<String, Integer> runsById) {
         return runsById.values().stream().filter(runs -> runs > 1).count();
     }
 
@@ -99,7 +99,7 @@
      * @param runsById how often each ran, not null
      * @return the number, 0 if the promise holds
      */
-    public long lost(Map<String, Integer> runsById) {
+    public long confirmedButNotExecuted(Map<String, Integer> runsById) {
         return confirmedIds.stream().filter(id -> !runsById.containsKey(id)).count();
     }
 
@@ -109,7 +109,7 @@
      * @param runsById how often each ran, not null
      * @return the number, 0 if the promise holds
      */
-    public long refusedButRan(Map<String, Integer> runsById) {
+    public long refusedButExecuted(Map<String, Integer> runsById) {
         return refusedIds.stream()
                 .filter(id -> !confirmedIds.contains(id))
                 .filter(runsById::containsKey)
--- a/standins/src/main/java/org/bankturn/harness/DaemonHandle.java
+++ b/standins/src/main/java/org/bankturn/harness/DaemonHandle.java
@@ -36,7 +36,7 @@
     }
 
     /** Returns another daemon with the same settings, not started, not null. */
-    public DaemonHandle twin() {
+    public DaemonHandle duplicate() {
         return new DaemonHandle(name, settings, log);
     }
 
@@ -117,27 +117,27 @@
     /** Stops the daemon as planned (SIGTERM) and waits for its end. */
     public void stop() {
         process.destroy();
-        awaitEnd();
+        awaitExit();
     }
 
     /** Asks the daemon to stop as planned, without waiting. */
-    public void beginStop() {
+    public void requestStop() {
         process.destroy();
     }
 
     /** Kills the daemon (SIGKILL) and waits for its end. */
     public void kill() {
         process.destroyForcibly();
-        awaitEnd();
+        awaitExit();
     }
 
     /** Stops the daemon's threads (SIGSTOP). */
-    public void freeze() {
+    public void suspend() {
         signal("-STOP");
     }
 
     /** Lets the daemon's threads go on (SIGCONT). */
-    public void thaw() {
+    public void resume() {
         signal("-CONT");
     }
 
@@ -151,7 +151,7 @@
      *
      * @return the code
      */
-    public int awaitEnd() {
+    public int awaitExit() {
         try {
             if (!process.waitFor(STOP_SECONDS, TimeUnit.SECONDS)) {
                 process.destroyForcibly();
--- a/standins/src/main/java/org/bankturn/harness/LocalDeployment.java
+++ b/standins/src/main/java/org/bankturn/harness/LocalDeployment.java
@@ -12,8 +12,8 @@
 import java.util.stream.Collectors;
 import java.util.stream.Stream;
 import org.bankturn.distribution.DistributionPolicy;
-import org.bankturn.harness.DeploymentPlan.Place;
-import org.bankturn.harness.DeploymentPlan.TargetPlace;
+import org.bankturn.harness.DeploymentPlan.EntryBox;
+import org.bankturn.harness.DeploymentPlan.TargetBox;
 import org.bankturn.standin.EngineStandin;
 import org.bankturn.standin.OriginStandin;
 import org.bankturn.standin.PlainServiceStandin;
@@ -28,7 +28,7 @@
     private final DeploymentPlan plan;
     private final Options options;
     private final Path folder;
-    private final Ports ports;
+    private final PortBlock ports;
     private final OriginStandin origin;
     private final String originAddress;
     private final Map<String, Addresses> addresses = new LinkedHashMap<>();
@@ -81,25 +81,25 @@
         this.options = options;
         this.folder = Files.createTempDirectory("bankturn-");
         int processes = plan.entries().size() + plan.targets().size();
-        this.ports = Ports.find(
+        this.ports = PortBlock.claim(
                 3 * processes + plan.entries().size() * plan.dataHalls().size() + 1);
         int originPort = ports.next();
         this.originAddress = "127.0.0.1:" + originPort;
         this.origin = OriginStandin.start(originPort, options.originBytesPerSecond());
-        for (Place entry : plan.entries()) {
+        for (EntryBox entry : plan.entries()) {
             addresses.put(entry.name(), new Addresses(ports.nextAddress(), ports.nextAddress(), ""));
         }
         startLinks();
-        for (TargetPlace target : plan.targets()) {
+        for (TargetBox target : plan.targets()) {
             int backend = ports.next();
             startBackend(target, backend);
             addresses.put(
                     target.name(), new Addresses(ports.nextAddress(), ports.nextAddress(), "127.0.0.1:" + backend));
         }
-        for (Place entry : plan.entries()) {
+        for (EntryBox entry : plan.entries()) {
             prepareDaemon(entry.name(), entrySettings(entry));
         }
-        for (TargetPlace target : plan.targets()) {
+        for (TargetBox target : plan.targets()) {
             prepareDaemon(target.name(), targetSettings(target));
         }
     }
@@ -198,14 +198,14 @@
      * @throws IOException if one cannot be started
      */
     public void startAll() throws IOException {
-        for (Place entry : plan.entries()) {
+        for (EntryBox entry : plan.entries()) {
             if (entry.control()) {
                 daemon(entry.name()).start("--form-control-group");
             } else {
                 daemon(entry.name()).start();
             }
         }
-        for (TargetPlace target : plan.targets()) {
+        for (TargetBox target : plan.targets()) {
             daemon(target.name()).start();
         }
         daemons.values().forEach(DaemonHandle::awaitReady);
@@ -232,7 +232,7 @@
      * @param name the process's name, not null
      * @throws IOException if it cannot be deleted
      */
-    public void loseDisk(String name) throws IOException {
+    public void deleteData(String name) throws IOException {
         deleteTree(folder.resolve(name).resolve("data"));
     }
 
@@ -243,15 +243,15 @@
      * @param hall the hall, not null
      * @param cut true to cut, false to heal
      */
-    public void setCutOff(String hall, boolean cut) {
+    public void setPartitioned(String hall, boolean cut) {
         links.stream()
                 .filter(link -> link.fromHall().equals(hall) || link.toHall().equals(hall))
-                .forEach(link -> link.relay().setCut(cut));
+                .forEach(link -> link.relay().setPartitioned(cut));
     }
 
     @Override
     public void close() throws IOException {
-        daemons.values().stream().filter(DaemonHandle::isAlive).forEach(DaemonHandle::thaw);
+        daemons.values().stream().filter(DaemonHandle::isAlive).forEach(DaemonHandle::resume);
         daemons.values().stream().filter(DaemonHandle::isAlive).forEach(DaemonHandle::kill);
         engines.values().forEach(EngineStandin::close);
         services.forEach(PlainServiceStandin::close);
@@ -266,7 +266,7 @@
     // ---- stand-ins, links and files
 
     private void startLinks() throws IOException {
-        for (Place entry : plan.entries()) {
+        for (EntryBox entry : plan.entries()) {
             String node = addresses.get(entry.name()).node();
             int nodePort = Integer.parseInt(node.substring(node.lastIndexOf(':') + 1));
             for (String hall : plan.dataHalls()) {
@@ -287,7 +287,7 @@
                 .orElseGet(() -> addresses.get(process).node());
     }
 
-    private void startBackend(TargetPlace target, int port) throws IOException {
+    private void startBackend(TargetBox target, int port) throws IOException {
         if (target.service().equals(DeploymentPlan.ASSISTANT)) {
             engines.put(target.name(), EngineStandin.start(port, options.engine()));
         } else {
@@ -302,7 +302,7 @@
         daemons.put(name, new DaemonHandle(name, file, own.resolve("log.json")));
     }
 
-    private String entrySettings(Place entry) {
+    private String entrySettings(EntryBox entry) {
         StringBuilder text = common(entry.name(), entry.dataHall(), entry.control() ? "entry, control" : "entry");
         if (entry.control()) {
             text.append("control: {dataFolder: ")
@@ -312,7 +312,7 @@
         return text.append("entry: {workerThreads: 2, stopGraceMillis: 500}\n").toString();
     }
 
-    private String targetSettings(TargetPlace target) {
+    private String targetSettings(TargetBox target) {
         return common(target.name(), target.dataHall(), "target")
                 .append("target:\n  chunkFolder: ")
                 .append(folder.resolve(target.name()).resolve("chunks"))
@@ -339,7 +339,7 @@
                 .append(own.node());
         text.append("\ntraces: ").append(options.traces()).append("\ncontrolBoxes:\n");
         plan.entries().stream()
-                .filter(Place::control)
+                .filter(EntryBox::control)
                 .forEach(box -> text.append("  - {name: ")
                         .append(box.name())
                         .append(", nodeAddress: '")
--- a/standins/src/main/java/org/bankturn/replay/ReplayedEngine.java
+++ b/standins/src/main/java/org/bankturn/replay/ReplayedEngine.java
@@ -7,22 +7,22 @@
 import org.bankturn.service.EngineModel;
 
 /**
- * An engine that works in passes: it reads waiting prompts, then writes some tokens of every answer.
+ * A simulated engine that works in passes: it reads waiting prompts, then generates some tokens of every answer.
  *
- * <p>The times are those of {@link EngineModel}; memory is taken to be enough. ReplayedEngine is mutable and not
+ * <p>Step times come from {@link EngineModel}; memory is not modelled. ReplayedEngine is mutable and not
  * thread-safe.
  */
 final class ReplayedEngine {
     private static final double THOUSAND = 1_000;
     private static final double MILLION = 1_000_000;
 
-    /** How long what depends on an engine that went dark stands still before it is cut. */
+    /** The time that connections to an unresponsive engine stall before they are closed. */
     private static final double STALL_MILLIS = 1_500;
 
-    /** A target that ended was back after 4 s, as it was seen on a site. */
+    /** The time that a crashed engine takes to restart. */
     private static final double RESTART_MILLIS = 4_000;
 
-    private final VirtualTime time;
+    private final VirtualClock time;
     private final EngineModel model;
     private final double pairsMillisPerMillion;
     private final int queueLength;
@@ -31,15 +31,15 @@
     private final List<EngineTask> waiting = new ArrayList<>();
     private final List<EngineTask> running = new ArrayList<>();
     private boolean inPass;
-    private boolean dark;
+    private boolean unresponsive;
     private boolean down;
-    private int starts = 1;
-    private boolean changing;
-    private double changesAtMillis = Double.NEGATIVE_INFINITY;
-    private double pace = 1;
+    private int incarnation = 1;
+    private boolean updating;
+    private double updateAtMillis = Double.NEGATIVE_INFINITY;
+    private double slowdown = 1;
     private double busyMillis;
 
-    ReplayedEngine(VirtualTime time, LoadPattern pattern, String id, String dataHall) {
+    ReplayedEngine(VirtualClock time, LoadPattern pattern, String id, String dataHall) {
         this.time = time;
         this.model = pattern.engine().model();
         this.pairsMillisPerMillion = pattern.engine().pairsMicrosPerMillion() / THOUSAND;
@@ -56,94 +56,94 @@
         return dataHall;
     }
 
-    boolean isDark() {
-        return dark;
+    boolean isUnresponsive() {
+        return unresponsive;
     }
 
-    /** Returns true if it has ended and not started again. */
+    /** Returns true if the engine has crashed and not restarted yet. */
     boolean isDown() {
         return down;
     }
 
-    /** Returns the name of its present start, or of the last one, not null. */
+    /** Returns the id of the current incarnation, or of the last one while the engine is down, not null. */
     String incarnation() {
-        return id + "#" + starts;
+        return id + "#" + incarnation;
     }
 
     double busyMillis() {
         return busyMillis;
     }
 
-    /** Returns what the engine says of itself, not null. */
+    /** Returns the load that the engine reports, not null. */
     EngineLoad load() {
-        return new EngineLoad(running.size(), waiting.size(), 0, model.tokenCapacity(), pace, changing);
+        return new EngineLoad(running.size(), waiting.size(), 0, model.tokenCapacity(), slowdown, updating);
     }
 
-    /** Takes a task; returns false if the engine is full. */
+    /** Queues a task; returns false if the queue is full. */
     boolean offer(EngineTask task) {
         if (running.size() + waiting.size() >= model.slots() + queueLength) {
             return false;
         }
         waiting.add(task);
         waiting.sort(Comparator.comparingInt(EngineTask::urgency));
-        if (!inPass && !dark && !changing) {
-            beginPass();
+        if (!inPass && !unresponsive && !updating) {
+            startPass();
         }
         return true;
     }
 
-    /** Ends, with all that was there, and starts again after a while. */
+    /** Crashes the engine with all its tasks, and restarts it after the given time. */
     void crash(double forMillis) {
         if (down) {
             return;
         }
         down = true;
-        List<EngineTask> lost = loseAll();
-        lost.forEach(EngineTask::cut);
-        time.after(forMillis, () -> {
+        List<EngineTask> lost = removeAllTasks();
+        lost.forEach(EngineTask::interrupt);
+        time.schedule(forMillis, () -> {
             down = false;
-            starts++;
+            incarnation++;
         });
     }
 
-    /** Falls silent; what was there is cut after a while. */
-    void goDark() {
-        dark = true;
-        List<EngineTask> lost = loseAll();
-        time.after(STALL_MILLIS, () -> lost.forEach(EngineTask::cut));
+    /** Makes the engine unresponsive; its tasks are interrupted after a delay. */
+    void becomeUnresponsive() {
+        unresponsive = true;
+        List<EngineTask> lost = removeAllTasks();
+        time.schedule(STALL_MILLIS, () -> lost.forEach(EngineTask::interrupt));
     }
 
-    void comeBack() {
-        dark = false;
+    void recover() {
+        unresponsive = false;
         if (!inPass) {
-            beginPass();
+            startPass();
         }
     }
 
-    /** Is to take up newer weights, which those who ask are told. */
-    void willChangeAt(double millis) {
-        changesAtMillis = millis;
+    /** Announces a weights update, which load polls report. */
+    void announceUpdate(double millis) {
+        updateAtMillis = millis;
     }
 
-    /** Returns how long until it takes up newer weights, negative if it did or will not. */
-    double changesInMillis() {
-        return changesAtMillis - time.now();
+    /** Returns the time until the announced weights update, negative if it is past or none is announced. */
+    double millisUntilUpdate() {
+        return updateAtMillis - time.now();
     }
 
-    /** Takes up newer weights at once: what was there is cut, and nothing is begun for a while. */
-    void change(double forMillis) {
-        changing = true;
-        List<EngineTask> lost = loseAll();
-        lost.forEach(EngineTask::cut);
-        time.after(forMillis, () -> {
-            changing = false;
+    /** Updates the weights: interrupts all tasks and starts none for the given time. */
+    void updateWeights(double forMillis) {
+        updating = true;
+        List<EngineTask> lost = removeAllTasks();
+        lost.forEach(EngineTask::interrupt);
+        time.schedule(forMillis, () -> {
+            updating = false;
             if (!inPass) {
-                beginPass();
+                startPass();
             }
         });
     }
 
-    private List<EngineTask> loseAll() {
+    private List<EngineTask> removeAllTasks() {
         List<EngineTask> lost = new ArrayList<>(running);
         lost.addAll(waiting);
         running.clear();
@@ -151,30 +151,32 @@
         return lost;
     }
 
-    void runAt(double newPace) {
-        pace = newPace;
+    void setSlowdown(double factor) {
+        slowdown = factor;
     }
 
     // ---- passes
 
-    private void beginPass() {
-        running.removeIf(EngineTask::isOver);
-        waiting.removeIf(EngineTask::isOver);
+    private void startPass() {
+        running.removeIf(EngineTask::isFinished);
+        waiting.removeIf(EngineTask::isFinished);
         while (running.size() < model.slots() && !waiting.isEmpty()) {
             running.add(waiting.remove(0));
         }
-        if (running.isEmpty() || dark || changing || down) {
+        if (running.isEmpty() || unresponsive || updating || down) {
             inPass = false;
             return;
         }
         inPass = true;
-        List<EngineTask> writers = running.stream().filter(EngineTask::isRead).toList();
+        List<EngineTask> writers =
+                running.stream().filter(EngineTask::isPromptRead).toList();
         int steps = writers.isEmpty() ? 1 : model.stepsPerPass();
         double reading = readPrompts(steps * model.promptTokensPerStep());
-        List<EngineTask> writing = running.stream().filter(EngineTask::isRead).toList();
-        double took = pace * (reading + (writing.isEmpty() ? 0 : model.stepsPerPass() * stepMillis(writing)));
+        List<EngineTask> writing =
+                running.stream().filter(EngineTask::isPromptRead).toList();
+        double took = slowdown * (reading + (writing.isEmpty() ? 0 : model.stepsPerPass() * stepMillis(writing)));
         busyMillis += took;
-        time.after(took, () -> endPass(writing));
+        time.schedule(took, () -> endPass(writing));
     }
 
     private double readPrompts(int mostTokens) {
@@ -186,7 +188,7 @@
                 double before = task.promptTokens() - task.unreadTokens();
                 double pairs = tokens * before + tokens * (double) tokens / 2;
                 millis += tokens / model.promptTokensPerMillisecond() + pairs / MILLION * pairsMillisPerMillion;
-                task.read(tokens);
+                task.readPrompt(tokens);
                 left -= tokens;
             }
         }
@@ -201,20 +203,20 @@
     }
 
     private void endPass(List<EngineTask> writing) {
-        if (!dark && !changing) {
+        if (!unresponsive && !updating) {
             writing.stream().filter(running::contains).toList().forEach(this::write);
         }
-        beginPass();
+        startPass();
     }
 
     private void write(EngineTask task) {
         if (down) {
             return;
         }
-        if (task.isDeadly()) {
+        if (task.crashesEngine()) {
             crash(RESTART_MILLIS);
             return;
         }
-        task.write(model.stepsPerPass());
+        task.generate(model.stepsPerPass());
     }
 }
--- a/standins/src/test/java/org/bankturn/harness/CutHallTest.java
+++ b/standins/src/test/java/org/bankturn/harness/HallPartitionTest.java
@@ -7,19 +7,19 @@
 import org.junit.jupiter.api.Test;
 
 /** A data hall cut off from the others in silence, with real processes and links. */
-class CutHallTest {
+class HallPartitionTest {
     private static final int ANSWERED = ResultCode.REQUEST_ANSWERED.number();
 
     @Test
     void a_cut_off_hall_serves_what_it_can_and_joins_again_without_a_revert() throws IOException {
-        try (SmallDeployment deployment = SmallDeployment.serving()) {
+        try (SmallDeployment deployment = SmallDeployment.startServing()) {
             String leader = deployment.leader();
             String hall = leader.substring(0, leader.indexOf('-'));
             String other = leader.equals("two-entry") ? "three-entry" : "two-entry";
             String address = deployment.running.httpAddress(leader);
             long before = deployment.indexAt(leader);
-            deployment.running.setCutOff(hall, true);
-            Await.until("the others accept a file", SmallDeployment.PATIENCE, () -> {
+            deployment.running.setPartitioned(hall, true);
+            Await.until("the others accept a file", SmallDeployment.TIMEOUT_MILLIS, () -> {
                 try {
                     return deployment.applyThrough(deployment.running.httpAddress(other), 2, "v2", "majority") == 0;
                 } catch (IOException e) {
@@ -33,15 +33,15 @@
             assertThat(deployment.indexAt(leader)).isGreaterThanOrEqualTo(before);
             deployment.awaitFile(other, 2);
             long accepted = deployment.indexAt(other);
-            deployment.running.setCutOff(hall, false);
+            deployment.running.setPartitioned(hall, false);
             deployment.awaitIndex(leader, accepted);
             Await.until(
                     "keyed requests run again",
-                    SmallDeployment.PATIENCE,
+                    SmallDeployment.TIMEOUT_MILLIS,
                     () -> deployment.caller.callOnce(address, "account-1", "booking", "healed") == ANSWERED);
             assertThat(deployment.applyThrough(address, 2, "v1", "minority")).isEqualTo(3);
             assertThat(deployment.running.runsById()).doesNotContainKey("cut").containsEntry("healed", 1);
-            assertThat(deployment.tally.wrongCount()).isZero();
+            assertThat(deployment.statistics.incorrectCount()).isZero();
         }
     }
 
--- a/standins/src/test/java/org/bankturn/harness/SmallDeployment.java
+++ b/standins/src/test/java/org/bankturn/harness/SmallDeployment.java
@@ -17,15 +17,15 @@
 
 /** A small deployment for one test, with what tests ask of it. */
 final class SmallDeployment implements AutoCloseable {
-    static final long PATIENCE = 60_000;
+    static final long TIMEOUT_MILLIS = 60_000;
     static final EngineStandin.Settings ENGINE = new EngineStandin.Settings(true, 10, 60, 20);
-    static final Weights FIRST = Weights.make(1, 4 << 20, 256 << 10);
-    static final Weights SECOND = Weights.make(2, 4 << 20, 256 << 10);
+    static final Weights WEIGHTS_V1 = Weights.generate(1, 4 << 20, 256 << 10);
+    static final Weights WEIGHTS_V2 = Weights.generate(2, 4 << 20, 256 << 10);
     private static final ObjectMapper JSON = new ObjectMapper();
 
     final LocalDeployment running;
-    final CallerTally tally = new CallerTally();
-    final Caller caller = new Caller(tally, Set.of(FIRST.digest(), SECOND.digest()), ENGINE.tokens());
+    final CallerStatistics statistics = new CallerStatistics();
+    final Caller caller = new Caller(statistics, Set.of(WEIGHTS_V1.digest(), WEIGHTS_V2.digest()), ENGINE.tokens());
 
     private SmallDeployment(LocalDeployment running) {
         this.running = running;
@@ -35,14 +35,14 @@
         LocalDeployment.Options options =
                 new LocalDeployment.Options(32 << 20, 16 << 20, DistributionPolicy.ORIGIN_BYTES, 3, 32, engine, false);
         SmallDeployment deployment = new SmallDeployment(LocalDeployment.prepare(DeploymentPlan.small(), options));
-        deployment.running.origin().offer(FIRST);
-        deployment.running.origin().offer(SECOND);
+        deployment.running.origin().publish(WEIGHTS_V1);
+        deployment.running.origin().publish(WEIGHTS_V2);
         deployment.running.startAll();
         return deployment;
     }
 
     /** Starts with the first version in service at every entry process. */
-    static SmallDeployment serving() throws IOException {
+    static SmallDeployment startServing() throws IOException {
         SmallDeployment deployment = start(ENGINE);
         deployment.apply(1, "v1");
         deployment.awaitServing();
@@ -54,7 +54,7 @@
     }
 
     int applyThrough(String addresses, long number, String wanted, String by) throws IOException {
-        Path file = running.writeOperatorFile(number, Map.of("v1", FIRST, "v2", SECOND), wanted);
+        Path file = running.writeOperatorFile(number, Map.of("v1", WEIGHTS_V1, "v2", WEIGHTS_V2), wanted);
         return tool("apply", "--addresses", addresses, "--by", by, file.toString());
     }
 
@@ -84,8 +84,8 @@
     }
 
     void awaitServing() {
-        for (DeploymentPlan.Place entry : running.plan().entries()) {
-            Await.until("answers at " + entry.name(), PATIENCE, () -> chat(entry.name()) == 2000);
+        for (DeploymentPlan.EntryBox entry : running.plan().entries()) {
+            Await.until("answers at " + entry.name(), TIMEOUT_MILLIS, () -> chat(entry.name()) == 2000);
         }
     }
 
@@ -94,7 +94,7 @@
     }
 
     void awaitIndex(String process, long index) {
-        Await.until(process + " at " + index, PATIENCE, () -> {
+        Await.until(process + " at " + index, TIMEOUT_MILLIS, () -> {
             try {
                 return indexAt(process) >= index;
             } catch (IOException e) {
@@ -105,7 +105,7 @@
 
     /** Waits until a process shows an operators' file; an accepted one is shown there a little later than it is accepted. */
     void awaitFile(String process, long number) {
-        Await.until("file " + number + " shown by " + process, PATIENCE, () -> {
+        Await.until("file " + number + " shown by " + process, TIMEOUT_MILLIS, () -> {
             try {
                 return read("show", process)
                                 .path("files")
