--- a/core/src/test/java/org/bankturn/routing/RoutingTest.java
+++ b/core/src/test/java/org/bankturn/routing/RoutingTest.java
@@ -1,5 +1,8 @@
 package org.bankturn.routing;
 
+import static org.assertj.core.api.Assertions.assertThat;
+import static org.assertj.core.api.Assertions.assertThatThrownBy;
+
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
@@ -15,8 +18,6 @@
 import org.bankturn.result.ResultCode;
 import org.bankturn.time.ManualClock;
 import org.junit.jupiter.api.Test;
-import static org.assertj.core.api.Assertions.assertThat;
-import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
 class RoutingTest {
     private static final String MANIFEST = "a".repeat(64);
--- a/daemon/src/main/java/org/bankturn/daemon/control/ControlMember.java
+++ b/daemon/src/main/java/org/bankturn/daemon/control/ControlMember.java
@@ -1,8 +1,8 @@
 package org.bankturn.daemon.control;
 
 import java.io.IOException;
-import java.lang.System.Logger.Level;
 import java.lang.System.Logger;
+import java.lang.System.Logger.Level;
 import java.util.List;
 import java.util.Set;
 import java.util.concurrent.CompletableFuture;
--- a/daemon/src/main/java/org/bankturn/daemon/follow/ConfigurationFollower.java
+++ b/daemon/src/main/java/org/bankturn/daemon/follow/ConfigurationFollower.java
@@ -2,8 +2,8 @@
 
 import io.activej.promise.Promise;
 import io.activej.promise.Promises;
-import java.lang.System.Logger.Level;
 import java.lang.System.Logger;
+import java.lang.System.Logger.Level;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.List;
--- a/daemon/src/test/java/org/bankturn/daemon/weights/FetchSchedulerTest.java
+++ b/daemon/src/test/java/org/bankturn/daemon/weights/FetchSchedulerTest.java
@@ -1,5 +1,7 @@
 package org.bankturn.daemon.weights;
 
+import static org.assertj.core.api.Assertions.assertThat;
+
 import io.activej.eventloop.Eventloop;
 import io.activej.promise.Promise;
 import io.activej.promise.SettablePromise;
@@ -20,7 +22,6 @@
 import org.bankturn.weights.PieceRouting;
 import org.bankturn.weights.WeightsPeer;
 import org.junit.jupiter.api.Test;
-import static org.assertj.core.api.Assertions.assertThat;
 
 /**
  * Guards against two versions being fetched concurrently at half the origin's rate each, so that neither is complete by the
