--- a/standins/src/main/java/org/bankturn/harness/Await.java
+++ b/standins/src/main/java/org/bankturn/harness/Await.java
@@ -2,29 +2,29 @@
 
 import java.util.function.BooleanSupplier;
 
-/** Waits for conditions. */
+/** Polls until a condition holds. */
 public final class Await {
-    private static final long CHECK_MILLIS = 5;
+    private static final long POLL_MILLIS = 5;
 
     private Await() {}
 
     /**
      * Waits until a condition holds.
      *
-     * @param what the condition in words, for the error, not null
-     * @param timeoutMillis how long to wait at most
+     * @param description describes the condition in the error message, not null
+     * @param timeoutMillis the maximum time to wait
      * @param condition the condition, not null
      * @return milliseconds waited
-     * @throws IllegalStateException if it did not come to hold
+     * @throws IllegalStateException if the condition does not hold in time
      */
-    public static long until(String what, long timeoutMillis, BooleanSupplier condition) {
+    public static long until(String description, long timeoutMillis, BooleanSupplier condition) {
         long start = System.nanoTime();
         while (!condition.getAsBoolean()) {
             if ((System.nanoTime() - start) / 1_000_000 > timeoutMillis) {
-                throw new IllegalStateException("not within " + timeoutMillis + " ms: " + what);
+                throw new IllegalStateException("timed out after " + timeoutMillis + " ms: " + description);
             }
             try {
-                Thread.sleep(CHECK_MILLIS);
+                Thread.sleep(POLL_MILLIS);
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
                 throw new IllegalStateException(e);
--- a/standins/src/main/java/org/bankturn/harness/BurstBound.java
+++ b/standins/src/main/java/org/bankturn/harness/BurstBound.java
@@ -1,18 +1,18 @@
 package org.bankturn.harness;
 
 /**
- * The least time in which one source can bring the same bytes to many boxes (Kumar and Ross 2006).
+ * The minimum time to distribute a file from one origin to many peers (Kumar and Ross 2006).
  *
- * @param seconds the bound in seconds
+ * @param seconds the lower bound in seconds
  */
 public record BurstBound(double seconds) {
     /**
-     * Works the bound out.
+     * Computes the bound.
      *
      * @param bytes the size of the weights
      * @param boxes the number of boxes
-     * @param originBytesPerSecond the origin's link
-     * @param boxBytesPerSecond each box's link, each way
+     * @param originBytesPerSecond the upload rate of the origin
+     * @param boxBytesPerSecond the rate of each box, per direction
      * @return the bound, not null
      */
     public static BurstBound of(long bytes, int boxes, long originBytesPerSecond, long boxBytesPerSecond) {
--- a/standins/src/main/java/org/bankturn/harness/Caller.java
+++ b/standins/src/main/java/org/bankturn/harness/Caller.java
@@ -14,7 +14,7 @@
 import org.bankturn.result.ResultCode;
 
 /**
- * Calls entry processes as applications do, with the Java platform's own HTTP client, and checks each answer.
+ * An HTTP client of entry processes that verifies every answer.
  *
  * <p>Caller is thread-safe.
  */
@@ -32,9 +32,9 @@
     /**
      * Creates a caller.
      *
-     * @param statistics counts what it sees, not null
-     * @param knownWeights the SHA-256 of every whole version's weights, not null
-     * @param tokens the tokens of a whole answer
+     * @param statistics records the outcomes, not null
+     * @param knownWeights the SHA-256 of the weights of every version, not null
+     * @param tokens the number of tokens of a complete answer
      */
     public Caller(CallerStatistics statistics, Set<String> knownWeights, int tokens) {
         this.statistics = statistics;
@@ -43,11 +43,11 @@
     }
 
     /**
-     * Asks the assistant and checks that the answer is whole, this request's own, and of one version's weights.
+     * Sends a chat request and verifies that the answer is complete, belongs to it and comes from one version's weights.
      *
      * @param address the entry process, not null
      * @param account the client account, not null
-     * @return the numbered result, 2000 if answered whole
+     * @return the result code, 2000 if answered completely
      */
     public int chat(String address, String account) {
         String id = UUID.randomUUID().toString();
@@ -57,13 +57,13 @@
     }
 
     /**
-     * Calls a plain service that must not be repeated, under a key.
+     * Calls a non-idempotent service with an idempotency key.
      *
      * @param address the entry process, not null
      * @param account the client account, not null
      * @param service the service's name, not null
-     * @param id the call's id, which is its key as well, not null
-     * @return the numbered result, 2000 if answered whole
+     * @param id the id of the call, also used as its idempotency key, not null
+     * @return the result code, 2000 if answered completely
      */
     public int callOnce(String address, String account, String service, String id) {
         HttpRequest request = post(address, "/services/" + service + "/calls", account, "{\"id\":\"" + id + "\"}")
@@ -73,13 +73,13 @@
     }
 
     /**
-     * Calls a plain service that must not be repeated, without a key.
+     * Calls a non-idempotent service without an idempotency key.
      *
      * @param address the entry process, not null
      * @param account the client account, not null
      * @param service the service's name, not null
      * @param id the call's id, not null
-     * @return the numbered result, 2000 if answered whole
+     * @return the result code, 2000 if answered completely
      */
     public int callWithoutKey(String address, String account, String service, String id) {
         HttpRequest request = post(address, "/services/" + service + "/calls", account, "{\"id\":\"" + id + "\"}")
@@ -101,17 +101,17 @@
             HttpResponse<byte[]> response = client.send(request, HttpResponse.BodyHandlers.ofByteArray());
             String text = new String(response.body(), StandardCharsets.UTF_8);
             if (response.statusCode() != OK) {
-                return countRefusal(text, unsafeId);
+                return recordRefusal(text, unsafeId);
             }
-            String fault = chatId == null ? faultInCall(text, unsafeId) : faultInChat(text, chatId);
-            if (fault == null) {
+            String error = chatId == null ? verifyCall(text, unsafeId) : verifyChat(text, chatId);
+            if (error == null) {
                 statistics.answerComplete(unsafeId);
             } else {
-                statistics.answerIncorrect(fault);
+                statistics.answerIncorrect(error);
             }
             return ResultCode.REQUEST_ANSWERED.number();
         } catch (IOException e) {
-            statistics.unknown("cut: " + e);
+            statistics.unknown("connection closed: " + e);
             return ResultCode.OUTCOME_UNKNOWN.number();
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
@@ -119,7 +119,7 @@
         }
     }
 
-    private int countRefusal(String text, String unsafeId) throws IOException {
+    private int recordRefusal(String text, String unsafeId) throws IOException {
         JsonNode answer = JSON.readTree(text);
         int code = answer.path("code").asInt();
         if (answer.path("notRun").asBoolean()) {
@@ -130,11 +130,11 @@
         return code;
     }
 
-    private static String faultInCall(String text, String id) throws IOException {
-        return JSON.readTree(text).path("confirmed").asText().equals(id) ? null : "another's answer: " + text;
+    private static String verifyCall(String text, String id) throws IOException {
+        return JSON.readTree(text).path("confirmed").asText().equals(id) ? null : "answer to another request: " + text;
     }
 
-    private String faultInChat(String text, String id) throws IOException {
+    private String verifyChat(String text, String id) throws IOException {
         int seen = 0;
         String weights = null;
         boolean done = false;
@@ -158,6 +158,6 @@
             weights = named;
             seen++;
         }
-        return done && seen == tokens ? null : "short answer with a good status: " + seen + " tokens";
+        return done && seen == tokens ? null : "truncated answer with status 200: " + seen + " tokens";
     }
 }
--- a/standins/src/main/java/org/bankturn/harness/CallerStatistics.java
+++ b/standins/src/main/java/org/bankturn/harness/CallerStatistics.java
@@ -8,21 +8,21 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /**
- * What callers saw, and what that says of the promises.
+ * Outcomes of requests as seen by callers, and checks of the delivery guarantees.
  *
  * <p>CallerStatistics is thread-safe.
  */
 public final class CallerStatistics {
     private final AtomicInteger sent = new AtomicInteger();
-    private final AtomicInteger whole = new AtomicInteger();
+    private final AtomicInteger complete = new AtomicInteger();
     private final AtomicInteger refused = new AtomicInteger();
     private final AtomicInteger unknown = new AtomicInteger();
-    private final AtomicInteger wrong = new AtomicInteger();
+    private final AtomicInteger incorrect = new AtomicInteger();
     private final Set<String> confirmedIds = ConcurrentHashMap.newKeySet();
     private final Set<String> refusedIds = ConcurrentHashMap.newKeySet();
-    private final ConcurrentLinkedQueue<String> notes = new ConcurrentLinkedQueue<>();
+    private final ConcurrentLinkedQueue<String> failures = new ConcurrentLinkedQueue<>();
 
-    /** Creates an empty statistics. */
+    /** Creates empty statistics. */
     public CallerStatistics() {}
 
     void sent() {
@@ -30,7 +30,7 @@
     }
 
     void answerComplete(String unsafeId) {
-        whole.incrementAndGet();
+        complete.incrementAndGet();
         if (unsafeId != null) {
             confirmedIds.add(unsafeId);
         }
@@ -43,51 +43,51 @@
         }
     }
 
-    void unknown(String why) {
+    void unknown(String reason) {
         unknown.incrementAndGet();
-        notes.add(why);
+        failures.add(reason);
     }
 
-    void answerIncorrect(String why) {
-        wrong.incrementAndGet();
-        notes.add("WRONG " + why);
+    void answerIncorrect(String reason) {
+        incorrect.incrementAndGet();
+        failures.add("INCORRECT " + reason);
     }
 
-    /** Returns the requests sent. */
+    /** Returns the number of requests sent. */
     public int sentCount() {
         return sent.get();
     }
 
-    /** Returns the requests answered whole, with the right content. */
+    /** Returns the number of complete and correct answers. */
     public int completeCount() {
-        return whole.get();
+        return complete.get();
     }
 
-    /** Returns the requests refused and said not to have run. */
+    /** Returns the number of requests refused as not run. */
     public int refusedCount() {
         return refused.get();
     }
 
-    /** Returns the requests whose outcome the caller was told is not known, or whose connection was cut. */
+    /** Returns the number of requests with an unknown outcome or a closed connection. */
     public int unknownCount() {
         return unknown.get();
     }
 
-    /** Returns the answers that were short, swapped, mixed or of the wrong weights. */
+    /** Returns the number of answers that were truncated, swapped, mixed or from the wrong weights. */
     public int incorrectCount() {
-        return wrong.get();
+        return incorrect.get();
     }
 
-    /** Returns the first few notes on what was unknown or wrong, not null. */
+    /** Returns descriptions of the first unknown or incorrect outcomes, not null. */
     public List<String> firstFailures() {
-        return notes.stream().limit(5).toList();
+        return failures.stream().limit(5).toList();
     }
 
     /**
-     * Counts unsafe requests that ran more than once.
+     * Counts non-idempotent requests that ran more than once.
      *
-     * @param runsById how often each ran, not null
-     * @return the number, 0 if the promise holds
+     * @param runsById the number of runs of each request, not null
+     * @return the number, 0 if the guarantee holds
      */
     public long executedRepeatedly(Map<String, Integer> runsById) {
         return runsById.values().stream().filter(runs -> runs > 1).count();
@@ -96,18 +96,18 @@
     /**
      * Counts confirmed requests that never ran.
      *
-     * @param runsById how often each ran, not null
-     * @return the number, 0 if the promise holds
+     * @param runsById the number of runs of each request, not null
+     * @return the number, 0 if the guarantee holds
      */
     public long confirmedButNotExecuted(Map<String, Integer> runsById) {
         return confirmedIds.stream().filter(id -> !runsById.containsKey(id)).count();
     }
 
     /**
-     * Counts requests that were said not to have run, but did.
+     * Counts requests that were refused as not run but did run.
      *
-     * @param runsById how often each ran, not null
-     * @return the number, 0 if the promise holds
+     * @param runsById the number of runs of each request, not null
+     * @return the number, 0 if the guarantee holds
      */
     public long refusedButExecuted(Map<String, Integer> runsById) {
         return refusedIds.stream()
--- a/standins/src/main/java/org/bankturn/harness/DaemonHandle.java
+++ b/standins/src/main/java/org/bankturn/harness/DaemonHandle.java
@@ -13,9 +13,9 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
 
-/** One daemon as a process of its own: started, stopped, killed, frozen by its process id. */
+/** Controls a daemon that runs in its own process. */
 public final class DaemonHandle {
-    private static final long STOP_SECONDS = 60;
+    private static final long TIMEOUT_SECONDS = 60;
     private static final String READY = "bankturnd ready";
 
     private final String name;
@@ -35,7 +35,7 @@
         return name;
     }
 
-    /** Returns another daemon with the same settings, not started, not null. */
+    /** Returns a handle for a second daemon with the same settings, not started, not null. */
     public DaemonHandle duplicate() {
         return new DaemonHandle(name, settings, log);
     }
@@ -80,9 +80,9 @@
     }
 
     /**
-     * Starts the daemon; {@link #awaitReady()} waits until it serves.
+     * Starts the daemon without waiting; see {@link #awaitReady()}.
      *
-     * @param arguments more arguments for this start, not null
+     * @param arguments additional arguments, not null
      * @throws IOException if it cannot be started
      */
     public void start(String... arguments) throws IOException {
@@ -103,59 +103,59 @@
                 .redirectError(ProcessBuilder.Redirect.appendTo(log.toFile()))
                 .start();
         Process started = process;
-        CompletableFuture<Void> becomesReady = ready;
-        Thread reader = new Thread(() -> readOutput(started, becomesReady), "output-" + name);
+        CompletableFuture<Void> readyFuture = ready;
+        Thread reader = new Thread(() -> readOutput(started, readyFuture), "output-" + name);
         reader.setDaemon(true);
         reader.start();
     }
 
-    /** Waits until the daemon has said that it is ready. */
+    /** Waits until the daemon reports that it is ready. */
     public void awaitReady() {
-        ready.orTimeout(STOP_SECONDS, TimeUnit.SECONDS).join();
+        ready.orTimeout(TIMEOUT_SECONDS, TimeUnit.SECONDS).join();
     }
 
-    /** Stops the daemon as planned (SIGTERM) and waits for its end. */
+    /** Stops the daemon gracefully (SIGTERM) and waits for its exit. */
     public void stop() {
         process.destroy();
         awaitExit();
     }
 
-    /** Asks the daemon to stop as planned, without waiting. */
+    /** Requests a graceful stop (SIGTERM) without waiting. */
     public void requestStop() {
         process.destroy();
     }
 
-    /** Kills the daemon (SIGKILL) and waits for its end. */
+    /** Kills the daemon (SIGKILL) and waits for its exit. */
     public void kill() {
         process.destroyForcibly();
         awaitExit();
     }
 
-    /** Stops the daemon's threads (SIGSTOP). */
+    /** Suspends the daemon (SIGSTOP). */
     public void suspend() {
         signal("-STOP");
     }
 
-    /** Lets the daemon's threads go on (SIGCONT). */
+    /** Resumes the daemon (SIGCONT). */
     public void resume() {
         signal("-CONT");
     }
 
-    /** Returns true if the daemon runs. */
+    /** Returns true if the daemon is running. */
     public boolean isAlive() {
         return process != null && process.isAlive();
     }
 
     /**
-     * Returns the daemon's exit code, once it has ended.
+     * Waits for the daemon to exit and returns its exit code.
      *
      * @return the code
      */
     public int awaitExit() {
         try {
-            if (!process.waitFor(STOP_SECONDS, TimeUnit.SECONDS)) {
+            if (!process.waitFor(TIMEOUT_SECONDS, TimeUnit.SECONDS)) {
                 process.destroyForcibly();
-                throw new IllegalStateException(name + " did not end");
+                throw new IllegalStateException(name + " did not exit in time");
             }
             return process.exitValue();
         } catch (InterruptedException e) {
@@ -164,7 +164,7 @@
         }
     }
 
-    /** Returns what the daemon wrote to its log so far, not null. */
+    /** Returns the content of the daemon's log, not null. */
     public String logText() {
         try {
             return Files.readString(log);
@@ -185,17 +185,17 @@
         }
     }
 
-    private void readOutput(Process started, CompletableFuture<Void> becomesReady) {
+    private void readOutput(Process started, CompletableFuture<Void> readyFuture) {
         try (BufferedReader lines =
                 new BufferedReader(new InputStreamReader(started.getInputStream(), StandardCharsets.UTF_8))) {
             for (String line = lines.readLine(); line != null; line = lines.readLine()) {
                 if (line.startsWith(READY)) {
-                    becomesReady.complete(null);
+                    readyFuture.complete(null);
                 }
             }
         } catch (IOException e) {
-            becomesReady.completeExceptionally(e);
+            readyFuture.completeExceptionally(e);
         }
-        becomesReady.completeExceptionally(new IllegalStateException(name + " ended before it was ready; see " + log));
+        readyFuture.completeExceptionally(new IllegalStateException(name + " exited before it was ready; see " + log));
     }
 }
--- a/standins/src/main/java/org/bankturn/harness/DeploymentPlan.java
+++ b/standins/src/main/java/org/bankturn/harness/DeploymentPlan.java
@@ -4,15 +4,15 @@
 import java.util.List;
 
 /**
- * The boxes of a deployment and who calls it.
+ * The topology of a deployment and its client accounts.
  *
  * @param name the deployment's name, not null
- * @param dataHalls its halls, not empty
- * @param region the region that they lie in, not null
- * @param entries the entry boxes, the first of each hall a control box as well, not null
+ * @param dataHalls the data halls, not empty
+ * @param region the region of the data halls, not null
+ * @param entries the entry boxes, some of which are control boxes as well, not null
  * @param targets the target boxes, not null
  * @param accounts the client accounts, not null
- * @param plainServices the services without a model, the one that must not be repeated first, not null
+ * @param plainServices the services without a model, the non-idempotent one first, not null
  */
 public record DeploymentPlan(
         String name,
@@ -22,12 +22,12 @@
         List<TargetBox> targets,
         List<Account> accounts,
         List<String> plainServices) {
-    /** The service that a model answers, and the model's name. */
+    /** The name of the model and of its service. */
     public static final String ASSISTANT = "assistant";
 
     private static final int LARGE_WEIGHT = 4;
 
-    /** A process and its hall. */
+    /** An entry box; also a control box if {@code control} is true. */
     public record EntryBox(String name, String dataHall, boolean control) {}
 
     /** A target box, its hall and its service. */
@@ -36,13 +36,13 @@
     /** A client account, its weight and its halls. */
     public record Account(String name, int weight, List<String> dataHalls) {}
 
-    /** Returns the donor line at the sizes of today, not null. */
+    /** Returns the plan of the donor line, not null. */
     public static DeploymentPlan donor() {
         List<String> halls = List.of("puget", "willamette", "inland");
         return of("donor", halls, "northwest", "booking", "other");
     }
 
-    /** Returns the signing franchise at the sizes of today, not null. */
+    /** Returns the plan of the signing franchise, not null. */
     public static DeploymentPlan signing() {
         List<String> halls = List.of("amman", "irbid", "aqaba");
         return of("signing", halls, "jordan", "envelopes", "ledger");
@@ -65,8 +65,8 @@
     }
 
     /**
-     * Returns a deployment for tests of failures: three halls with one entry and control box and one assistant each, and
-     * a plain service in the first hall.
+     * Returns a deployment for failure tests: three halls, each with one entry and control box and one assistant, and a
+     * plain service in the first hall.
      *
      * @return the plan, not null
      */
@@ -112,7 +112,7 @@
     }
 
     /**
-     * Counts the boxes that serve the model.
+     * Returns the number of boxes that serve the model.
      *
      * @return the number of assistant boxes
      */
--- a/standins/src/main/java/org/bankturn/harness/LocalDeployment.java
+++ b/standins/src/main/java/org/bankturn/harness/LocalDeployment.java
@@ -20,9 +20,9 @@
 import org.bankturn.standin.Weights;
 
 /**
- * A deployment on loopback, in a folder of its own that is deleted at the end.
+ * A deployment on the loopback interface, in a temporary folder that {@link #close()} deletes.
  *
- * <p>LocalDeployment is used by one thread, but for its queries.
+ * <p>LocalDeployment is not thread-safe, except for its queries.
  */
 public final class LocalDeployment implements AutoCloseable {
     private final DeploymentPlan plan;
@@ -39,14 +39,14 @@
     private final Map<String, Integer> runsById = PlainServiceStandin.newCounts();
 
     /**
-     * Rates and behaviour.
+     * Link rates and the behaviour of the stand-ins.
      *
-     * @param originBytesPerSecond the origin's link
-     * @param boxBytesPerSecond each box's link, each way
-     * @param policy what bursts prefer, not null
-     * @param entersServiceAt boxes that must serve a version before it enters service
-     * @param requestsAtOnce requests that a target works on at a time
-     * @param engine how engines behave, not null
+     * @param originBytesPerSecond the rate of the origin's link
+     * @param boxBytesPerSecond the rate of each box's link, per direction
+     * @param policy the distribution policy, not null
+     * @param entersServiceAt the number of boxes that must hold a version before it enters service
+     * @param requestsAtOnce the concurrent requests per target
+     * @param engine the engine settings, not null
      * @param traces true if daemons log spans
      */
     public record Options(
@@ -58,17 +58,17 @@
             EngineStandin.Settings engine,
             boolean traces) {}
 
-    /** Where a process is reached, and where what stands beside it is. */
+    /** The addresses of a process and of its backend. */
     private record Addresses(String http, String node, String backend) {}
 
-    /** A relay by which one hall reaches the node port of an entry process in another. */
+    /** A relay from one hall to the node port of an entry process in another hall. */
     private record HallLink(String fromHall, String toHall, String process, int port, Relay relay) {}
 
     /**
-     * Prepares a deployment: stand-ins run, settings are written, no daemon runs yet.
+     * Prepares a deployment: starts the stand-ins and writes the settings, but starts no daemon.
      *
-     * @param plan its boxes, not null
-     * @param options rates and behaviour, not null
+     * @param plan the topology, not null
+     * @param options rates and engine behaviour, not null
      * @return the deployment, not null
      * @throws IOException if it cannot be prepared
      */
@@ -111,7 +111,7 @@
         return plan;
     }
 
-    /** Returns the folder with all files of this deployment, not null. */
+    /** Returns the folder that holds all files of this deployment, not null. */
     public Path folder() {
         return folder;
     }
@@ -121,7 +121,7 @@
         return origin;
     }
 
-    /** Returns how often each call to a plain service ran, by its id, not null. */
+    /** Returns the number of runs of each plain service call, by call id, not null. */
     public Map<String, Integer> runsById() {
         return runsById;
     }
@@ -152,10 +152,10 @@
     }
 
     /**
-     * Counts the engines that have loaded weights.
+     * Returns the number of engines that have loaded the given weights.
      *
      * @param weights the weights, not null
-     * @return the number of engines that hold exactly these
+     * @return the number of engines
      */
     public int enginesWith(Weights weights) {
         String digest = weights.digest();
@@ -166,7 +166,7 @@
     }
 
     /**
-     * Returns where callers reach a process.
+     * Returns the HTTP address of a process.
      *
      * @param name the process's name, not null
      * @return host:port, not null
@@ -176,7 +176,7 @@
     }
 
     /**
-     * Returns where the engine or service beside a target process is reached.
+     * Returns the address of the engine or service behind a target process.
      *
      * @param box the box's name, not null
      * @return host:port, not null
@@ -185,7 +185,7 @@
         return addresses.get(box).backend();
     }
 
-    /** Returns where operators reach every entry process, as the tool takes it, not null. */
+    /** Returns the HTTP addresses of all entry processes, comma-separated, not null. */
     public String operatorAddresses() {
         return plan.entries().stream().map(entry -> httpAddress(entry.name())).collect(Collectors.joining(","));
     }
@@ -212,11 +212,11 @@
     }
 
     /**
-     * Writes an operators' file that describes the whole deployment.
+     * Writes an operator file for the whole deployment.
      *
      * @param number its version number
-     * @param versions the versions that it describes, by name, not null
-     * @param wanted the version that is to be in service, not null
+     * @param versions the versions by name, not null
+     * @param wanted the version to put into service, not null
      * @return the file, not null
      * @throws IOException if it cannot be written
      */
@@ -227,7 +227,7 @@
     }
 
     /**
-     * Deletes what a control box keeps, as when its disk is lost.
+     * Deletes the data folder of a control box, to simulate the loss of its disk.
      *
      * @param name the process's name, not null
      * @throws IOException if it cannot be deleted
@@ -237,16 +237,16 @@
     }
 
     /**
-     * Cuts a hall off from the entry and control processes of the others, in silence, or heals the cut. What entry
-     * processes send to targets, and targets to each other, does not go by these links.
+     * Partitions a hall from the entry and control processes of the other halls without closing connections, or heals
+     * the partition. Traffic to and between targets is not affected.
      *
      * @param hall the hall, not null
-     * @param cut true to cut, false to heal
+     * @param partitioned true to partition, false to heal
      */
-    public void setPartitioned(String hall, boolean cut) {
+    public void setPartitioned(String hall, boolean partitioned) {
         links.stream()
                 .filter(link -> link.fromHall().equals(hall) || link.toHall().equals(hall))
-                .forEach(link -> link.relay().setPartitioned(cut));
+                .forEach(link -> link.relay().setPartitioned(partitioned));
     }
 
     @Override
@@ -278,7 +278,7 @@
         }
     }
 
-    /** Returns where a process in a hall reaches the node port of an entry process: by a link if halls differ. */
+    /** Returns the node address of an entry process as seen from a hall: the relay if the halls differ. */
     private String nodeAddressFrom(String hall, String process) {
         return links.stream()
                 .filter(link -> link.fromHall().equals(hall) && link.process().equals(process))
@@ -303,7 +303,8 @@
     }
 
     private String entrySettings(EntryBox entry) {
-        StringBuilder text = common(entry.name(), entry.dataHall(), entry.control() ? "entry, control" : "entry");
+        StringBuilder text =
+                commonSettings(entry.name(), entry.dataHall(), entry.control() ? "entry, control" : "entry");
         if (entry.control()) {
             text.append("control: {dataFolder: ")
                     .append(folder.resolve(entry.name()).resolve("data"))
@@ -313,7 +314,7 @@
     }
 
     private String targetSettings(TargetBox target) {
-        return common(target.name(), target.dataHall(), "target")
+        return commonSettings(target.name(), target.dataHall(), "target")
                 .append("target:\n  chunkFolder: ")
                 .append(folder.resolve(target.name()).resolve("chunks"))
                 .append("\n  backend: ")
@@ -328,7 +329,7 @@
                 .toString();
     }
 
-    private StringBuilder common(String name, String hall, String roles) {
+    private StringBuilder commonSettings(String name, String hall, String roles) {
         Addresses own = addresses.get(name);
         StringBuilder text = new StringBuilder();
         text.append("process: ").append(name).append("\ndataHall: ").append(hall);
@@ -345,12 +346,14 @@
                         .append(", nodeAddress: '")
                         .append(nodeAddressFrom(hall, box.name()))
                         .append("'}\n"));
-        text.append("configurationSources: [").append(sourcesOf(name, hall)).append("]\n");
+        text.append("configurationSources: [")
+                .append(configurationSources(name, hall))
+                .append("]\n");
         return text;
     }
 
-    /** Entry processes of the own hall, and for entry processes the control boxes of all halls. */
-    private String sourcesOf(String name, String hall) {
+    /** Returns the entry processes of the same hall and, for entry processes, all control boxes. */
+    private String configurationSources(String name, String hall) {
         boolean entry = plan.entries().stream().anyMatch(place -> place.name().equals(name));
         return plan.entries().stream()
                 .filter(place -> !place.name().equals(name))
--- a/standins/src/main/java/org/bankturn/harness/PortBlock.java
+++ b/standins/src/main/java/org/bankturn/harness/PortBlock.java
@@ -7,28 +7,28 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /**
- * Free ports on loopback, all different, below those that the system gives to outgoing connections.
+ * A block of loopback ports below the ephemeral range.
  *
- * <p>PortBlock are handed out in blocks. The first port of a block is listened on until the block is given back, so that two
- * deployments on one machine, of one process or of two, never have one in common.
+ * <p>A listener on the first port claims the block until it is closed, so that deployments on one machine, in the same
+ * or in different processes, never share a port.
  */
 final class PortBlock implements AutoCloseable {
     private static final int FIRST_BLOCK = 10_000;
     private static final int BLOCK_PORTS = 500;
     private static final int BLOCKS = 22;
 
-    /** Blocks are taken in turn, so that connections of the deployment before may still end on theirs. */
+    /** Blocks are used in rotation, so that lingering connections of a previous deployment do not interfere. */
     private static final AtomicInteger NEXT_BLOCK =
             new AtomicInteger((int) (ProcessHandle.current().pid() % BLOCKS));
 
     private final ServerSocket claim;
     private final int firstPort;
-    private int last;
+    private int lastOffset;
 
     /**
-     * Claims a block that has room for some ports.
+     * Claims a free block.
      *
-     * @param count how many are needed, at most 499
+     * @param count the number of ports needed, at most 499
      * @return the ports, not null
      * @throws IOException if all blocks are claimed
      */
@@ -43,7 +43,7 @@
                 return new PortBlock(claim.get(), firstPort);
             }
         }
-        throw new IOException("all " + BLOCKS + " blocks of ports are taken");
+        throw new IOException("all " + BLOCKS + " port blocks are in use");
     }
 
     private PortBlock(ServerSocket claim, int firstPort) {
@@ -51,15 +51,15 @@
         this.firstPort = firstPort;
     }
 
-    /** Returns the next port of the block on which nothing listens. */
+    /** Returns the next free port of the block. */
     int next() {
         do {
-            last++;
-        } while (last < BLOCK_PORTS && isTaken(firstPort + last));
-        if (last >= BLOCK_PORTS) {
-            throw new IllegalStateException("no port left in the block from " + firstPort);
+            lastOffset++;
+        } while (lastOffset < BLOCK_PORTS && isTaken(firstPort + lastOffset));
+        if (lastOffset >= BLOCK_PORTS) {
+            throw new IllegalStateException("no free port left in the block starting at " + firstPort);
         }
-        return firstPort + last;
+        return firstPort + lastOffset;
     }
 
     /** Returns a loopback address with the next port. */
@@ -67,7 +67,7 @@
         return "127.0.0.1:" + next();
     }
 
-    /** Gives the block back. */
+    /** Releases the block. */
     @Override
     public void close() throws IOException {
         claim.close();
@@ -85,7 +85,7 @@
         try {
             return Optional.of(new ServerSocket(port, 1, InetAddress.getLoopbackAddress()));
         } catch (IOException e) {
-            // somebody else listens there, which is the answer
+            // the port is in use
             return Optional.empty();
         }
     }
--- a/standins/src/main/java/org/bankturn/harness/Relay.java
+++ b/standins/src/main/java/org/bankturn/harness/Relay.java
@@ -8,8 +8,8 @@
 import java.util.concurrent.CopyOnWriteArrayList;
 
 /**
- * A link between two processes that can be cut in silence: while it is cut nothing passes and nobody is told; once it
- * is healed, what was held back arrives late.
+ * A TCP relay that can simulate a network partition: while partitioned it holds back all data without closing
+ * connections, and delivers it after healing.
  *
  * <p>Relay is thread-safe.
  */
@@ -19,7 +19,7 @@
     private final ServerSocket listener;
     private final int destinationPort;
     private final List<Socket> sockets = new CopyOnWriteArrayList<>();
-    private final Object gate = new Object();
+    private final Object lock = new Object();
     private boolean partitioned;
 
     static Relay start(int port, int destinationPort) throws IOException {
@@ -35,9 +35,9 @@
     }
 
     void setPartitioned(boolean value) {
-        synchronized (gate) {
+        synchronized (lock) {
             partitioned = value;
-            gate.notifyAll();
+            lock.notifyAll();
         }
     }
 
@@ -59,24 +59,24 @@
     }
 
     private void connect(Socket near) throws IOException, InterruptedException {
-        awaitOpen();
+        awaitHealed();
         try {
             Socket far = new Socket(InetAddress.getLoopbackAddress(), destinationPort);
             sockets.add(far);
-            startThread(() -> pass(near, far));
-            pass(far, near);
+            startThread(() -> copy(near, far));
+            copy(far, near);
         } finally {
             near.close();
         }
     }
 
-    private void pass(Socket from, Socket to) throws IOException, InterruptedException {
+    private void copy(Socket from, Socket to) throws IOException, InterruptedException {
         byte[] buffer = new byte[BUFFER_BYTES];
         try {
             for (int count = from.getInputStream().read(buffer);
                     count >= 0;
                     count = from.getInputStream().read(buffer)) {
-                awaitOpen();
+                awaitHealed();
                 to.getOutputStream().write(buffer, 0, count);
             }
         } finally {
@@ -85,10 +85,10 @@
         }
     }
 
-    private void awaitOpen() throws InterruptedException {
-        synchronized (gate) {
+    private void awaitHealed() throws InterruptedException {
+        synchronized (lock) {
             while (partitioned) {
-                gate.wait();
+                lock.wait();
             }
         }
     }
--- a/standins/src/main/java/org/bankturn/harness/package-info.java
+++ b/standins/src/main/java/org/bankturn/harness/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Runs a whole deployment on loopback: daemons as separate processes, stand-ins for what lies outside, callers that check
- * every answer. Used by the quickstart, the bench and the tests of failures.
+ * Runs a deployment on the loopback interface: daemons as separate processes, stand-ins for external systems, and
+ * callers that verify every answer. Used by the quickstart, the benchmarks and the failure tests.
  */
 package org.bankturn.harness;
--- a/standins/src/main/java/org/bankturn/standin/BoxListStandin.java
+++ b/standins/src/main/java/org/bankturn/standin/BoxListStandin.java
@@ -8,26 +8,26 @@
 import java.util.concurrent.ConcurrentHashMap;
 import org.bankturn.time.Clock;
 
-/** The platform's list of live and leaving boxes, which shows each change only after a lag. */
+/** A stand-in for the platform's box list, which shows changes with a delay. */
 public final class BoxListStandin implements AutoCloseable {
     private static final ObjectMapper JSON = new ObjectMapper();
 
     private final Clock clock;
-    private final long lagMillis;
+    private final long delayMillis;
     private final Map<String, Long> leavingSinceMillis = new ConcurrentHashMap<>();
     private StandinServer server;
 
     /**
-     * Starts a list on which every box is live.
+     * Starts the server with an empty list, on which every box counts as live.
      *
      * @param port its port on loopback
-     * @param lagMillis how late it shows a change
-     * @param clock the time, not null
+     * @param delayMillis the delay of changes
+     * @param clock the clock, not null
      * @return the list, not null
      * @throws IOException if the port is taken
      */
-    public static BoxListStandin start(int port, long lagMillis, Clock clock) throws IOException {
-        BoxListStandin list = new BoxListStandin(lagMillis, clock);
+    public static BoxListStandin start(int port, long delayMillis, Clock clock) throws IOException {
+        BoxListStandin list = new BoxListStandin(delayMillis, clock);
         list.server = StandinServer.start(
                 port,
                 reactor ->
@@ -35,13 +35,13 @@
         return list;
     }
 
-    private BoxListStandin(long lagMillis, Clock clock) {
-        this.lagMillis = lagMillis;
+    private BoxListStandin(long delayMillis, Clock clock) {
+        this.delayMillis = delayMillis;
         this.clock = clock;
     }
 
     /**
-     * Puts a box on the list as leaving.
+     * Marks a box as leaving.
      *
      * @param box its name, not null
      */
@@ -57,7 +57,7 @@
     private String render() {
         ArrayNode list = JSON.createArrayNode();
         leavingSinceMillis.forEach((box, since) -> {
-            if (clock.millis() - since >= lagMillis) {
+            if (clock.millis() - since >= delayMillis) {
                 list.addObject().put("name", box).put("state", "leaving");
             }
         });
--- a/standins/src/main/java/org/bankturn/standin/EngineStandin.java
+++ b/standins/src/main/java/org/bankturn/standin/EngineStandin.java
@@ -24,10 +24,10 @@
 import org.bankturn.lease.FenceGuard;
 
 /**
- * A model engine: loads weights on fenced orders, and answers chat requests token by token at a set pace.
+ * A stand-in for a model engine: loads weights on fenced orders and streams chat answers at a fixed rate.
  *
- * <p>Every answer names the SHA-256 of the weights that it was made with and the request's own id, so that a caller can
- * tell mixed weights and swapped answers. An engine that does not check fences carries out any order.
+ * <p>Every answer contains the SHA-256 of its weights and the id of the request, so that callers can detect mixed weights
+ * and swapped answers. If fence checks are off, the engine executes every order.
  */
 public final class EngineStandin implements AutoCloseable {
     private static final ObjectMapper JSON = new ObjectMapper();
@@ -43,12 +43,12 @@
     private StandinServer server;
 
     /**
-     * How the engine behaves.
+     * The behaviour of the engine.
      *
-     * @param checksFence true if it refuses orders with old fences
-     * @param firstTokenMillis time to the first token
-     * @param betweenTokensMillis time between tokens
-     * @param tokens tokens in an answer
+     * @param checksFence true to reject orders with stale fences
+     * @param firstTokenMillis the time to the first token
+     * @param betweenTokensMillis the time between tokens
+     * @param tokens the number of tokens of an answer
      */
     public record Settings(boolean checksFence, long firstTokenMillis, long betweenTokensMillis, int tokens) {
         /** A fast engine that checks fences. */
@@ -59,7 +59,7 @@
      * Starts an engine.
      *
      * @param port its port on loopback
-     * @param settings how it behaves, not null
+     * @param settings the behaviour, not null
      * @return the engine, not null
      * @throws IOException if the port is taken
      */
@@ -73,12 +73,12 @@
         this.settings = settings;
     }
 
-    /** Returns the number of answers begun. */
+    /** Returns the number of answers started. */
     public int startedAnswers() {
         return startedAnswers.get();
     }
 
-    /** Returns the SHA-256 of the weights loaded, by manifest, not null. */
+    /** Returns the SHA-256 of the loaded weights, by manifest digest, not null. */
     public Map<String, String> loaded() {
         return Map.copyOf(weightsByManifest);
     }
@@ -98,7 +98,7 @@
     }
 
     private interface Order {
-        Promise<Void> carryOut(JsonNode order);
+        Promise<Void> execute(JsonNode order);
     }
 
     private Promise<HttpResponse> order(HttpRequest request, Order order) {
@@ -110,7 +110,7 @@
                         .withBody("stale fence " + fence)
                         .toPromise();
             }
-            return order.carryOut(read).map(nothing -> ok(loadedAnswer(fence)));
+            return order.execute(read).map(nothing -> ok(loadedAnswer(fence)));
         });
     }
 
--- a/standins/src/main/java/org/bankturn/standin/OriginStandin.java
+++ b/standins/src/main/java/org/bankturn/standin/OriginStandin.java
@@ -17,9 +17,9 @@
 import org.bankturn.time.Clock;
 
 /**
- * The origin of weights: manifests and byte ranges over HTTP, through one link of limited rate.
+ * A stand-in for the weight origin: serves manifests and byte ranges over HTTP through a rate-limited link.
  *
- * <p>It counts the bytes that it sent of each version, and can be told to corrupt what it sends.
+ * <p>It counts the bytes sent of each version and can corrupt them.
  */
 public final class OriginStandin implements AutoCloseable {
     private static final Pattern RANGE = Pattern.compile("bytes=(\\d+)-(\\d+)");
@@ -51,7 +51,7 @@
     }
 
     /**
-     * Offers a version.
+     * Publishes a version.
      *
      * @param added its weights, not null
      */
@@ -61,19 +61,19 @@
     }
 
     /**
-     * Makes the origin send damaged bytes, or stop doing so.
+     * Switches the corruption of sent bytes on or off.
      *
-     * @param corrupting true to damage what it sends
+     * @param corrupting true to corrupt sent bytes
      */
     public void setCorrupting(boolean corrupting) {
         this.corrupting = corrupting;
     }
 
     /**
-     * Returns how much was drawn of a version.
+     * Returns the amount of data sent of a version.
      *
-     * @param manifest its manifest, not null
-     * @return the bytes of weights sent, in copies of the whole
+     * @param manifest the digest of its manifest, not null
+     * @return the bytes sent, as a multiple of the total size
      */
     public double copiesSent(String manifest) {
         return sentBytes.get(manifest).get()
--- a/standins/src/main/java/org/bankturn/standin/PlainServiceStandin.java
+++ b/standins/src/main/java/org/bankturn/standin/PlainServiceStandin.java
@@ -13,9 +13,9 @@
 import java.util.concurrent.ConcurrentHashMap;
 
 /**
- * A plain service, such as booking or signing envelopes, that counts how often each call ran.
+ * A stand-in for a plain service that counts the runs of each call.
  *
- * <p>The counts are shared between all copies of the service that were given the same map.
+ * <p>Instances that use the same map share their counts.
  */
 public final class PlainServiceStandin implements AutoCloseable {
     private static final ObjectMapper JSON = new ObjectMapper();
@@ -28,8 +28,8 @@
      * Starts a service.
      *
      * @param port its port on loopback
-     * @param workMillis how long a call takes
-     * @param runsById counts runs by the call's id; may be shared, not null
+     * @param workMillis the duration of a call
+     * @param runsById the run counts by call id; may be shared, not null
      * @return the service, not null
      * @throws IOException if the port is taken
      */
@@ -40,7 +40,7 @@
         return service;
     }
 
-    /** Returns a map for counts that may be shared, not null. */
+    /** Creates a map for run counts that can be shared, not null. */
     public static Map<String, Integer> newCounts() {
         return new ConcurrentHashMap<>();
     }
--- a/standins/src/main/java/org/bankturn/standin/StandinServer.java
+++ b/standins/src/main/java/org/bankturn/standin/StandinServer.java
@@ -9,7 +9,7 @@
 import java.net.InetSocketAddress;
 import java.util.function.Function;
 
-/** Runs a stand-in's servlet on its own port and thread. */
+/** An HTTP server that runs a servlet on its own port and event loop thread. */
 final class StandinServer implements AutoCloseable {
     private final Eventloop eventloop;
     private final HttpServer server;
@@ -19,7 +19,7 @@
         this.server = server;
     }
 
-    /** Starts to listen on loopback. */
+    /** Starts the server on the loopback interface. */
     static StandinServer start(int port, Function<Eventloop, AsyncServlet> servlet) throws IOException {
         Eventloop eventloop = Eventloop.builder().withThreadName("standin").build();
         HttpServer server = HttpServer.builder(eventloop, servlet.apply(eventloop))
--- a/standins/src/main/java/org/bankturn/standin/Weights.java
+++ b/standins/src/main/java/org/bankturn/standin/Weights.java
@@ -7,17 +7,17 @@
 import org.bankturn.distribution.Manifest;
 
 /**
- * Made-up weights, the same for the same seed.
+ * Pseudo-random weights, reproducible from a seed.
  *
  * @param bytes the weights, not null
  * @param manifest their manifest, not null
  */
 public record Weights(byte[] bytes, Manifest manifest) {
     /**
-     * Makes weights.
+     * Generates weights.
      *
-     * @param seed decides the content
-     * @param totalBytes their size
+     * @param seed the seed of the content
+     * @param totalBytes the size
      * @param chunkBytes the size of a chunk
      * @return the weights, not null
      */
@@ -33,7 +33,7 @@
         return new Weights(bytes, Manifest.of(totalBytes, chunkBytes, digests));
     }
 
-    /** Returns the SHA-256 of all the bytes, as an engine names what it loaded, not null. */
+    /** Returns the SHA-256 of all bytes, as engines report it, not null. */
     public String digest() {
         return Digest.of(bytes);
     }
--- a/standins/src/main/java/org/bankturn/standin/package-info.java
+++ b/standins/src/main/java/org/bankturn/standin/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Small stand-ins for what lies outside bankturn: model engine, weight origin, box list, plain service. Each speaks the
- * published HTTP protocol of what it stands for, and counts what a test wants to know.
+ * Stand-ins for the external systems of bankturn: model engine, weight origin, box list and plain service. Each
+ * implements the HTTP protocol of the real system and records what tests need to verify.
  */
 package org.bankturn.standin;
--- a/standins/src/test/java/org/bankturn/harness/ControlFailureTest.java
+++ b/standins/src/test/java/org/bankturn/harness/ControlFailureTest.java
@@ -11,7 +11,7 @@
 import java.util.concurrent.CompletableFuture;
 import org.junit.jupiter.api.Test;
 
-/** Failures of control boxes and of those who learn the configuration, with real processes. */
+/** Tests failures of control boxes and of configuration followers, with real processes. */
 class ControlFailureTest {
     @Test
     void a_box_that_lost_its_disk_is_admitted_and_a_second_may_be_lost_right_after() throws IOException {
@@ -33,7 +33,7 @@
         deployment.running.deleteData(box);
         daemon.start();
         daemon.awaitReady();
-        Await.until(box + " is a member in its new life", SmallDeployment.TIMEOUT_MILLIS, () -> {
+        Await.until(box + " is a member as a new incarnation", SmallDeployment.TIMEOUT_MILLIS, () -> {
             try {
                 JsonNode members = deployment.read("status", "one-entry").path("members");
                 return members.size() == 3 && !members.toString().contains("\"" + box + "#1\"");
@@ -106,9 +106,8 @@
     }
 
     /**
-     * A follower showed an accepted file up to 149 ms after its acceptance, on a machine with more busy processes than
-     * cores, and this test once read index 0 there right after it, then 2 ("expected: 0L but was: 2L"). What is shown is
-     * compared only once every process shows the file and has its version in service, after which nothing else changes it.
+     * Followers show an accepted file with a delay, so the configurations are compared only once every process shows the
+     * file and has its version in service.
      */
     @Test
     void a_bad_file_changes_nothing_and_a_resent_one_gets_the_same_answer() throws IOException {
@@ -124,7 +123,7 @@
         }
     }
 
-    /** Returns the whole of what each entry process shows. */
+    /** Returns the configuration that each entry process shows. */
     private static List<JsonNode> shownEverywhere(SmallDeployment deployment) throws IOException {
         List<JsonNode> shown = new ArrayList<>();
         for (DeploymentPlan.EntryBox entry : deployment.running.plan().entries()) {
--- a/standins/src/test/java/org/bankturn/harness/HallPartitionTest.java
+++ b/standins/src/test/java/org/bankturn/harness/HallPartitionTest.java
@@ -6,7 +6,7 @@
 import org.bankturn.result.ResultCode;
 import org.junit.jupiter.api.Test;
 
-/** A data hall cut off from the others in silence, with real processes and links. */
+/** Tests a data hall that is partitioned from the others, with real processes and relays. */
 class HallPartitionTest {
     private static final int ANSWERED = ResultCode.REQUEST_ANSWERED.number();
 
--- a/standins/src/test/java/org/bankturn/harness/PackagedProgramsTest.java
+++ b/standins/src/test/java/org/bankturn/harness/PackagedProgramsTest.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The programs as the build packages them, started as a new user would. */
+/** Runs the packaged jars from the command line. */
 @Timeout(120)
 class PackagedProgramsTest {
     private static final int EXIT_SETTINGS = 3;
@@ -27,7 +27,7 @@
     @Test
     void the_daemon_and_the_tool_explain_themselves() throws Exception {
         assertThat(run("daemon", "--help").output()).contains("bankturnd").contains("--settings");
-        Ended tool = run("cli", "help");
+        Result tool = run("cli", "help");
         assertThat(tool.status()).isZero();
         assertThat(tool.output()).contains("bankturn").contains("apply");
     }
@@ -35,9 +35,9 @@
     @Test
     void the_daemon_refuses_bad_settings_with_a_number_the_line_and_the_field() throws Exception {
         Path bad = Files.writeString(folder.resolve("bad.yaml"), "process: p\nroles: [nothing]\n");
-        Ended ended = run("daemon", "--settings", bad.toString());
-        assertThat(ended.status()).isEqualTo(EXIT_SETTINGS);
-        assertThat(ended.output()).containsPattern("10\\d\\d .*bad.yaml:\\d+:\\d+ ?\\S*: ");
+        Result result = run("daemon", "--settings", bad.toString());
+        assertThat(result.status()).isEqualTo(EXIT_SETTINGS);
+        assertThat(result.output()).containsPattern("10\\d\\d .*bad.yaml:\\d+:\\d+ ?\\S*: ");
     }
 
     @Test
@@ -73,12 +73,12 @@
         }
     }
 
-    private record Ended(int status, String output) {}
+    private record Result(int status, String output) {}
 
-    private static Ended run(String module, String... arguments) throws IOException, InterruptedException {
+    private static Result run(String module, String... arguments) throws IOException, InterruptedException {
         Process process = start(module, arguments);
         String output = new String(process.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
-        return new Ended(process.waitFor(), output);
+        return new Result(process.waitFor(), output);
     }
 
     private static Process start(String module, String... arguments) throws IOException {
--- a/standins/src/test/java/org/bankturn/harness/RequestFailureTest.java
+++ b/standins/src/test/java/org/bankturn/harness/RequestFailureTest.java
@@ -12,11 +12,11 @@
 import org.bankturn.result.ResultCode;
 import org.junit.jupiter.api.Test;
 
-/** Failures around requests, with real processes. */
+/** Tests failures during requests, with real processes. */
 class RequestFailureTest {
     private static final int ANSWERED = ResultCode.REQUEST_ANSWERED.number();
 
-    /** Runs calls at once, on threads of their own. */
+    /** Runs concurrent calls, each on its own thread. */
     private static List<CompletableFuture<Integer>> chatAtOnce(SmallDeployment deployment, String entry, int calls) {
         ExecutorService threads = Executors.newFixedThreadPool(calls);
         List<CompletableFuture<Integer>> results = new ArrayList<>();
--- a/standins/src/test/java/org/bankturn/harness/SmallDeployment.java
+++ b/standins/src/test/java/org/bankturn/harness/SmallDeployment.java
@@ -15,7 +15,7 @@
 import org.bankturn.standin.EngineStandin;
 import org.bankturn.standin.Weights;
 
-/** A small deployment for one test, with what tests ask of it. */
+/** A small deployment for a single test, with helper methods. */
 final class SmallDeployment implements AutoCloseable {
     static final long TIMEOUT_MILLIS = 60_000;
     static final EngineStandin.Settings ENGINE = new EngineStandin.Settings(true, 10, 60, 20);
@@ -41,7 +41,7 @@
         return deployment;
     }
 
-    /** Starts with the first version in service at every entry process. */
+    /** Starts a deployment and waits until the first version is in service at every entry process. */
     static SmallDeployment startServing() throws IOException {
         SmallDeployment deployment = start(ENGINE);
         deployment.apply(1, "v1");
@@ -62,7 +62,7 @@
         return BankturnTool.run(arguments);
     }
 
-    /** Runs a read command of the tool through one process and parses what it printed. */
+    /** Runs a read command of the tool against one process and parses its output. */
     JsonNode read(String command, String process) throws IOException {
         PrintStream before = System.out;
         ByteArrayOutputStream printed = new ByteArrayOutputStream();
@@ -103,7 +103,7 @@
         });
     }
 
-    /** Waits until a process shows an operators' file; an accepted one is shown there a little later than it is accepted. */
+    /** Waits until a process shows an operator file; followers show accepted files with a delay. */
     void awaitFile(String process, long number) {
         Await.until("file " + number + " shown by " + process, TIMEOUT_MILLIS, () -> {
             try {
--- a/standins/src/test/java/org/bankturn/harness/WeightsFailureTest.java
+++ b/standins/src/test/java/org/bankturn/harness/WeightsFailureTest.java
@@ -8,7 +8,7 @@
 import org.bankturn.standin.EngineStandin;
 import org.junit.jupiter.api.Test;
 
-/** Failures around moving weights, with real processes. */
+/** Tests failures during the distribution of weights, with real processes. */
 class WeightsFailureTest {
     private static Collection<String> loadedBy(SmallDeployment deployment, String box) {
         return deployment.running.engine(box).loaded().values();
@@ -64,8 +64,8 @@
 
     @Test
     void target_processes_killed_during_the_copy_start_again_and_finish_it() throws IOException {
-        EngineStandin.Settings unchecking = new EngineStandin.Settings(false, 10, 5, 20);
-        try (SmallDeployment deployment = SmallDeployment.start(unchecking)) {
+        EngineStandin.Settings withoutFenceCheck = new EngineStandin.Settings(false, 10, 5, 20);
+        try (SmallDeployment deployment = SmallDeployment.start(withoutFenceCheck)) {
             deployment.apply(1, "v1");
             for (String box : new String[] {"one-assistant", "three-assistant"}) {
                 DaemonHandle target = deployment.running.daemon(box);
--- a/standins/src/test/java/org/bankturn/replay/LoadReplayTest.java
+++ b/standins/src/test/java/org/bankturn/replay/LoadReplayTest.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Replays the load patterns of examples/load, which give the same result on every machine. */
+/** Replays the load patterns of examples/load, deterministically and regardless of the load on the machine. */
 class LoadReplayTest {
     private static final Path FOLDER = Path.of("../examples/load");
     private static final long SEED = 1;
