--- a/daemon/src/test/java/org/bankturn/daemon/gateway/CallerDisconnectTest.java
+++ b/daemon/src/test/java/org/bankturn/daemon/gateway/CallerDisconnectTest.java
@@ -1,5 +1,7 @@
 package org.bankturn.daemon.gateway;
 
+import static org.assertj.core.api.Assertions.assertThat;
+
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.ServerSocket;
@@ -15,7 +17,6 @@
 import org.bankturn.service.RequestKind;
 import org.bankturn.service.Service;
 import org.junit.jupiter.api.Test;
-import static org.assertj.core.api.Assertions.assertThat;
 
 /**
  * Requests whose caller disconnects at any stage must not reach a further target, and the target that runs such a
--- a/daemon/src/test/java/org/bankturn/daemon/gateway/CrashingRequestTest.java
+++ b/daemon/src/test/java/org/bankturn/daemon/gateway/CrashingRequestTest.java
@@ -1,10 +1,11 @@
 package org.bankturn.daemon.gateway;
 
+import static org.assertj.core.api.Assertions.assertThat;
+
 import java.io.IOException;
 import java.util.concurrent.atomic.AtomicInteger;
 import org.bankturn.service.RequestKind;
 import org.junit.jupiter.api.Test;
-import static org.assertj.core.api.Assertions.assertThat;
 
 /**
  * Guards against a repeated request, sent under new ids with the same path, account and body, that crashes every target
--- a/daemon/src/test/java/org/bankturn/daemon/gateway/GatewayFixture.java
+++ b/daemon/src/test/java/org/bankturn/daemon/gateway/GatewayFixture.java
@@ -1,5 +1,7 @@
 package org.bankturn.daemon.gateway;
 
+import static org.assertj.core.api.Assertions.assertThat;
+
 import io.activej.eventloop.Eventloop;
 import io.activej.promise.Promise;
 import java.io.BufferedInputStream;
@@ -39,7 +41,6 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Timeout;
-import static org.assertj.core.api.Assertions.assertThat;
 
 /** Base of tests that run a gateway on loopback in front of scripted targets. */
 @Timeout(30)
--- a/daemon/src/test/java/org/bankturn/daemon/gateway/GatewayStateTest.java
+++ b/daemon/src/test/java/org/bankturn/daemon/gateway/GatewayStateTest.java
@@ -1,5 +1,7 @@
 package org.bankturn.daemon.gateway;
 
+import static org.assertj.core.api.Assertions.assertThat;
+
 import java.net.Socket;
 import java.util.List;
 import java.util.Map;
@@ -12,7 +14,6 @@
 import org.bankturn.service.ServingConfiguration;
 import org.bankturn.service.WeightsLayout;
 import org.junit.jupiter.api.Test;
-import static org.assertj.core.api.Assertions.assertThat;
 
 /** Tests behaviour that depends on the configuration, on weights versions and on graceful shutdown. */
 class GatewayStateTest extends GatewayFixture {
