--- a/daemon/src/main/java/org/bankturn/daemon/group/GroupNode.java
+++ b/daemon/src/main/java/org/bankturn/daemon/group/GroupNode.java
@@ -166,8 +166,7 @@
     private MemberState.Recovered openFolder() throws IOException {
         FileSystemDirectory device = FileSystemDirectory.open(Path.of(settings.dataFolder()));
         Optional<Long> storedIncarnation = RaftStorage.readIncarnation(device);
-        RaftStorage storage =
-                storedIncarnation.isPresent() ? RaftStorage.recover(device) : initializeFolder(device);
+        RaftStorage storage = storedIncarnation.isPresent() ? RaftStorage.recover(device) : initializeFolder(device);
         long incarnation = RaftStorage.readIncarnation(device).orElseThrow();
         RaftNode agreement = RaftNode.recover(
                 member(settings.nodeAddress(), incarnation),
