--- a/daemon/src/main/java/org/bankturn/daemon/group/ControlCall.java
+++ b/daemon/src/main/java/org/bankturn/daemon/group/ControlCall.java
@@ -18,8 +18,8 @@
     record Heartbeat(TargetSighting sighting) implements ControlCall {}
 
     /**
-     * Removes, at its own request, the incarnation of a target that started at {@code bornMillis}, or the registered one
-     * if that is 0.
+     * Removes, at its own request, the incarnation of a target that started at {@code bornMillis}, or the registered
+     * one if that is 0.
      */
     record Leave(String name, long bornMillis) implements ControlCall {}
 
