--- a/core/src/main/java/org/bankturn/routing/RequestPolicy.java
+++ b/core/src/main/java/org/bankturn/routing/RequestPolicy.java
@@ -236,7 +236,7 @@
 
     /** Returns another target for a request that failed, empty if the failure is returned to the caller. */
     public Optional<NextStep.Send> retryAfterFailure(RequestProgress request) {
-        boolean repeatable = request.route().kind().mayRepeat();
+        boolean repeatable = request.route().kind().isRetryable();
         if (!repeatable
                 || !canRetryElsewhere(request)
                 || !retryBudget(request.service()).tryRetry()) {
--- a/core/src/main/java/org/bankturn/routing/RetryAfter.java
+++ b/core/src/main/java/org/bankturn/routing/RetryAfter.java
@@ -44,6 +44,6 @@
     /** Returns the jittered delay until running requests at full engines have ended. */
     public static long forBusyEngines(EngineModel engine, UniformRandomProvider random) {
         double share = MIN_ANSWER_SHARE + JITTER_SHARE * random.nextDouble();
-        return Math.max(OTHER_GATEWAY_MILLIS, Math.round(engine.usualAnswerMillis() * share));
+        return Math.max(OTHER_GATEWAY_MILLIS, Math.round(engine.meanAnswerMillis() * share));
     }
 }
--- a/core/src/test/java/org/bankturn/result/ResultCodeTest.java
+++ b/core/src/test/java/org/bankturn/result/ResultCodeTest.java
@@ -13,10 +13,10 @@
     private static final Path TABLE = Path.of("..", "docs", "RESULT-CODES.md");
 
     @Test
-    void the_table_in_the_docs_is_that_of_the_code() throws IOException {
+    void documentation_table_matches_the_enum() throws IOException {
         String expected = Arrays.stream(ResultCode.values())
                 .map(code -> "| " + code.number() + " | " + code.name() + " | " + code.httpStatus() + " | "
-                        + (code.saysNotRun() ? "yes" : "") + " | " + code.description() + " |")
+                        + (code.isNotRun() ? "yes" : "") + " | " + code.description() + " |")
                 .collect(Collectors.joining("\n"));
         assertThat(Files.readString(TABLE)).contains(expected);
     }
--- a/daemon/src/main/java/org/bankturn/daemon/gateway/Attempt.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/Attempt.java
@@ -4,11 +4,11 @@
 import java.io.ByteArrayOutputStream;
 import java.util.Optional;
 import org.bankturn.daemon.gateway.EventSplitter.Event;
-import org.bankturn.daemon.http.AnswerListener;
-import org.bankturn.daemon.http.HopFailure;
 import org.bankturn.daemon.http.HttpHead;
+import org.bankturn.daemon.http.ResponseListener;
 import org.bankturn.daemon.http.ServerExchange;
 import org.bankturn.daemon.http.TargetConnection;
+import org.bankturn.daemon.http.TransportFailure;
 import org.bankturn.daemon.observe.DecisionField;
 import org.bankturn.daemon.observe.DecisionKind;
 import org.bankturn.daemon.observe.DecisionLine;
@@ -25,7 +25,7 @@
  *
  * <p>Attempt is confined to its reactor's thread.
  */
-final class Attempt implements AnswerListener {
+final class Attempt implements ResponseListener {
     private static final long CONNECT_TIMEOUT_MILLIS = 400;
 
     /** Idle limit for non-repeatable requests; a connection idle for longer may have been dropped silently. */
@@ -67,7 +67,7 @@
 
     void start() {
         target.requestStarted(metadata.promptTokens(), startedMillis);
-        long maxIdleMillis = route.kind().mayRepeat() ? Long.MAX_VALUE : MAX_IDLE_NOT_REPEATABLE_MILLIS;
+        long maxIdleMillis = route.kind().isRetryable() ? Long.MAX_VALUE : MAX_IDLE_NOT_REPEATABLE_MILLIS;
         TargetConnection idleConnection = gateway.connections().acquire(targetId(), now(), maxIdleMillis);
         Promise<TargetConnection> connected = idleConnection != null
                 ? Promise.of(idleConnection)
@@ -88,7 +88,7 @@
         }
         gateway.crashDetector().onConnectResult(target.sighting(), failure);
         if (failure != null) {
-            onFailure(HopFailure.NOT_CONNECTED);
+            onFailure(TransportFailure.NOT_CONNECTED);
             return;
         }
         if (isHeldBack(opened)) {
@@ -161,11 +161,11 @@
 
     private void applyNotice(ResponseMetadata parsed) {
         for (String field : parsed.unreadableFields()) {
-            gateway.metrics().targetNoticed(ServingMetrics.NOTICE_UNREADABLE);
+            gateway.metrics().targetNoticeChanged(ServingMetrics.NOTICE_UNREADABLE);
             noticeLine("unreadable").with(DecisionField.ERROR, field).write();
         }
         for (NoticeChange change : target.applyNotice(parsed.notice(), parsed.isSuccess(), sentMillis, now())) {
-            gateway.metrics().targetNoticed(change.label());
+            gateway.metrics().targetNoticeChanged(change.label());
             noticeLine(change.label())
                     .with(DecisionField.PER_SECOND, target.rateLimit().perSecond())
                     .with(DecisionField.BACK_OFF_MS, parsed.notice().backOffMillis())
@@ -186,7 +186,7 @@
     }
 
     @Override
-    public void onPart(byte[] bytes) {
+    public void onBodyPart(byte[] bytes) {
         stallDetector.onData();
         if (!isStreamed()) {
             content.writeBytes(bytes);
@@ -206,10 +206,10 @@
             return;
         }
         recordFirstEvent();
-        if (!exchange.hasBegun()) {
-            exchange.beginParts(responseHead.withoutConnectionFields());
+        if (!exchange.hasStartedResponse()) {
+            exchange.startChunkedResponse(responseHead.withoutConnectionFields());
         }
-        exchange.part(event.bytes());
+        exchange.writeChunk(event.bytes());
         request.recordEvent(event.id());
     }
 
@@ -239,13 +239,13 @@
     }
 
     @Override
-    public void onEnd() {
+    public void onComplete() {
         if (finished) {
             return;
         }
         boolean endsWithinEvent = isStreamed() && events.remainder().length > 0;
         if (endsWithinEvent) {
-            onFailure(HopFailure.CLOSED);
+            onFailure(TransportFailure.CLOSED);
             return;
         }
         finish(true);
@@ -300,30 +300,30 @@
 
     /** Forwards the response unchanged; gives up if part of a stream was already forwarded. */
     void forwardResponse() {
-        if (exchange.hasBegun()) {
+        if (exchange.hasStartedResponse()) {
             request.giveUp("resumed stream failed with status " + response.status());
         } else {
-            exchange.answer(responseHead.withoutConnectionFields(), content.toByteArray());
+            exchange.respond(responseHead.withoutConnectionFields(), content.toByteArray());
             request.onAnswered(response.status());
         }
     }
 
     private void endStream() {
-        if (!exchange.hasBegun()) {
-            exchange.beginParts(responseHead.withoutConnectionFields());
+        if (!exchange.hasStartedResponse()) {
+            exchange.startChunkedResponse(responseHead.withoutConnectionFields());
         }
-        exchange.endParts();
+        exchange.endChunkedResponse();
         request.onAnswered(response.status());
     }
 
     @Override
-    public void onFailure(HopFailure failure) {
+    public void onFailure(TransportFailure failure) {
         if (finished) {
             return;
         }
         finish(false);
         targetFailed(failure.name());
-        if (failure.isSurelyNotSent()) {
+        if (failure.isDefinitelyUnsent()) {
             request.onConnectFailure();
             return;
         }
--- a/daemon/src/main/java/org/bankturn/daemon/gateway/ForwardedRequest.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/ForwardedRequest.java
@@ -52,7 +52,7 @@
                 : route.timeoutMillis();
         this.endMillis = exchange.receivedMillis() + timeoutMillis;
         Service service =
-                gateway.service(route.serviceFor(metadata.id().hashCode())).orElseThrow();
+                gateway.service(route.selectService(metadata.id().hashCode())).orElseThrow();
         this.progress = RequestProgress.of(route, service, metadata.promptTokens(), endMillis);
     }
 
@@ -72,7 +72,7 @@
         if (granted) {
             startForwarding();
         } else {
-            gateway.metrics().suspected(ServingMetrics.SUSPECT_REFUSED);
+            gateway.metrics().suspectEvent(ServingMetrics.SUSPECT_REFUSED);
             refuseCondemned();
         }
     }
@@ -80,7 +80,7 @@
     private void startForwarding() {
         gateway.requestStarted(this);
         gateway.policy().requestArrived(progress);
-        exchange.whenGone(this::onCallerDisconnected);
+        exchange.onClientDisconnect(this::onCallerDisconnected);
         gateway.reactor().delayBackground(Math.max(1, endMillis - now()), this::onTimeout);
         sendToNext();
     }
@@ -130,7 +130,7 @@
     private void retryOrGiveUp(TargetSighting target, String reason) {
         if (trial || gateway.crashDetector().isCondemned(this)) {
             stopCondemned();
-        } else if (route.kind().mayRepeat()) {
+        } else if (route.kind().isRetryable()) {
             retry(reason);
         } else {
             giveUp(reason + " from " + target.id());
@@ -156,8 +156,8 @@
         if (exchange.isFinished()) {
             return;
         }
-        gateway.metrics().suspected(ServingMetrics.SUSPECT_STOPPED);
-        if (exchange.hasBegun() || progress.mayHaveRun()) {
+        gateway.metrics().suspectEvent(ServingMetrics.SUSPECT_STOPPED);
+        if (exchange.hasStartedResponse() || progress.mayHaveRun()) {
             giveUp(condemnedReason());
         } else {
             cancelAttempt();
@@ -168,7 +168,7 @@
     /** Refuses the request with a long retry delay. */
     private void refuseCondemned() {
         recordOutcome(RequestOutcome.REFUSED, TOO_MANY_REQUESTS, condemnedReason());
-        exchange.answer(
+        exchange.respond(
                 gateway.dialect().buildResponse(TOO_MANY_REQUESTS, metadata, RetryAfter.CONDEMNED_MILLIS), EMPTY_BODY);
     }
 
@@ -186,7 +186,7 @@
         if (exchange.isFinished()) {
             return;
         }
-        if (exchange.hasBegun()) {
+        if (exchange.hasStartedResponse()) {
             recordOutcome(RequestOutcome.FAILED, 0, reason);
             exchange.abort();
             return;
@@ -195,7 +195,7 @@
         boolean timeUp = gateway.policy().isDeadlineReached(progress);
         int status = !mayHaveRun ? 503 : timeUp ? 504 : 502;
         recordOutcome(mayHaveRun ? RequestOutcome.FAILED : RequestOutcome.REFUSED, status, reason);
-        exchange.answer(
+        exchange.respond(
                 gateway.dialect().buildResponse(status, metadata, mayHaveRun ? 0 : retryAfterMillis), EMPTY_BODY);
     }
 
@@ -334,7 +334,7 @@
 
     /** Handles a target that stopped accepting requests before this one was sent. */
     void onHeldBack(TargetSighting target, HoldReason reason) {
-        gateway.metrics().heldBack(reason.label());
+        gateway.metrics().requestHeldBack(reason.label());
         progress.targetHeldBack(target.id());
         sendToNext();
     }
@@ -351,8 +351,9 @@
 
     /** Handles a 5xx response: retries at another target if allowed, otherwise forwards the response. */
     void onFailureResponse(Attempt failed) {
-        Optional<NextStep.Send> alternative =
-                exchange.hasBegun() ? Optional.empty() : gateway.policy().retryAfterFailure(progress);
+        Optional<NextStep.Send> alternative = exchange.hasStartedResponse()
+                ? Optional.empty()
+                : gateway.policy().retryAfterFailure(progress);
         if (alternative.isEmpty()) {
             failed.forwardResponse();
             return;
--- a/daemon/src/main/java/org/bankturn/daemon/gateway/Gateway.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/Gateway.java
@@ -121,7 +121,7 @@
         this.log = log;
         this.metrics = metrics;
         this.startedMillis = clock.millis();
-        this.connectionTrust = clients.trust();
+        this.connectionTrust = clients.reusePolicy();
         this.connections = new TargetConnectionPool(connectionTrust);
         UniformRandomProvider random = RandomSource.XO_RO_SHI_RO_128_PP.create();
         this.targets = TargetTable.of(clock, settings.dataHall(), PlacementSettings.DEFAULT, random);
@@ -129,7 +129,7 @@
         this.loadPoller = LoadPoller.of(reactor, clock, clients, targets, settings, metrics);
         this.permits =
                 PermitExchange.of(settings.nodeAddress(), reactor, clock, clients, targets, random, log, metrics);
-        metrics.tellHeldBack(targets::heldBackCounts);
+        metrics.registerHeldBackGauge(targets::heldBackCounts);
         this.crashDetector = CrashDetector.of(
                 settings.process(), reactor, clock, log, metrics, connections, controlGroup, this::stopCondemned);
         this.callers = HttpListener.create(
@@ -215,13 +215,13 @@
         boolean removedFromRotation = ShutdownSchedule.isTrafficDrained(waited);
         if (removedFromRotation) {
             outOfRotation = true;
-            callers.closeResting();
+            callers.closeIdle();
         }
-        boolean done = removedFromRotation && callers.underWay() == 0;
+        boolean done = removedFromRotation && callers.activeRequests() == 0;
         if (done || ShutdownSchedule.mustExit(waited, settings.stopTimeoutMillis())) {
             log.line(DecisionKind.STOP)
                     .with(DecisionField.WAITED_MS, waited)
-                    .with(DecisionField.UNDER_WAY, callers.underWay())
+                    .with(DecisionField.UNDER_WAY, callers.activeRequests())
                     .write();
             callers.close();
             readiness.close();
@@ -243,11 +243,11 @@
 
     private void answerReadiness(ServerExchange exchange) {
         boolean ready = !stopping && published.configuration() != null;
-        exchange.answer(HttpHead.answer(ready ? 200 : 503, List.of()), EMPTY_BODY);
+        exchange.respond(HttpHead.response(ready ? 200 : 503, List.of()), EMPTY_BODY);
     }
 
     /** Handles a permit request from another gateway; returns the reply, not null. */
-    public NodeReply handlePermitRequest(NodeRequest.AskPermit request) {
+    public NodeReply handlePermitRequest(NodeRequest.RequestPermit request) {
         return permits.handleRequest(request);
     }
 
@@ -266,16 +266,16 @@
             return;
         }
         Account account = null;
-        if (configuration.hasAccounts() && !route.get().open()) {
+        if (configuration.hasAccounts() && !route.get().allowsAnonymous()) {
             account = metadata.apiKey() == null
                     ? null
-                    : configuration.accountOf(metadata.apiKey()).orElse(null);
+                    : configuration.accountForKey(metadata.apiKey()).orElse(null);
             if (account == null) {
                 deny(exchange, metadata, 401, "unknown key");
                 return;
             }
         } else if (metadata.apiKey() != null) {
-            account = configuration.accountOf(metadata.apiKey()).orElse(null);
+            account = configuration.accountForKey(metadata.apiKey()).orElse(null);
         }
         new ForwardedRequest(this, exchange, metadata, route.get(), account).start();
     }
@@ -299,7 +299,7 @@
                 .write();
         RequestOutcome outcome = status == 503 ? RequestOutcome.REFUSED : RequestOutcome.DENIED;
         metrics.requestEnded(NO_SERVICE, outcome, clock.millis() - exchange.receivedMillis());
-        exchange.answer(dialect.buildResponse(status, metadata, status == 503 ? retryAfterMillis : 0), EMPTY_BODY);
+        exchange.respond(dialect.buildResponse(status, metadata, status == 503 ? retryAfterMillis : 0), EMPTY_BODY);
     }
 
     // ---- used by forwarded requests
--- a/daemon/src/main/java/org/bankturn/daemon/gateway/PermitExchange.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/PermitExchange.java
@@ -127,7 +127,7 @@
     }
 
     private void recordUnanswered(TargetState target, Exception failure) {
-        metrics.permitAsked(ServingMetrics.PERMIT_UNANSWERED);
+        metrics.permitRequested(ServingMetrics.PERMIT_UNANSWERED);
         log.line(DecisionKind.NOTICE)
                 .with(DecisionField.EVENT, "permits_unanswered")
                 .with(DecisionField.TARGET, target.sighting().id())
@@ -141,7 +141,8 @@
         askCoordinator(target, true).whenComplete((answer, failure) -> {
             if (failure == null) {
                 applyAnswer(target, answer, askedMillis);
-                metrics.permitAsked(answer.granted() ? ServingMetrics.PERMIT_GRANTED : ServingMetrics.PERMIT_REFUSED);
+                metrics.permitRequested(
+                        answer.granted() ? ServingMetrics.PERMIT_GRANTED : ServingMetrics.PERMIT_REFUSED);
             } else {
                 target.permitUnanswered(clock.millis());
                 recordUnanswered(target, failure);
@@ -165,7 +166,7 @@
             return;
         }
         NoticeChange change = after.inForce() ? NoticeChange.LIMIT_CHANGED : NoticeChange.LIMIT_ENDED;
-        metrics.targetNoticed(change.label());
+        metrics.targetNoticeChanged(change.label());
         log.line(DecisionKind.NOTICE)
                 .with(DecisionField.EVENT, change.label())
                 .with(DecisionField.TARGET, target.sighting().id())
@@ -184,7 +185,7 @@
         if (coordinatorAddress.get().equals(selfAddress)) {
             return Promise.of(coordinator.ask(id, selfAddress, limit, wantsPermit));
         }
-        NodeRequest.AskPermit request = new NodeRequest.AskPermit(
+        NodeRequest.RequestPermit request = new NodeRequest.RequestPermit(
                 id, selfAddress, limit.inForce(), limit.perSecond(), clock.millis() - limit.asOfMillis(), wantsPermit);
         return clients.ask(Address.parse(coordinatorAddress.get()), request, RESPONSE_TIMEOUT_MILLIS)
                 .then(reply -> reply instanceof NodeReply.Permit permit
@@ -199,7 +200,7 @@
     }
 
     /** Handles a permit request from another gateway. */
-    NodeReply handleRequest(NodeRequest.AskPermit request) {
+    NodeReply handleRequest(NodeRequest.RequestPermit request) {
         RateLimit reported = toRateLimit(request.limited(), request.perSecond(), request.ageMillis());
         PermitCoordinator.Answer answer =
                 coordinator.ask(request.target(), request.gateway(), reported, request.wants());
--- a/daemon/src/main/java/org/bankturn/daemon/gateway/StallDetector.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/StallDetector.java
@@ -108,7 +108,7 @@
             return;
         }
         recordStall();
-        if (!request.route().kind().mayRepeat()) {
+        if (!request.route().kind().isRetryable()) {
             return;
         }
         if (request.hasAlternativeTarget()) {
@@ -124,20 +124,20 @@
         }
         stallRecorded = true;
         TargetState target = choice.target();
-        boolean connectionWorked = connection.hasCarried() || dataReceived;
+        boolean connectionWorked = connection.hasReceivedResponse() || dataReceived;
         boolean targetResponsive = target.hasRecentActivity(now(), lastDataMillis);
         blamesTarget = !connectionWorked || targetResponsive;
         if (!blamesTarget) {
             gateway.connectionTrust().timedOut(now() - silentMillis() / 2);
         }
-        gateway.metrics().connectionSilent(ServingMetrics.PEER_TARGET);
+        gateway.metrics().silentConnectionClosed(ServingMetrics.PEER_TARGET);
         gateway.log()
                 .line(DecisionKind.LOST)
                 .with(DecisionField.DEPENDENCY, "connection")
                 .with(DecisionField.TARGET, targetId())
                 .with(DecisionField.REQUEST, request.metadata().id())
-                .with(DecisionField.KEPT, connection.hasCarried())
-                .with(DecisionField.SILENT_MS, now() - connection.heardMillis())
+                .with(DecisionField.KEPT, connection.hasReceivedResponse())
+                .with(DecisionField.SILENT_MS, now() - connection.lastReadMillis())
                 .write();
     }
 
--- a/daemon/src/main/java/org/bankturn/daemon/group/GroupMember.java
+++ b/daemon/src/main/java/org/bankturn/daemon/group/GroupMember.java
@@ -15,8 +15,8 @@
 import org.bankturn.agreement.Role;
 import org.bankturn.codec.MessagePackCodec;
 import org.bankturn.daemon.member.MemberLoop;
-import org.bankturn.daemon.member.MemberState;
-import org.bankturn.daemon.member.MemberTiming;
+import org.bankturn.daemon.member.MemberLoopSettings;
+import org.bankturn.daemon.member.ReplicatedStateMachine;
 import org.bankturn.daemon.observe.DecisionField;
 import org.bankturn.daemon.observe.DecisionKind;
 import org.bankturn.daemon.observe.DecisionLog;
@@ -35,7 +35,7 @@
     private static final long SUBMISSION_MILLIS = 3_000;
 
     /** The step is a quarter of a heartbeat; a snapshot is taken every 512 entries. */
-    private static final MemberTiming TIMING = new MemberTiming(25, SUBMISSION_MILLIS, 400, true, 512);
+    private static final MemberLoopSettings TIMING = new MemberLoopSettings(25, SUBMISSION_MILLIS, 400, true, 512);
 
     private final Wiring wiring;
     private final MemberLoop<Outcome> loop;
@@ -56,7 +56,7 @@
     @FunctionalInterface
     public interface Recovery {
         /** Returns the recovered member; throws if the folder cannot be read or initialized. */
-        MemberState.Recovered recover() throws IOException;
+        ReplicatedStateMachine.Recovered recover() throws IOException;
     }
 
     /**
@@ -110,7 +110,7 @@
     }
 
     private void propose(PublicationCommand command, CompletableFuture<Outcome> result) {
-        RaftNode agreement = loop.agreement();
+        RaftNode agreement = loop.raftNode();
         boolean proposed = agreement != null
                 && agreement.isEstablishedLeader()
                 && loop.propose(MessagePackCodec.instance().encode(command), result);
@@ -130,11 +130,11 @@
     }
 
     /** The replicated state machine that the member loop drives. */
-    private final class PublicationStateMachine implements MemberState<Outcome> {
+    private final class PublicationStateMachine implements ReplicatedStateMachine<Outcome> {
         @Override
         public Recovered recover() throws IOException {
             Recovered recovered = wiring.recovery().recover();
-            RaftNode agreement = recovered.agreement();
+            RaftNode agreement = recovered.raftNode();
             wiring.log()
                     .line(DecisionKind.GROUP)
                     .with(DecisionField.EVENT, "recovered")
@@ -166,12 +166,12 @@
         }
 
         @Override
-        public void advanced() {
+        public void stateChanged() {
             wiring.applied().accept(state);
         }
 
         @Override
-        public Outcome unknown(RaftNode agreement) {
+        public Outcome unknownOutcome(RaftNode agreement) {
             return Outcome.UNKNOWN;
         }
 
--- a/daemon/src/main/java/org/bankturn/daemon/group/GroupNode.java
+++ b/daemon/src/main/java/org/bankturn/daemon/group/GroupNode.java
@@ -15,17 +15,17 @@
 import org.bankturn.agreement.RaftNode;
 import org.bankturn.agreement.RaftSettings;
 import org.bankturn.agreement.Snapshot;
-import org.bankturn.codec.Deflated;
+import org.bankturn.codec.DeflateCodec;
 import org.bankturn.daemon.group.GroupMember.Outcome;
 import org.bankturn.daemon.http.HttpListener;
 import org.bankturn.daemon.http.ServerExchange;
 import org.bankturn.daemon.http.ServerLimits;
-import org.bankturn.daemon.member.MemberState;
+import org.bankturn.daemon.member.ReplicatedStateMachine;
 import org.bankturn.daemon.observe.DecisionField;
 import org.bankturn.daemon.observe.DecisionKind;
 import org.bankturn.daemon.observe.DecisionLog;
 import org.bankturn.daemon.observe.ServingMetrics;
-import org.bankturn.daemon.observe.SilentConnections;
+import org.bankturn.daemon.observe.SilentConnectionReporter;
 import org.bankturn.daemon.settings.Address;
 import org.bankturn.daemon.wire.NodeClients;
 import org.bankturn.daemon.wire.NodeReply;
@@ -118,7 +118,7 @@
         this.log = log;
         this.metrics = metrics;
         this.watchers = new Watchers(reactor);
-        this.clients = NodeClients.on(reactor, clock, SilentConnections.of(log, metrics));
+        this.clients = NodeClients.on(reactor, clock, SilentConnectionReporter.of(log, metrics));
         this.nodeServer = NodeServer.create(reactor, settings.listenAddress(), this::answer);
         this.listener = HttpListener.create(
                 reactor, clock, settings.callAddress().toSocketAddress(), () -> ServerLimits.CONTROL, this::handle);
@@ -127,7 +127,8 @@
         this.member = GroupMember.of(
                 new GroupMember.Wiring(
                         this::openFolder,
-                        (to, message) -> clients.tell(Address.parse(to.address()), new NodeRequest.Agree(message)),
+                        (to, message) ->
+                                clients.tell(Address.parse(to.address()), new NodeRequest.DeliverRaftMessage(message)),
                         this::contacts,
                         this::applied,
                         contactMonitor::observe,
@@ -163,11 +164,10 @@
 
     // ---- member recovery and group formation
 
-    private MemberState.Recovered openFolder() throws IOException {
+    private ReplicatedStateMachine.Recovered openFolder() throws IOException {
         FileSystemDirectory device = FileSystemDirectory.open(Path.of(settings.dataFolder()));
         Optional<Long> storedIncarnation = RaftStorage.readIncarnation(device);
-        RaftStorage storage =
-                storedIncarnation.isPresent() ? RaftStorage.recover(device) : initializeFolder(device);
+        RaftStorage storage = storedIncarnation.isPresent() ? RaftStorage.recover(device) : initializeFolder(device);
         long incarnation = RaftStorage.readIncarnation(device).orElseThrow();
         RaftNode agreement = RaftNode.recover(
                 member(settings.nodeAddress(), incarnation),
@@ -176,7 +176,7 @@
                 clock,
                 RandomSource.XO_RO_SHI_RO_128_PP.create(),
                 joining -> true);
-        return new MemberState.Recovered(agreement, storage);
+        return new ReplicatedStateMachine.Recovered(agreement, storage);
     }
 
     /** Initializes an empty folder, with the seeds as members of a new group or without members to join a group. */
@@ -214,7 +214,7 @@
     }
 
     private void replaceSilentConnections(long heardMillis) {
-        reactor.execute(() -> clients.trust().timedOut(heardMillis));
+        reactor.execute(() -> clients.reusePolicy().timedOut(heardMillis));
     }
 
     // ---- requests of operators and targets
@@ -226,13 +226,13 @@
             ControlAnswer sent =
                     failure == null ? answer : new ControlAnswer.Unavailable(String.valueOf(failure.getMessage()));
             record(call, sent, clock.millis() - exchange.receivedMillis());
-            exchange.answer(dialect.head(sent), dialect.body(sent));
+            exchange.respond(dialect.head(sent), dialect.body(sent));
         });
     }
 
     private void record(ControlCall call, ControlAnswer answer, long tookMillis) {
         String name = call.getClass().getSimpleName();
-        metrics.leads(member.view().leads());
+        metrics.setLeader(member.view().leads());
         metrics.controlCall(name, answer.getClass().getSimpleName(), tookMillis);
         boolean unlogged = answer instanceof ControlAnswer.Accepted && call instanceof ControlCall.Heartbeat;
         if (!unlogged) {
@@ -282,7 +282,7 @@
         if (!configuration.problems().isEmpty()) {
             return Promise.of(new ControlAnswer.Refused(configuration.problems().get(0)));
         }
-        return change(new PublicationCommand.PutDocument(configuration.version(), Deflated.deflate(document)));
+        return change(new PublicationCommand.PutDocument(configuration.version(), DeflateCodec.deflate(document)));
     }
 
     /** Submits a command; one that the local state already reflects is accepted without a submission. */
@@ -320,9 +320,9 @@
     // ---- requests of other processes
 
     private Promise<NodeReply> answer(NodeRequest request) {
-        if (request instanceof NodeRequest.Agree agree) {
+        if (request instanceof NodeRequest.DeliverRaftMessage agree) {
             member.receive(agree.message());
-            return Promise.of(new NodeReply.Received());
+            return Promise.of(new NodeReply.Acknowledged());
         }
         if (request instanceof NodeRequest.SubmitPublication submitted) {
             return ask(member.submit(submitted.command())).map(NodeReply.PublicationOutcome::new);
@@ -339,16 +339,16 @@
         if (request instanceof NodeRequest.Announce announced) {
             return targetCalls.heartbeat(announced.sighting()).map(GroupNode::replyTo);
         }
-        if (request instanceof NodeRequest.NoteHeartbeats noted) {
+        if (request instanceof NodeRequest.ReportHeartbeats noted) {
             targetWatch.recordRemoteHeartbeats(noted.targets());
-            return Promise.of(new NodeReply.Received());
+            return Promise.of(new NodeReply.Acknowledged());
         }
         return Promise.of(new NodeReply.Failed("not supported by a control process"));
     }
 
     private static NodeReply replyTo(ControlAnswer answer) {
         return answer instanceof ControlAnswer.Accepted
-                ? new NodeReply.Received()
+                ? new NodeReply.Acknowledged()
                 : new NodeReply.Failed(answer.toString());
     }
 
@@ -376,7 +376,7 @@
 
     private NodeReply reply(PublicationUpdate update, boolean waited) {
         GroupView view = member.view();
-        return new NodeReply.Watched(
+        return new NodeReply.WatchedPublication(
                 update,
                 isFresh(),
                 waited,
--- a/daemon/src/main/java/org/bankturn/daemon/http/BodyDecoder.java
+++ b/daemon/src/main/java/org/bankturn/daemon/http/BodyDecoder.java
@@ -3,13 +3,17 @@
 import java.io.ByteArrayOutputStream;
 import java.util.Locale;
 
-/** Takes one message's body out of received bytes, whatever its framing; mutable, confined to one thread. */
+/**
+ * Decodes the body of one message, framed by Content-Length, chunked coding or the end of the connection.
+ *
+ * <p>BodyDecoder is mutable and confined to one thread.
+ */
 final class BodyDecoder {
-    private static final int MOST_LINE_BYTES = 4_096;
-    private static final byte[] NOTHING = new byte[0];
+    private static final int MAX_LINE_BYTES = 4_096;
+    private static final byte[] EMPTY = new byte[0];
 
     private enum State {
-        COUNTED,
+        FIXED_LENGTH,
         CHUNK_SIZE,
         CHUNK_DATA,
         CHUNK_END,
@@ -19,114 +23,115 @@
     }
 
     private State state;
-    private long left;
+    private long remaining;
 
-    /** Returns the decoder of a request's body. */
+    /** Returns a decoder for the body of a request. */
     static BodyDecoder ofRequest(HttpHead head) throws HttpFormatException {
         return of(head, false);
     }
 
-    /** Returns the decoder of an answer's body. */
-    static BodyDecoder ofAnswer(HttpHead head, boolean bodiless) throws HttpFormatException {
+    /** Returns a decoder for the body of a response; {@code noBody} is true if the request method precludes one. */
+    static BodyDecoder ofResponse(HttpHead head, boolean noBody) throws HttpFormatException {
         int status = head.status();
-        if (bodiless || status == 204 || status == 304) {
+        if (noBody || status == 204 || status == 304) {
             return new BodyDecoder(State.DONE, 0);
         }
         return of(head, true);
     }
 
-    private static BodyDecoder of(HttpHead head, boolean answer) throws HttpFormatException {
+    private static BodyDecoder of(HttpHead head, boolean response) throws HttpFormatException {
         if (head.field("transfer-encoding").isPresent()) {
             String coding = head.field("transfer-encoding").get().toLowerCase(Locale.ROOT);
             if (!coding.equals("chunked")
-                    || (!answer && head.field("content-length").isPresent())) {
-                throw new HttpFormatException("transfer-encoding " + coding);
+                    || (!response && head.field("content-length").isPresent())) {
+                throw new HttpFormatException("unsupported Transfer-Encoding: " + coding);
             }
             return new BodyDecoder(State.CHUNK_SIZE, 0);
         }
         if (head.field("content-length").isPresent()) {
-            long length = number(head.field("content-length").get(), 10);
-            long different = head.fields().stream()
+            long length = parseLength(head.field("content-length").get(), 10);
+            long distinctLengths = head.fields().stream()
                     .filter(field -> field.is("content-length"))
                     .map(HttpField::value)
                     .distinct()
                     .count();
-            if (different > 1) {
-                throw new HttpFormatException("two lengths");
+            if (distinctLengths > 1) {
+                throw new HttpFormatException("conflicting Content-Length values");
             }
-            return new BodyDecoder(length == 0 ? State.DONE : State.COUNTED, length);
+            return new BodyDecoder(length == 0 ? State.DONE : State.FIXED_LENGTH, length);
         }
-        return new BodyDecoder(answer ? State.UNTIL_CLOSE : State.DONE, 0);
+        return new BodyDecoder(response ? State.UNTIL_CLOSE : State.DONE, 0);
     }
 
     private BodyDecoder(State state, long left) {
         this.state = state;
-        this.left = left;
+        this.remaining = left;
     }
 
     boolean isDone() {
         return state == State.DONE;
     }
 
-    /** Returns true if the body ends with its connection. */
-    boolean endsWithConnection() {
+    /** Returns true if the end of the connection delimits the body. */
+    boolean endsAtClose() {
         return state == State.UNTIL_CLOSE;
     }
 
-    /** Returns true if a length was told, or chunks are, so that the end can be seen. */
-    long lengthLeft() {
-        return state == State.COUNTED ? left : -1;
+    /** Returns the number of bytes still expected by Content-Length, -1 if the body is not framed by it. */
+    long remainingLength() {
+        return state == State.FIXED_LENGTH ? remaining : -1;
     }
 
-    /** Takes what there is of the body. */
-    byte[] take(ByteQueue received) throws HttpFormatException {
+    /** Consumes the received bytes that belong to the body and returns their content. */
+    byte[] decode(ByteQueue received) throws HttpFormatException {
         if (state == State.UNTIL_CLOSE) {
             return received.take(received.size());
         }
-        if (state == State.COUNTED) {
-            byte[] part = received.take((int) Math.min(left, received.size()));
-            left -= part.length;
-            state = left == 0 ? State.DONE : state;
+        if (state == State.FIXED_LENGTH) {
+            byte[] part = received.take((int) Math.min(remaining, received.size()));
+            remaining -= part.length;
+            state = remaining == 0 ? State.DONE : state;
             return part;
         }
-        return state == State.DONE ? NOTHING : takeChunks(received);
+        return state == State.DONE ? EMPTY : decodeChunks(received);
     }
 
-    private byte[] takeChunks(ByteQueue received) throws HttpFormatException {
-        ByteArrayOutputStream taken = new ByteArrayOutputStream();
+    private byte[] decodeChunks(ByteQueue received) throws HttpFormatException {
+        ByteArrayOutputStream decoded = new ByteArrayOutputStream();
         while (state != State.DONE) {
             if (state == State.CHUNK_DATA) {
                 if (received.size() == 0) {
                     break;
                 }
-                byte[] part = received.take((int) Math.min(left, received.size()));
-                taken.writeBytes(part);
-                left -= part.length;
-                state = left == 0 ? State.CHUNK_END : state;
+                byte[] part = received.take((int) Math.min(remaining, received.size()));
+                decoded.writeBytes(part);
+                remaining -= part.length;
+                state = remaining == 0 ? State.CHUNK_END : state;
                 continue;
             }
-            int size = received.lineSize(0);
+            int size = received.endOfLine(0);
             if (size < 0) {
-                if (received.size() > MOST_LINE_BYTES) {
-                    throw new HttpFormatException("chunk line too long");
+                if (received.size() > MAX_LINE_BYTES) {
+                    throw new HttpFormatException(
+                            "chunk header or trailer line of more than " + MAX_LINE_BYTES + " bytes");
                 }
                 break;
             }
             String line = received.text(0, size).trim();
             received.skip(size);
-            takeLine(line);
+            decodeLine(line);
         }
-        return taken.toByteArray();
+        return decoded.toByteArray();
     }
 
-    private void takeLine(String line) throws HttpFormatException {
+    private void decodeLine(String line) throws HttpFormatException {
         if (state == State.CHUNK_SIZE) {
             int end = line.indexOf(';');
-            left = number((end < 0 ? line : line.substring(0, end)).trim(), 16);
-            state = left == 0 ? State.TRAILER : State.CHUNK_DATA;
+            remaining = parseLength((end < 0 ? line : line.substring(0, end)).trim(), 16);
+            state = remaining == 0 ? State.TRAILER : State.CHUNK_DATA;
         } else if (state == State.CHUNK_END) {
             if (!line.isEmpty()) {
-                throw new HttpFormatException("chunk longer than said");
+                throw new HttpFormatException("chunk data longer than its declared size");
             }
             state = State.CHUNK_SIZE;
         } else if (line.isEmpty()) {
@@ -134,14 +139,14 @@
         }
     }
 
-    private static long number(String text, int radix) throws HttpFormatException {
+    private static long parseLength(String text, int radix) throws HttpFormatException {
         try {
             if (text.isEmpty() || text.startsWith("+") || text.startsWith("-")) {
-                throw new HttpFormatException("no length: " + text);
+                throw new HttpFormatException("invalid length: " + text);
             }
             return Long.parseLong(text, radix);
         } catch (NumberFormatException e) {
-            throw new HttpFormatException("no length: " + text);
+            throw new HttpFormatException("invalid length: " + text);
         }
     }
 }
--- a/daemon/src/main/java/org/bankturn/daemon/http/TargetConnection.java
+++ b/daemon/src/main/java/org/bankturn/daemon/http/TargetConnection.java
@@ -12,33 +12,33 @@
 import org.bankturn.time.Clock;
 
 /**
- * One connection to a target, which carries one request at a time.
+ * A client connection to a target, which carries one request at a time.
  *
- * <p>It may be used again only if the answer was whole, named the request, asked for no end, and nothing followed it.
- * TargetConnection is confined to its reactor's thread.
+ * <p>It may be reused only if the response was complete and accepted by its listener, did not ask to close the
+ * connection, and was not followed by further bytes. TargetConnection is confined to its reactor's thread.
  */
 public final class TargetConnection {
-    private static final int MOST_HEAD_BYTES = 32 << 10;
-    private static final long UNKNOWN_REST_MILLIS = 4_000;
-    private static final long REST_MARGIN_MILLIS = 700;
+    private static final int MAX_HEAD_BYTES = 32 << 10;
+    private static final long DEFAULT_MAX_IDLE_MILLIS = 4_000;
+    private static final long IDLE_MARGIN_MILLIS = 700;
 
     private final ITcpSocket socket;
     private final Clock clock;
     private final ByteQueue received = new ByteQueue();
-    private AnswerListener listener;
+    private ResponseListener listener;
     private BodyDecoder body;
-    private boolean wanted;
-    private boolean bodiless;
+    private boolean accepted;
+    private boolean noResponseBody;
     private boolean writing;
-    private boolean spoilt;
-    private boolean ended;
+    private boolean notReusable;
+    private boolean closed;
     private final long openedMillis;
-    private long restingSince;
-    private long heardMillis;
-    private long answers;
-    private long mostRestMillis = UNKNOWN_REST_MILLIS;
+    private long idleSinceMillis;
+    private long lastReadMillis;
+    private long responseCount;
+    private long maxIdleMillis = DEFAULT_MAX_IDLE_MILLIS;
 
-    /** Connects; the promise fails if that takes longer than {@code timeoutMillis}. */
+    /** Connects to a target; the promise fails if that takes longer than {@code timeoutMillis}. */
     public static Promise<TargetConnection> connect(
             NioReactor reactor, Clock clock, InetSocketAddress address, long timeoutMillis) {
         return TcpSocket.connect(reactor, address, Duration.ofMillis(timeoutMillis), null)
@@ -53,178 +53,182 @@
         this.socket = socket;
         this.clock = clock;
         this.openedMillis = clock.millis();
-        this.restingSince = openedMillis;
-        this.heardMillis = restingSince;
+        this.idleSinceMillis = openedMillis;
+        this.lastReadMillis = idleSinceMillis;
     }
 
     /** Returns true if a request may be sent now. */
     public boolean isUsable() {
-        return !ended && !spoilt && listener == null && !writing && clock.millis() - restingSince < mostRestMillis;
+        return !closed
+                && !notReusable
+                && listener == null
+                && !writing
+                && clock.millis() - idleSinceMillis < maxIdleMillis;
     }
 
-    /** Returns since when no request was under way. */
-    public long restingSince() {
-        return restingSince;
+    /** Returns the time since which the connection has been idle. */
+    public long idleSinceMillis() {
+        return idleSinceMillis;
     }
 
-    /** Returns when it was opened. */
+    /** Returns the time at which the connection was opened. */
     public long openedMillis() {
         return openedMillis;
     }
 
-    /** Returns when something came on it last, or when it was opened. */
-    public long heardMillis() {
-        return heardMillis;
+    /** Returns the time of the last read, or the time of opening before the first. */
+    public long lastReadMillis() {
+        return lastReadMillis;
     }
 
-    /** Returns true if it carried an answer before the request that is under way. */
-    public boolean hasCarried() {
-        return answers > 0;
+    /** Returns true if a response was received in full before the current request. */
+    public boolean hasReceivedResponse() {
+        return responseCount > 0;
     }
 
-    /** Returns how many whole answers it has carried. */
-    public long answers() {
-        return answers;
+    /** Returns the number of complete responses received. */
+    public long responseCount() {
+        return responseCount;
     }
 
-    /** Returns true if the connection is no longer open. */
-    public boolean hasEnded() {
-        return ended;
+    /** Returns true if the connection is closed. */
+    public boolean isClosed() {
+        return closed;
     }
 
     /**
-     * Sends a request. A connection that turns out to have ended tells the listener so before this returns.
+     * Sends a request. If the connection proves to be closed, the listener may be notified before this method returns.
      *
-     * @param request its bytes, head and body, not null
-     * @param expectsNoBody true if the answer has no body whatever its head says
-     * @param answers takes the answer, not null
+     * @param request the encoded head and body, not null
+     * @param expectsNoBody true if the response has no body regardless of its header fields
+     * @param responseListener receives the response, not null
      */
-    public void send(byte[] request, boolean expectsNoBody, AnswerListener answers) {
-        listener = answers;
-        bodiless = expectsNoBody;
+    public void send(byte[] request, boolean expectsNoBody, ResponseListener responseListener) {
+        listener = responseListener;
+        noResponseBody = expectsNoBody;
         writing = true;
-        socket.write(ByteBuf.wrapForReading(request)).whenComplete((nothing, failure) -> {
+        socket.write(ByteBuf.wrapForReading(request)).whenComplete((ignored, failure) -> {
             writing = false;
             if (failure != null) {
-                end(HopFailure.RESET);
+                fail(TransportFailure.RESET);
             }
         });
     }
 
-    /** Closes the connection; the listener hears nothing more. */
+    /** Closes the connection without notifying the listener. */
     public void close() {
         listener = null;
-        if (!ended) {
-            ended = true;
-            socket.closeEx(new IOException("closed here"));
+        if (!closed) {
+            closed = true;
+            socket.closeEx(new IOException("connection closed locally"));
         }
     }
 
     private void readMore() {
         socket.read().whenComplete((bytes, failure) -> {
-            if (ended) {
+            if (closed) {
                 if (bytes != null) {
                     bytes.recycle();
                 }
                 return;
             }
             if (failure != null) {
-                end(HopFailure.RESET);
+                fail(TransportFailure.RESET);
                 return;
             }
             if (bytes == null) {
                 endOfInput();
                 return;
             }
-            heardMillis = clock.millis();
+            lastReadMillis = clock.millis();
             received.add(bytes);
-            takeAnswers();
-            if (!ended) {
+            parseResponses();
+            if (!closed) {
                 readMore();
             }
         });
     }
 
     private void endOfInput() {
-        boolean whole = body != null && body.endsWithConnection();
-        if (!whole) {
-            end(HopFailure.CLOSED);
+        boolean complete = body != null && body.endsAtClose();
+        if (!complete) {
+            fail(TransportFailure.CLOSED);
             return;
         }
-        AnswerListener waiting = listener;
-        boolean answered = wanted;
+        ResponseListener current = listener;
+        boolean wasAccepted = accepted;
         close();
-        if (waiting == null) {
+        if (current == null) {
             return;
         }
-        if (answered) {
-            waiting.onEnd();
+        if (wasAccepted) {
+            current.onComplete();
         } else {
-            waiting.onFailure(HopFailure.CLOSED);
+            current.onFailure(TransportFailure.CLOSED);
         }
     }
 
-    private void end(HopFailure failure) {
-        AnswerListener waiting = listener;
+    private void fail(TransportFailure failure) {
+        ResponseListener current = listener;
         close();
-        if (waiting != null) {
-            waiting.onFailure(failure);
+        if (current != null) {
+            current.onFailure(failure);
         }
     }
 
-    private void takeAnswers() {
+    private void parseResponses() {
         try {
-            while (!ended && received.size() > 0) {
+            while (!closed && received.size() > 0) {
                 if (listener == null) {
                     close();
                     return;
                 }
-                if (body == null && !takeHead()) {
+                if (body == null && !parseHead()) {
                     return;
                 }
-                if (body != null && !ended && !takeBody()) {
+                if (body != null && !closed && !decodeBody()) {
                     return;
                 }
             }
         } catch (HttpFormatException e) {
-            end(HopFailure.MALFORMED);
+            fail(TransportFailure.MALFORMED);
         }
     }
 
-    /** Takes the next head; returns false if it is not whole yet. */
-    private boolean takeHead() throws HttpFormatException {
-        HttpHead head = HttpHeadParser.take(received, MOST_HEAD_BYTES);
+    /** Parses the next head; returns false if it is still incomplete. */
+    private boolean parseHead() throws HttpFormatException {
+        HttpHead head = HttpHeadParser.parseNext(received, MAX_HEAD_BYTES);
         if (head == null) {
             return false;
         }
         int status = head.status();
         if (status < 100) {
-            throw new HttpFormatException("no status: " + head.second());
+            throw new HttpFormatException("invalid status code: " + head.second());
         }
         if (status < 200) {
             return true;
         }
-        body = BodyDecoder.ofAnswer(head, bodiless);
-        wanted = listener.onHead(head);
-        spoilt |= !wanted || head.fieldHolds("connection", "close");
+        body = BodyDecoder.ofResponse(head, noResponseBody);
+        accepted = listener.onHead(head);
+        notReusable |= !accepted || head.fieldContains("connection", "close");
         readKeepAlive(head.field("keep-alive"));
-        if (body.isDone() && !ended) {
-            answerEnded();
+        if (body.isDone() && !closed) {
+            responseComplete();
         }
         return true;
     }
 
-    /** Takes what there is of the body; returns false if more must come first. */
-    private boolean takeBody() throws HttpFormatException {
-        byte[] part = body.take(received);
-        boolean whole = body.isDone();
-        if (wanted && part.length > 0) {
-            listener.onPart(part);
+    /** Decodes the received part of the body; returns false if the body is still incomplete. */
+    private boolean decodeBody() throws HttpFormatException {
+        byte[] part = body.decode(received);
+        boolean complete = body.isDone();
+        if (accepted && part.length > 0) {
+            listener.onBodyPart(part);
         }
-        if (whole && !ended) {
-            answerEnded();
+        if (complete && !closed) {
+            responseComplete();
         }
-        return whole;
+        return complete;
     }
 
     private void readKeepAlive(Optional<String> value) {
@@ -235,28 +239,27 @@
             String trimmed = part.trim();
             if (trimmed.startsWith("timeout=")) {
                 try {
-                    mostRestMillis =
-                            Long.parseLong(trimmed.substring("timeout=".length())) * 1_000 - REST_MARGIN_MILLIS;
+                    maxIdleMillis = Long.parseLong(trimmed.substring("timeout=".length())) * 1_000 - IDLE_MARGIN_MILLIS;
                 } catch (NumberFormatException e) {
-                    spoilt = true;
+                    notReusable = true;
                 }
             }
         }
     }
 
-    private void answerEnded() {
+    private void responseComplete() {
         body = null;
-        if (!wanted) {
+        if (!accepted) {
             return;
         }
-        AnswerListener waiting = listener;
+        ResponseListener current = listener;
         listener = null;
-        restingSince = clock.millis();
-        answers++;
-        spoilt |= received.size() > 0 || writing;
-        if (spoilt) {
+        idleSinceMillis = clock.millis();
+        responseCount++;
+        notReusable |= received.size() > 0 || writing;
+        if (notReusable) {
             close();
         }
-        waiting.onEnd();
+        current.onComplete();
     }
 }
--- a/daemon/src/main/java/org/bankturn/daemon/publication/PublicationFollower.java
+++ b/daemon/src/main/java/org/bankturn/daemon/publication/PublicationFollower.java
@@ -9,7 +9,7 @@
 import java.util.Optional;
 import java.util.Set;
 import java.util.function.Supplier;
-import org.bankturn.codec.Deflated;
+import org.bankturn.codec.DeflateCodec;
 import org.bankturn.daemon.observe.DecisionField;
 import org.bankturn.daemon.observe.DecisionKind;
 import org.bankturn.daemon.observe.DecisionLog;
@@ -148,7 +148,7 @@
                         new NodeRequest.WatchPublication(published.index(), WAIT_MILLIS),
                         WAIT_MILLIS + REPLY_TIMEOUT_MILLIS)
                 .whenComplete((reply, failure) -> {
-                    if (failure == null && reply instanceof NodeReply.Watched watched) {
+                    if (failure == null && reply instanceof NodeReply.WatchedPublication watched) {
                         onReply(polled, watched, sentMillis);
                     } else {
                         onFailure(polled, failure == null ? "unexpected reply" : failure.toString());
@@ -156,7 +156,7 @@
                 });
     }
 
-    private void onReply(Address from, NodeReply.Watched watched, long sentMillis) {
+    private void onReply(Address from, NodeReply.WatchedPublication watched, long sentMillis) {
         dataHalls.put(from, watched.dataHall());
         if (!watched.members().isEmpty()) {
             members.clear();
@@ -185,7 +185,7 @@
         if (update.document() != null
                 && (configuration == null || update.documentVersion() > configuration.version())) {
             try {
-                configuration = format.read(Deflated.inflate(update.document()));
+                configuration = format.read(DeflateCodec.inflate(update.document()));
             } catch (UnreadableDocumentException e) {
                 log.line(DecisionKind.PUBLISHED)
                         .with(DecisionField.OUTCOME, "unreadable")
@@ -208,7 +208,7 @@
                 .with(DecisionField.CONFIRMED, published.confirmed())
                 .with(DecisionField.FROM, from)
                 .write();
-        metrics.published(published.index(), version, published.targets().size());
+        metrics.setPublication(published.index(), version, published.targets().size());
         listener.published(published, changedSinceMillis);
     }
 
--- a/daemon/src/main/java/org/bankturn/daemon/weights/ProcessCopyContext.java
+++ b/daemon/src/main/java/org/bankturn/daemon/weights/ProcessCopyContext.java
@@ -6,11 +6,11 @@
 import java.net.InetSocketAddress;
 import java.util.Optional;
 import java.util.function.Function;
-import org.bankturn.daemon.http.HttpCalls;
 import org.bankturn.daemon.http.HttpHead;
+import org.bankturn.daemon.http.PooledHttpClient;
 import org.bankturn.daemon.observe.DecisionLog;
 import org.bankturn.daemon.observe.ServingMetrics;
-import org.bankturn.daemon.observe.SilentConnections;
+import org.bankturn.daemon.observe.SilentConnectionReporter;
 import org.bankturn.daemon.settings.Address;
 import org.bankturn.daemon.wire.NodeReply;
 import org.bankturn.daemon.wire.NodeRequest;
@@ -30,7 +30,7 @@
 
     private final WeightsDependencies dependencies;
     private final Participant participant;
-    private final HttpCalls calls;
+    private final PooledHttpClient calls;
     private PieceRouting routing;
     private long routingIndex;
     private int routingVersion;
@@ -62,10 +62,11 @@
     ProcessCopyContext(WeightsDependencies dependencies, Participant participant) {
         this.dependencies = dependencies;
         this.participant = participant;
-        this.calls = HttpCalls.on(
+        this.calls = PooledHttpClient.on(
                 dependencies.reactor(),
                 dependencies.clock(),
-                SilentConnections.to(ServingMetrics.PEER_TARGET, dependencies.log(), dependencies.metrics()));
+                SilentConnectionReporter.forPeer(
+                        ServingMetrics.PEER_TARGET, dependencies.log(), dependencies.metrics()));
     }
 
     @Override
@@ -114,16 +115,17 @@
     }
 
     @Override
-    public Promise<HttpCalls.Answer> callEngine(HttpHead head, byte[] body) {
+    public Promise<PooledHttpClient.Response> callEngine(HttpHead head, byte[] body) {
         return withEngine(engine -> calls.call(engine, head, body, ENGINE_TIMEOUT_MILLIS));
     }
 
     @Override
-    public Promise<HttpCalls.Answer> queryEngine(HttpHead head) {
-        return withEngine(engine -> calls.ask(engine, head, ENGINE_TIMEOUT_MILLIS));
+    public Promise<PooledHttpClient.Response> queryEngine(HttpHead head) {
+        return withEngine(engine -> calls.callIdempotent(engine, head, ENGINE_TIMEOUT_MILLIS));
     }
 
-    private Promise<HttpCalls.Answer> withEngine(Function<InetSocketAddress, Promise<HttpCalls.Answer>> call) {
+    private Promise<PooledHttpClient.Response> withEngine(
+            Function<InetSocketAddress, Promise<PooledHttpClient.Response>> call) {
         return participant
                 .engine()
                 .map(engine -> requireSuccess(call.apply(engine.toSocketAddress())))
@@ -137,7 +139,7 @@
     }
 
     @Override
-    public Promise<HttpCalls.Answer> callOrigin(HttpHead head) {
+    public Promise<PooledHttpClient.Response> callOrigin(HttpHead head) {
         Optional<Service> origin = participant.peers().origin();
         if (origin.isEmpty()) {
             return Promise.ofException(new IOException("no weights origin is configured"));
@@ -147,7 +149,7 @@
                 address.toSocketAddress(), head, EMPTY_BODY, ORIGIN_CONNECT_TIMEOUT_MILLIS, ORIGIN_TIMEOUT_MILLIS));
     }
 
-    private static Promise<HttpCalls.Answer> requireSuccess(Promise<HttpCalls.Answer> call) {
+    private static Promise<PooledHttpClient.Response> requireSuccess(Promise<PooledHttpClient.Response> call) {
         return call.then(answer -> answer.isSuccess()
                 ? Promise.of(answer)
                 : Promise.ofException(new HttpStatusException(answer.head().status())));
@@ -166,6 +168,6 @@
         return dependencies
                 .clients()
                 .ask(Address.parse(box), request, request.waitMillis() + NEIGHBOUR_MARGIN_MILLIS)
-                .map(reply -> reply instanceof NodeReply.PieceThere answer && answer.there());
+                .map(reply -> reply instanceof NodeReply.PieceAvailability answer && answer.there());
     }
 }
--- a/daemon/src/main/java/org/bankturn/daemon/weights/WeightsAgent.java
+++ b/daemon/src/main/java/org/bankturn/daemon/weights/WeightsAgent.java
@@ -251,7 +251,7 @@
     /** Returns AT_ONCE if aborted requests can resume at another target, since draining would then only cost capacity. */
     private ChangeMethod changeMethod() {
         boolean resumable = published.configuration() != null
-                && published.configuration().everyRequestMayGoOnElsewhere(settings.service());
+                && published.configuration().areAllRequestsRetryable(settings.service());
         return resumable ? ChangeMethod.AT_ONCE : ChangeMethod.AFTER_ANSWERS;
     }
 
@@ -276,7 +276,7 @@
         Promise<Boolean> available = copyOf(request.version())
                 .map(pending -> pending.awaitPiece(request.piece(), request.waitMillis()))
                 .orElseGet(() -> availableAfterDelay(request));
-        return available.map(NodeReply.PieceThere::new);
+        return available.map(NodeReply.PieceAvailability::new);
     }
 
     /** Answers after a delay, since the copy may start at any time. */
--- a/daemon/src/main/java/org/bankturn/daemon/wire/FrameChannel.java
+++ b/daemon/src/main/java/org/bankturn/daemon/wire/FrameChannel.java
@@ -12,30 +12,30 @@
 import org.bankturn.time.Clock;
 
 /**
- * Frames over one TCP connection: a length in four big-endian bytes, then MessagePack.
+ * Exchanges frames over one TCP connection. A frame is a four-byte big-endian length followed by MessagePack.
  *
  * <p>FrameChannel is confined to its reactor's thread.
  */
 final class FrameChannel {
-    private static final int MAXIMUM_FRAME_BYTES = 128 << 20;
+    private static final int MAX_FRAME_BYTES = 128 << 20;
 
     private final ITcpSocket socket;
     private final Consumer<Frame> receiver;
-    private final Consumer<Exception> closed;
+    private final Consumer<Exception> closeListener;
     private final ByteBufs received = new ByteBufs();
-    private final Deque<ByteBuf> unsent = new ArrayDeque<>();
+    private final Deque<ByteBuf> sendQueue = new ArrayDeque<>();
     private final Clock clock;
-    private long reads;
-    private long heardMillis;
+    private long readCount;
+    private long lastReadMillis;
     private boolean sending;
-    private boolean ended;
+    private boolean closed;
 
-    FrameChannel(ITcpSocket socket, Clock clock, Consumer<Frame> receiver, Consumer<Exception> closed) {
+    FrameChannel(ITcpSocket socket, Clock clock, Consumer<Frame> receiver, Consumer<Exception> closeListener) {
         this.socket = socket;
         this.clock = clock;
-        this.heardMillis = clock.millis();
+        this.lastReadMillis = clock.millis();
         this.receiver = receiver;
-        this.closed = closed;
+        this.closeListener = closeListener;
     }
 
     void start() {
@@ -43,7 +43,7 @@
     }
 
     void send(Frame frame) {
-        if (ended) {
+        if (closed) {
             return;
         }
         byte[] payload = MessagePackCodec.instance().encode(frame);
@@ -51,47 +51,47 @@
                 .putInt(payload.length)
                 .put(payload)
                 .array();
-        unsent.add(ByteBuf.wrapForReading(framed));
-        sendMore();
+        sendQueue.add(ByteBuf.wrapForReading(framed));
+        flush();
     }
 
-    /** Returns how often bytes were read. */
-    long reads() {
-        return reads;
+    /** Returns the number of reads that returned data. */
+    long readCount() {
+        return readCount;
     }
 
-    /** Returns when bytes were read last, or when the connection was opened. */
-    long heardMillis() {
-        return heardMillis;
+    /** Returns the time of the last read, or the time of opening before the first. */
+    long lastReadMillis() {
+        return lastReadMillis;
     }
 
-    /** Returns true if it is no longer open. */
-    boolean hasEnded() {
-        return ended;
+    /** Returns true if the connection is closed. */
+    boolean isClosed() {
+        return closed;
     }
 
     void close(Exception reason) {
-        if (ended) {
+        if (closed) {
             return;
         }
-        ended = true;
+        closed = true;
         socket.closeEx(reason);
         received.recycle();
-        unsent.clear();
-        closed.accept(reason);
+        sendQueue.clear();
+        closeListener.accept(reason);
     }
 
-    private void sendMore() {
-        if (sending || ended || unsent.isEmpty()) {
+    private void flush() {
+        if (sending || closed || sendQueue.isEmpty()) {
             return;
         }
         sending = true;
-        socket.write(unsent.poll()).whenComplete((nothing, failure) -> {
+        socket.write(sendQueue.poll()).whenComplete((ignored, failure) -> {
             sending = false;
             if (failure != null) {
                 close(failure);
             } else {
-                sendMore();
+                flush();
             }
         });
     }
@@ -99,30 +99,30 @@
     private void readMore() {
         socket.read().whenComplete((bytes, failure) -> {
             if (failure != null || bytes == null) {
-                close(failure != null ? failure : new IOException("the other side closed the connection"));
+                close(failure != null ? failure : new IOException("connection closed by peer"));
                 return;
             }
-            if (ended) {
+            if (closed) {
                 bytes.recycle();
                 return;
             }
-            reads++;
-            heardMillis = clock.millis();
+            readCount++;
+            lastReadMillis = clock.millis();
             received.add(bytes);
-            takeFrames();
-            if (!ended) {
+            decodeFrames();
+            if (!closed) {
                 readMore();
             }
         });
     }
 
-    private void takeFrames() {
-        while (!ended && received.hasRemainingBytes(Integer.BYTES)) {
+    private void decodeFrames() {
+        while (!closed && received.hasRemainingBytes(Integer.BYTES)) {
             byte[] prefix = new byte[Integer.BYTES];
             received.peekTo(prefix, 0, Integer.BYTES);
             int length = ByteBuffer.wrap(prefix).getInt();
-            if (length < 0 || length > MAXIMUM_FRAME_BYTES) {
-                close(new IOException("frame of " + length + " bytes"));
+            if (length < 0 || length > MAX_FRAME_BYTES) {
+                close(new IOException("invalid frame length: " + length));
                 return;
             }
             if (!received.hasRemainingBytes(Integer.BYTES + length)) {
--- a/daemon/src/test/java/org/bankturn/daemon/group/SilentConnectionsTest.java
+++ b/daemon/src/test/java/org/bankturn/daemon/group/SilentConnectionsTest.java
@@ -19,7 +19,7 @@
 import org.bankturn.daemon.observe.DecisionLog;
 import org.bankturn.daemon.observe.LogFile;
 import org.bankturn.daemon.observe.ServingMetrics;
-import org.bankturn.daemon.observe.SilentConnections;
+import org.bankturn.daemon.observe.SilentConnectionReporter;
 import org.bankturn.daemon.publication.PublicationFollower;
 import org.bankturn.daemon.publication.PublishedState;
 import org.bankturn.daemon.settings.Address;
@@ -66,7 +66,7 @@
         List<Address> listen = new ArrayList<>();
         for (int box = 0; box < BOXES; box++) {
             listen.add(FreeAddresses.next());
-            relays.add(SilencingRelay.before(listen.get(box)));
+            relays.add(SilencingRelay.inFrontOf(listen.get(box)));
             callAddresses.add(FreeAddresses.next());
         }
         for (int box = 0; box < BOXES; box++) {
@@ -179,7 +179,7 @@
 
         Follower(int number) {
             reactor = reactor("follower-" + number);
-            clients = NodeClients.on(reactor, clock, SilentConnections.of(log, metrics));
+            clients = NodeClients.on(reactor, clock, SilentConnectionReporter.of(log, metrics));
             PublicationFollower follower = PublicationFollower.of(
                     new PublicationFollower.Wiring(
                             reactor,
@@ -259,7 +259,8 @@
                     "version %d accepted %d ms after the silence began, published to all followers %d ms after that%n",
                     version, accepted - silentMillis, latest - accepted);
         });
-        int used = relays.stream().mapToInt(SilencingRelay::usedWhenSilent).sum();
+        int used =
+                relays.stream().mapToInt(SilencingRelay::silentConnectionsUsed).sum();
         System.out.printf("silent connections that were used: %d%n", used);
     }
 }
--- a/daemon/src/test/java/org/bankturn/daemon/http/HttpCallsTest.java
+++ b/daemon/src/test/java/org/bankturn/daemon/http/PooledHttpClientTest.java
@@ -20,46 +20,43 @@
 import org.junit.jupiter.api.Timeout;
 
 @Timeout(30)
-class HttpCallsTest {
-    private static final int LONGER_THAN_ANY_REST_MILLIS = 10_000;
+class PooledHttpClientTest {
+    private static final int READ_TIMEOUT_MILLIS = 10_000;
 
-    /** A callee that takes few connections counts those that rest; after a loss of power they crowd out new ones. */
+    /** Idle connections kept open would use up the connection limit of the server. */
     @Test
-    void a_connection_that_is_not_used_again_soon_is_closed() throws Exception {
-        assertThat(isClosedAfterRest(Clock.system())).isTrue();
+    void an_idle_connection_is_closed() throws Exception {
+        assertThat(isClosedWhenIdle(Clock.system())).isTrue();
     }
 
-    /**
-     * A connection was closed only if the clock said, when its rest was over, that a whole second had passed. The timer counts
-     * from when the reactor's round began, a millisecond or more before the rest did on a busy machine, so that 999 ms had
-     * passed and the connection stayed open for good; the test above once waited for its end for three minutes.
-     */
+    /** The timer may fire before the clock has advanced by the idle time; the connection must not stay open then. */
     @Test
-    void a_connection_is_closed_after_its_rest_although_the_clock_is_behind_the_timer() throws Exception {
-        assertThat(isClosedAfterRest(ManualClock.startingAt(1_000_000))).isTrue();
+    void an_idle_connection_is_closed_when_the_clock_lags_the_timer() throws Exception {
+        assertThat(isClosedWhenIdle(ManualClock.startingAt(1_000_000))).isTrue();
     }
 
-    /** Makes a call, and tells whether its connection ends within a time that is far longer than its rest. */
-    private static boolean isClosedAfterRest(Clock clock) throws Exception {
-        Eventloop reactor = Eventloop.builder().withThreadName("calls-test").build();
+    /** Makes a call and returns true if its connection is closed before the read timeout. */
+    private static boolean isClosedWhenIdle(Clock clock) throws Exception {
+        Eventloop reactor =
+                Eventloop.builder().withThreadName("http-client-test").build();
         reactor.keepAlive(true);
-        new Thread(reactor, "calls-test").start();
+        new Thread(reactor, "http-client-test").start();
         try (ServerSocket server = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-            HttpCalls calls = HttpCalls.on(reactor, clock);
-            CompletableFuture<HttpCalls.Answer> answer = reactor.submit(() -> calls.call(
+            PooledHttpClient client = PooledHttpClient.on(reactor, clock);
+            CompletableFuture<PooledHttpClient.Response> response = reactor.submit(() -> client.call(
                     new InetSocketAddress(InetAddress.getLoopbackAddress(), server.getLocalPort()),
                     HttpHead.request("GET", "/x", List.of()),
                     new byte[0],
                     5_000));
             try (Socket socket = server.accept()) {
-                socket.setSoTimeout(LONGER_THAN_ANY_REST_MILLIS);
+                socket.setSoTimeout(READ_TIMEOUT_MILLIS);
                 BufferedReader input =
                         new BufferedReader(new InputStreamReader(socket.getInputStream(), StandardCharsets.ISO_8859_1));
                 readHead(input);
                 socket.getOutputStream()
                         .write("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok".getBytes(StandardCharsets.ISO_8859_1));
-                assertThat(answer.join().body()).asString().isEqualTo("ok");
-                return endsWithoutMore(input);
+                assertThat(response.join().body()).asString().isEqualTo("ok");
+                return reachesEndOfStream(input);
             }
         } finally {
             reactor.keepAlive(false);
@@ -74,8 +71,8 @@
         }
     }
 
-    /** Reads until the other side closes, by an end or a reset. */
-    private static boolean endsWithoutMore(BufferedReader input) {
+    /** Returns true if the peer has closed or reset the connection, false on a read timeout. */
+    private static boolean reachesEndOfStream(BufferedReader input) {
         try {
             return input.read() < 0;
         } catch (SocketTimeoutException e) {
--- a/daemon/src/test/java/org/bankturn/daemon/weights/SilentEngineTest.java
+++ b/daemon/src/test/java/org/bankturn/daemon/weights/SilentEngineTest.java
@@ -19,7 +19,7 @@
 
     @Override
     Address routeTo(Address engineAddress) throws IOException {
-        relay = SilencingRelay.before(engineAddress);
+        relay = SilencingRelay.inFrontOf(engineAddress);
         return relay.address();
     }
 
@@ -43,6 +43,6 @@
         for (int report = 1; report <= 10; report++) {
             assertThat(requestLoad().active()).isEqualTo(report);
         }
-        assertThat(relay.opened()).isLessThan(10);
+        assertThat(relay.openedConnections()).isLessThan(10);
     }
 }
--- a/daemon/src/test/java/org/bankturn/daemon/weights/WeightsRelayTest.java
+++ b/daemon/src/test/java/org/bankturn/daemon/weights/WeightsRelayTest.java
@@ -62,7 +62,7 @@
     void poll_for_unknown_version_is_answered_after_delay() {
         boolean answeredImmediately = run(() -> Promise.of(await(1).isComplete()));
         assertThat(answeredImmediately).isFalse();
-        assertThat(run(() -> await(1))).isEqualTo(new NodeReply.PieceThere(false));
+        assertThat(run(() -> await(1))).isEqualTo(new NodeReply.PieceAvailability(false));
     }
 
     @Test
--- a/standins/src/main/java/org/bankturn/bench/BurstBench.java
+++ b/standins/src/main/java/org/bankturn/bench/BurstBench.java
@@ -72,7 +72,7 @@
         if (!output.equals("json")) {
             throw new IllegalArgumentException("--output must be json: " + output);
         }
-        weights = Weights.make(1, mebibytes * MEBIBYTE, chunkKibibytes << 10);
+        weights = Weights.generate(1, mebibytes * MEBIBYTE, chunkKibibytes << 10);
         long originRate = 4L * weights.bytes().length / wantedSeconds;
         long boxRate = 2L * weights.bytes().length / wantedSeconds;
         DistributionPolicy chosen =
@@ -81,7 +81,7 @@
                 originRate, boxRate, chosen, boxes, 64, EngineStandin.Settings.DEFAULT, false);
         try (LocalDeployment deployment = LocalDeployment.prepare(DeploymentPlan.burst(boxes), options)) {
             running = deployment;
-            running.origin().offer(weights);
+            running.origin().publish(weights);
             running.startAll();
             return measure(BurstBound.of(weights.bytes().length, boxes, originRate, boxRate));
         }
@@ -133,13 +133,13 @@
                 return boxes - dying;
             }
             case "stalled" -> {
-                running.daemon("box-1").freeze();
+                running.daemon("box-1").suspend();
                 return boxes - 1;
             }
             case "changed" -> {
                 Weights first = weights;
-                weights = Weights.make(2, mebibytes * MEBIBYTE, chunkKibibytes << 10);
-                running.origin().offer(weights);
+                weights = Weights.generate(2, mebibytes * MEBIBYTE, chunkKibibytes << 10);
+                running.origin().publish(weights);
                 apply(2, Map.of("v1", first, "v2", weights), "v2");
                 return boxes;
             }
--- a/standins/src/main/java/org/bankturn/bench/OverheadBench.java
+++ b/standins/src/main/java/org/bankturn/bench/OverheadBench.java
@@ -49,11 +49,11 @@
 
     @Override
     public String call() throws IOException, InterruptedException {
-        Weights weights = Weights.make(1, 1 << 20, 256 << 10);
+        Weights weights = Weights.generate(1, 1 << 20, 256 << 10);
         LocalDeployment.Options options = new LocalDeployment.Options(
                 64 << 20, 64 << 20, DistributionPolicy.ORIGIN_BYTES, 3, 64, EngineStandin.Settings.DEFAULT, false);
         try (LocalDeployment running = LocalDeployment.prepare(DeploymentPlan.small(), options)) {
-            running.origin().offer(weights);
+            running.origin().publish(weights);
             running.startAll();
             String file =
                     running.writeOperatorFile(1, Map.of("v1", weights), "v1").toString();
--- a/standins/src/main/java/org/bankturn/harness/DeploymentPlan.java
+++ b/standins/src/main/java/org/bankturn/harness/DeploymentPlan.java
@@ -4,45 +4,45 @@
 import java.util.List;
 
 /**
- * The boxes of a deployment and who calls it.
+ * The topology of a deployment and its client accounts.
  *
  * @param name the deployment's name, not null
- * @param dataHalls its halls, not empty
- * @param region the region that they lie in, not null
- * @param entries the entry boxes, the first of each hall a control box as well, not null
+ * @param dataHalls the data halls, not empty
+ * @param region the region of the data halls, not null
+ * @param entries the entry boxes, some of which are control boxes as well, not null
  * @param targets the target boxes, not null
  * @param accounts the client accounts, not null
- * @param plainServices the services without a model, the one that must not be repeated first, not null
+ * @param plainServices the services without a model, the non-idempotent one first, not null
  */
 public record DeploymentPlan(
         String name,
         List<String> dataHalls,
         String region,
-        List<Place> entries,
-        List<TargetPlace> targets,
+        List<EntryBox> entries,
+        List<TargetBox> targets,
         List<Account> accounts,
         List<String> plainServices) {
-    /** The service that a model answers, and the model's name. */
+    /** The name of the model and of its service. */
     public static final String ASSISTANT = "assistant";
 
     private static final int LARGE_WEIGHT = 4;
 
-    /** A process and its hall. */
-    public record Place(String name, String dataHall, boolean control) {}
+    /** An entry box; also a control box if {@code control} is true. */
+    public record EntryBox(String name, String dataHall, boolean control) {}
 
     /** A target box, its hall and its service. */
-    public record TargetPlace(String name, String dataHall, String service) {}
+    public record TargetBox(String name, String dataHall, String service) {}
 
     /** A client account, its weight and its halls. */
     public record Account(String name, int weight, List<String> dataHalls) {}
 
-    /** Returns the donor line at the sizes of today, not null. */
+    /** Returns the plan of the donor line, not null. */
     public static DeploymentPlan donor() {
         List<String> halls = List.of("puget", "willamette", "inland");
         return of("donor", halls, "northwest", "booking", "other");
     }
 
-    /** Returns the signing franchise at the sizes of today, not null. */
+    /** Returns the plan of the signing franchise, not null. */
     public static DeploymentPlan signing() {
         List<String> halls = List.of("amman", "irbid", "aqaba");
         return of("signing", halls, "jordan", "envelopes", "ledger");
@@ -56,48 +56,48 @@
      */
     public static DeploymentPlan burst(int boxes) {
         List<String> halls = List.of("hall");
-        List<TargetPlace> targets = new ArrayList<>();
+        List<TargetBox> targets = new ArrayList<>();
         for (int number = 1; number <= boxes; number++) {
-            targets.add(new TargetPlace("box-" + number, "hall", ASSISTANT));
+            targets.add(new TargetBox("box-" + number, "hall", ASSISTANT));
         }
-        List<Place> entries = List.of(new Place("entry-1", "hall", true));
+        List<EntryBox> entries = List.of(new EntryBox("entry-1", "hall", true));
         return new DeploymentPlan("burst", halls, "region", entries, targets, accounts(halls), List.of());
     }
 
     /**
-     * Returns a deployment for tests of failures: three halls with one entry and control box and one assistant each, and
-     * a plain service in the first hall.
+     * Returns a deployment for failure tests: three halls, each with one entry and control box and one assistant, and a
+     * plain service in the first hall.
      *
      * @return the plan, not null
      */
     public static DeploymentPlan small() {
         List<String> halls = List.of("one", "two", "three");
-        List<Place> entries = new ArrayList<>();
-        List<TargetPlace> targets = new ArrayList<>();
+        List<EntryBox> entries = new ArrayList<>();
+        List<TargetBox> targets = new ArrayList<>();
         for (String hall : halls) {
-            entries.add(new Place(hall + "-entry", hall, true));
-            targets.add(new TargetPlace(hall + "-assistant", hall, ASSISTANT));
+            entries.add(new EntryBox(hall + "-entry", hall, true));
+            targets.add(new TargetBox(hall + "-assistant", hall, ASSISTANT));
         }
-        targets.add(new TargetPlace("one-booking", "one", "booking"));
+        targets.add(new TargetBox("one-booking", "one", "booking"));
         return new DeploymentPlan("small", halls, "region", entries, targets, accounts(halls), List.of("booking"));
     }
 
     private static DeploymentPlan of(String name, List<String> halls, String region, String unsafe, String other) {
-        List<Place> entries = new ArrayList<>();
+        List<EntryBox> entries = new ArrayList<>();
         int[] entriesPerHall = {3, 2, 2};
         int[] assistantsPerHall = {3, 3, 2};
-        List<TargetPlace> targets = new ArrayList<>();
+        List<TargetBox> targets = new ArrayList<>();
         for (int position = 0; position < halls.size(); position++) {
             String hall = halls.get(position);
             for (int number = 1; number <= entriesPerHall[position]; number++) {
-                entries.add(new Place(hall + "-entry-" + number, hall, number == 1));
+                entries.add(new EntryBox(hall + "-entry-" + number, hall, number == 1));
             }
             for (int number = 1; number <= assistantsPerHall[position]; number++) {
-                targets.add(new TargetPlace(hall + "-assistant-" + number, hall, ASSISTANT));
+                targets.add(new TargetBox(hall + "-assistant-" + number, hall, ASSISTANT));
             }
-            targets.add(new TargetPlace(hall + "-" + unsafe, hall, unsafe));
+            targets.add(new TargetBox(hall + "-" + unsafe, hall, unsafe));
         }
-        targets.add(new TargetPlace(halls.get(0) + "-" + other, halls.get(0), other));
+        targets.add(new TargetBox(halls.get(0) + "-" + other, halls.get(0), other));
         return new DeploymentPlan(name, halls, region, entries, targets, accounts(halls), List.of(unsafe, other));
     }
 
@@ -112,7 +112,7 @@
     }
 
     /**
-     * Counts the boxes that serve the model.
+     * Returns the number of boxes that serve the model.
      *
      * @return the number of assistant boxes
      */
--- a/standins/src/main/java/org/bankturn/quickstart/Quickstart.java
+++ b/standins/src/main/java/org/bankturn/quickstart/Quickstart.java
@@ -20,7 +20,7 @@
 import org.bankturn.harness.Await;
 import org.bankturn.harness.BurstBound;
 import org.bankturn.harness.Caller;
-import org.bankturn.harness.CallerTally;
+import org.bankturn.harness.CallerStatistics;
 import org.bankturn.harness.DeploymentPlan;
 import org.bankturn.harness.LocalDeployment;
 import org.bankturn.standin.EngineStandin;
@@ -74,23 +74,23 @@
         DistributionPolicy policy = donor ? DistributionPolicy.TIME_TO_REPLICAS : DistributionPolicy.ORIGIN_BYTES;
         LocalDeployment.Options options = new LocalDeployment.Options(
                 ORIGIN_RATE, BOX_RATE, policy, plan.assistantCount() - 2, 64, EngineStandin.Settings.DEFAULT, false);
-        Weights first = Weights.make(1, WEIGHT_MEBIBYTES * MEBIBYTE, MEBIBYTE);
-        Weights second = Weights.make(2, WEIGHT_MEBIBYTES * MEBIBYTE, MEBIBYTE);
+        Weights first = Weights.generate(1, WEIGHT_MEBIBYTES * MEBIBYTE, MEBIBYTE);
+        Weights second = Weights.generate(2, WEIGHT_MEBIBYTES * MEBIBYTE, MEBIBYTE);
         try (LocalDeployment running = LocalDeployment.prepare(plan, options)) {
             return run(running, first, second);
         }
     }
 
     private boolean run(LocalDeployment running, Weights first, Weights second) throws IOException {
-        running.origin().offer(first);
-        running.origin().offer(second);
+        running.origin().publish(first);
+        running.origin().publish(second);
         long startNanos = System.nanoTime();
         running.startAll();
         report("%d processes ready after %.1f s", running.daemons().size(), secondsSince(startNanos));
         move(running, 1, Map.of("v1", first), "v1", first);
         awaitInService(running, first);
 
-        CallerTally tally = new CallerTally();
+        CallerStatistics tally = new CallerStatistics();
         List<Thread> callers = startCallers(running, tally, Set.of(first.digest(), second.digest()));
         move(running, 2, Map.of("v1", first, "v2", second), "v2", second);
         awaitInService(running, second);
@@ -129,17 +129,17 @@
 
     /** A version is in service once a caller of every entry process gets answers made with its weights. */
     private static void awaitInService(LocalDeployment running, Weights weights) {
-        for (DeploymentPlan.Place entry : running.plan().entries()) {
+        for (DeploymentPlan.EntryBox entry : running.plan().entries()) {
             Await.until("version in service at " + entry.name(), TIMEOUT_MILLIS, () -> {
-                CallerTally tally = new CallerTally();
+                CallerStatistics tally = new CallerStatistics();
                 new Caller(tally, Set.of(weights.digest()), EngineStandin.Settings.DEFAULT.tokens())
                         .chat(running.httpAddress(entry.name()), "account-1");
-                return tally.wholeCount() == 1;
+                return tally.completeCount() == 1;
             });
         }
     }
 
-    private List<Thread> startCallers(LocalDeployment running, CallerTally tally, Set<String> knownWeights) {
+    private List<Thread> startCallers(LocalDeployment running, CallerStatistics tally, Set<String> knownWeights) {
         Caller caller = new Caller(tally, knownWeights, EngineStandin.Settings.DEFAULT.tokens());
         List<Thread> threads = new ArrayList<>();
         for (int number = 0; number < CALLERS; number++) {
@@ -156,7 +156,7 @@
         while (calling) {
             DeploymentPlan.Account account =
                     plan.accounts().get(random.nextInt(plan.accounts().size()));
-            List<DeploymentPlan.Place> allowed = plan.entries().stream()
+            List<DeploymentPlan.EntryBox> allowed = plan.entries().stream()
                     .filter(entry -> account.dataHalls().contains(entry.dataHall()))
                     .toList();
             String address = running.httpAddress(
@@ -171,26 +171,26 @@
         }
     }
 
-    private static boolean judge(LocalDeployment running, CallerTally tally) {
+    private static boolean judge(LocalDeployment running, CallerStatistics tally) {
         Map<String, Integer> runs = running.runsById();
-        long doubled = tally.doubled(runs);
-        long lost = tally.lost(runs);
-        long refusedButRan = tally.refusedButRan(runs);
+        long doubled = tally.executedRepeatedly(runs);
+        long lost = tally.confirmedButNotExecuted(runs);
+        long refusedButRan = tally.refusedButExecuted(runs);
         report(
                 "requests: sent %d, answered whole %d, refused %d, unknown %d, wrong %d, doubled %d, lost %d,"
                         + " refused but ran %d",
                 tally.sentCount(),
-                tally.wholeCount(),
+                tally.completeCount(),
                 tally.refusedCount(),
                 tally.unknownCount(),
-                tally.wrongCount(),
+                tally.incorrectCount(),
                 doubled,
                 lost,
                 refusedButRan);
-        tally.firstNotes().forEach(note -> report("  %s", note));
+        tally.firstFailures().forEach(note -> report("  %s", note));
         boolean accounted = tally.sentCount()
-                == tally.wholeCount() + tally.refusedCount() + tally.unknownCount() + tally.wrongCount();
-        return accounted && tally.wholeCount() > 0 && tally.wrongCount() + doubled + lost + refusedButRan == 0;
+                == tally.completeCount() + tally.refusedCount() + tally.unknownCount() + tally.incorrectCount();
+        return accounted && tally.completeCount() > 0 && tally.incorrectCount() + doubled + lost + refusedButRan == 0;
     }
 
     private static void report(String format, Object... values) {
--- a/standins/src/main/java/org/bankturn/replay/EngineTask.java
+++ b/standins/src/main/java/org/bankturn/replay/EngineTask.java
@@ -1,7 +1,7 @@
 package org.bankturn.replay;
 
 /**
- * One request at one engine.
+ * An attempt to serve a request on one simulated engine.
  *
  * <p>EngineTask is mutable and not thread-safe.
  */
@@ -9,41 +9,41 @@
     private final int urgency;
     private final int promptTokens;
     private final Listener listener;
-    private final boolean deadly;
+    private final boolean crashesEngine;
     private int unreadTokens;
-    private int tokensLeft;
-    private int tokensDone;
-    private boolean dropped;
+    private int remainingTokens;
+    private int generatedTokens;
+    private boolean cancelled;
 
-    /** Hears of what becomes of a task. */
+    /** Receives the progress and the outcome of a task. */
     interface Listener {
-        /** Some more tokens were written, as one event. */
-        void event(int tokens);
+        /** Called for each event, with the number of tokens that it carries. */
+        void tokensGenerated(int tokens);
 
-        /** Every token was written. */
-        void ended();
+        /** Called when the answer is complete. */
+        void completed();
 
-        /** The engine broke off, and the caller notices. */
-        void cut();
+        /** Called when the engine drops the task and closes the connection. */
+        void interrupted();
     }
 
-    /** Returns a task that has not begun, not null. */
-    static EngineTask of(int urgency, int promptTokens, int tokens, boolean deadly, Listener listener) {
-        return new EngineTask(urgency, promptTokens, tokens, deadly, listener);
+    /** Creates a task that has not started, not null. */
+    static EngineTask of(int urgency, int promptTokens, int tokens, boolean crashesEngine, Listener listener) {
+        return new EngineTask(urgency, promptTokens, tokens, crashesEngine, listener);
     }
 
-    private EngineTask(int urgency, int promptTokens, int tokens, boolean deadly, Listener listener) {
-        this.deadly = deadly;
+    private EngineTask(int urgency, int promptTokens, int tokens, boolean crashesEngine, Listener listener) {
+        this.crashesEngine = crashesEngine;
         this.urgency = urgency;
         this.promptTokens = promptTokens;
         this.unreadTokens = promptTokens;
-        this.tokensLeft = tokens;
+        this.remainingTokens = tokens;
         this.listener = listener;
     }
 
-    /** Returns true if an engine ends as it writes the first of it. */
-    boolean isDeadly() {
-        return deadly;
+    /** Returns true if an engine crashes when it generates the first tokens of this task. */
+    boolean crashesEngine() {
+        return crashesEngine;
     }
 
     int urgency() {
@@ -59,43 +59,43 @@
     }
 
     int contextTokens() {
-        return promptTokens + tokensDone;
+        return promptTokens + generatedTokens;
     }
 
-    boolean isRead() {
+    boolean isPromptRead() {
         return unreadTokens == 0;
     }
 
-    boolean isOver() {
-        return dropped || tokensLeft == 0;
+    boolean isFinished() {
+        return cancelled || remainingTokens == 0;
     }
 
-    /** Its gateway no longer wants it. */
-    void drop() {
-        dropped = true;
+    /** Cancels the task; its listener is not called again. */
+    void cancel() {
+        cancelled = true;
     }
 
-    void read(int tokens) {
+    void readPrompt(int tokens) {
         unreadTokens -= tokens;
     }
 
-    void write(int tokens) {
-        int written = Math.min(tokens, tokensLeft);
-        tokensLeft -= written;
-        tokensDone += written;
-        if (dropped) {
+    void generate(int tokens) {
+        int generated = Math.min(tokens, remainingTokens);
+        remainingTokens -= generated;
+        generatedTokens += generated;
+        if (cancelled) {
             return;
         }
-        listener.event(written);
-        if (tokensLeft == 0) {
-            listener.ended();
+        listener.tokensGenerated(generated);
+        if (remainingTokens == 0) {
+            listener.completed();
         }
     }
 
-    void cut() {
-        if (!dropped) {
-            dropped = true;
-            listener.cut();
+    void interrupt() {
+        if (!cancelled) {
+            cancelled = true;
+            listener.interrupted();
         }
     }
 }
--- a/standins/src/main/java/org/bankturn/replay/ReplayWorld.java
+++ b/standins/src/main/java/org/bankturn/replay/ReplaySimulation.java
@@ -21,55 +21,55 @@
 import org.bankturn.service.ServingConfiguration;
 
 /**
- * Everything in one replay: engines, gateways and callers in their data halls.
+ * A discrete-event simulation of the engines, gateways and callers of all data halls.
  *
- * <p>ReplayWorld is mutable and not thread-safe.
+ * <p>ReplaySimulation is mutable and not thread-safe.
  */
-final class ReplayWorld {
+final class ReplaySimulation {
     static final String SERVICE = "chat";
 
-    /** The request that ends engines, whenever it comes. */
-    static final RequestFingerprint DEADLY = new RequestFingerprint(-1, -1);
+    /** The fingerprint of the request that crashes engines. */
+    static final RequestFingerprint CRASHING_REQUEST = new RequestFingerprint(-1, -1);
 
-    /** From what a gateway saw to what all gateways know, by way of the control group; 20 to 60 ms on a small site. */
-    private static final double AGREED_MILLIS = 60;
+    /** The time until all gateways know of an agreed change. */
+    private static final double AGREEMENT_MILLIS = 60;
 
-    /** How old news could be, before the process beside an engine looked when it was asked: it looked that often. */
+    /** The sampling interval of engine load, unless engines are polled before placement. */
     private static final double SAMPLE_MILLIS = 100;
 
-    /** How long after it joined an engine is known to every gateway. */
-    private static final double PUBLISHED_MILLIS = 400;
+    /** The time until all gateways know of a joined engine. */
+    private static final double PUBLICATION_MILLIS = 400;
 
-    private static final double WAY_IN_HALL_MILLIS = 0.1;
+    private static final double LATENCY_IN_HALL_MILLIS = 0.1;
     private static final double PERCENT = 100;
     private static final double MILLIS_PER_SECOND = 1_000;
 
-    /** Sizes vary by about as much as their mean, as on the users' sheets; none is larger than that many means. */
-    private static final double MOST_MEANS = 4;
+    /** The upper limit of exponentially distributed sizes, as a multiple of their mean. */
+    private static final double MAX_SIZE_MEANS = 4;
 
     private final LoadPattern pattern;
     private final PlacementSettings settings;
-    private final VirtualTime time = new VirtualTime();
-    private final ReplayTally tally = new ReplayTally();
+    private final VirtualClock time = new VirtualClock();
+    private final ReplayStatistics statistics = new ReplayStatistics();
     private final UniformRandomProvider random;
     private final Service service;
     private final Map<String, ReplayedEngine> engines = new HashMap<>();
     private final List<ReplayedEngine> present = new ArrayList<>();
-    private final Map<String, Sample> samples = new HashMap<>();
+    private final Map<String, LoadSample> samples = new HashMap<>();
     private final Map<String, List<ReplayedGateway>> gateways = new HashMap<>();
     private final SuspectTable suspects = SuspectTable.empty();
-    private final Set<String> endedUnderDeadly = new HashSet<>();
+    private final Set<String> crashedIncarnations = new HashSet<>();
     private long calls;
 
     /**
-     * What the process beside an engine knows.
+     * A sample of the load of an engine.
      *
-     * @param load the engine's load, not null
-     * @param atMillis when that was
+     * @param load the load, not null
+     * @param atMillis the time of the sample
      */
-    record Sample(EngineLoad load, double atMillis) {}
+    record LoadSample(EngineLoad load, double atMillis) {}
 
-    ReplayWorld(LoadPattern pattern, PlacementSettings settings, long seed) {
+    ReplaySimulation(LoadPattern pattern, PlacementSettings settings, long seed) {
         this.pattern = pattern;
         this.settings = settings;
         this.random = RandomSource.XO_RO_SHI_RO_128_PP.create(seed);
@@ -96,12 +96,12 @@
 
     // ---- queries
 
-    VirtualTime time() {
+    VirtualClock time() {
         return time;
     }
 
-    ReplayTally tally() {
-        return tally;
+    ReplayStatistics statistics() {
+        return statistics;
     }
 
     Service service() {
@@ -126,44 +126,44 @@
         return names;
     }
 
-    ReplayedGateway anyGateway(String dataHall) {
+    ReplayedGateway randomGateway(String dataHall) {
         List<ReplayedGateway> here = gateways.get(dataHall);
         return here.get(random.nextInt(here.size()));
     }
 
-    double wayMillis(String from, String to) {
-        return from.equals(to) ? WAY_IN_HALL_MILLIS : pattern.crossHallMillis();
+    double latencyMillis(String from, String to) {
+        return from.equals(to) ? LATENCY_IN_HALL_MILLIS : pattern.crossHallMillis();
     }
 
-    /** Returns what the process beside an engine answers: what holds now, or what it saw last where it does not look. */
-    Sample sampleOf(ReplayedEngine engine) {
+    /** Returns the load that a poll reports: the current load if polled before placement, else the last sample. */
+    LoadSample loadSample(ReplayedEngine engine) {
         if (settings.polledBeforePlacement() > 0) {
-            return new Sample(engine.load(), time.now());
+            return new LoadSample(engine.load(), time.now());
         }
-        return samples.getOrDefault(engine.id(), new Sample(engine.load(), time.now()));
+        return samples.getOrDefault(engine.id(), new LoadSample(engine.load(), time.now()));
     }
 
     boolean callersRetryFailures() {
         return pattern.callersRetryFailures();
     }
 
-    // ---- what the control group agrees on
+    // ---- changes agreed by the control group
 
-    /** A gateway saw that an engine ended under a request. */
-    void ended(String incarnation, RequestFingerprint request) {
-        if (request.equals(DEADLY)) {
-            endedUnderDeadly.add(incarnation);
+    /** Records that a gateway saw an engine crash while it ran a request. */
+    void crashObserved(String incarnation, RequestFingerprint request) {
+        if (request.equals(CRASHING_REQUEST)) {
+            crashedIncarnations.add(incarnation);
         }
         agree(() -> suspects.recordCrash(1, request, incarnation));
     }
 
-    /** A gateway saw that a suspected request ran to its end. */
-    void ranWhole(RequestFingerprint request) {
+    /** Records that a gateway saw a suspect request complete. */
+    void completionObserved(RequestFingerprint request) {
         agree(() -> suspects.clear(1, request));
     }
 
     private void agree(Runnable change) {
-        time.after(AGREED_MILLIS, () -> {
+        time.schedule(AGREEMENT_MILLIS, () -> {
             change.run();
             List<Suspect> content = suspects.content();
             gateways.values().forEach(here -> here.forEach(gateway -> gateway.suspects(content)));
@@ -176,12 +176,12 @@
         gateways.values().forEach(here -> here.forEach(ReplayedGateway::start));
         publish();
         sample();
-        pattern.events().forEach(event -> time.after((double) event.atMillis(), () -> happen(event)));
+        pattern.events().forEach(event -> time.schedule((double) event.atMillis(), () -> applyEvent(event)));
         gateways.values().forEach(this::startCallers);
         time.runUntil(pattern.seconds() * MILLIS_PER_SECOND);
         double busy = present.stream().mapToDouble(ReplayedEngine::busyMillis).sum();
-        tally.enginesEnded(endedUnderDeadly.size());
-        return tally.result(busy / (present.size() * pattern.seconds() * MILLIS_PER_SECOND));
+        statistics.engineCrashes(crashedIncarnations.size());
+        return statistics.result(busy / (present.size() * pattern.seconds() * MILLIS_PER_SECOND));
     }
 
     private void publish() {
@@ -201,51 +201,51 @@
 
     private void sample() {
         for (ReplayedEngine engine : present) {
-            if (!engine.isDark()) {
-                samples.put(engine.id(), new Sample(engine.load(), time.now()));
+            if (!engine.isUnresponsive()) {
+                samples.put(engine.id(), new LoadSample(engine.load(), time.now()));
             }
         }
-        time.after(SAMPLE_MILLIS, this::sample);
+        time.schedule(SAMPLE_MILLIS, this::sample);
     }
 
-    private void happen(LoadPattern.Event event) {
+    private void applyEvent(LoadPattern.Event event) {
         int count = (int) Math.round(present.size() * event.percent() / PERCENT);
         double pause = (double) event.overMillis() / Math.max(1, count);
-        if (event.what() == Trouble.JOIN) {
+        if (event.type() == ReplayEventType.JOIN) {
             for (int number = 0; number < count; number++) {
                 String dataHall = "hall-" + number % pattern.halls();
                 String id = "engine-" + event.atMillis() + "-" + number;
-                time.after(number * pause, () -> join(id, dataHall));
+                time.schedule(number * pause, () -> join(id, dataHall));
             }
             return;
         }
-        if (event.what() == Trouble.DEADLY) {
-            comeAgain(event, time.now() + event.forMillis());
+        if (event.type() == ReplayEventType.DEADLY) {
+            repeatCrashingRequest(event, time.now() + event.forMillis());
             return;
         }
         List<ReplayedEngine> shuffled = new ArrayList<>(present);
         for (int number = 0; number < count; number++) {
-            ReplayedEngine hit = shuffled.remove(random.nextInt(shuffled.size()));
-            event.what().isPlanned(hit, time.now() + number * pause);
-            time.after(number * pause, () -> event.what().happen(hit, event, time));
+            ReplayedEngine affected = shuffled.remove(random.nextInt(shuffled.size()));
+            event.type().announce(affected, time.now() + number * pause);
+            time.schedule(number * pause, () -> event.type().apply(affected, event, time));
         }
     }
 
-    /** The deadly request comes to any gateway, and again after a pause. */
-    private void comeAgain(LoadPattern.Event event, double untilMillis) {
+    /** Sends the crashing request to a random gateway, and repeats it until the end of the event. */
+    private void repeatCrashingRequest(LoadPattern.Event event, double untilMillis) {
         if (time.now() >= untilMillis) {
             return;
         }
-        ReplayedGateway gateway = anyGateway("hall-" + random.nextInt(pattern.halls()));
+        ReplayedGateway gateway = randomGateway("hall-" + random.nextInt(pattern.halls()));
         LoadPattern.Kind kind = pattern.kinds().get(0);
-        gateway.take(
-                new ReplayedCall(this, kind, gateway.dataHall(), kind.promptTokens(), kind.answerTokens(), DEADLY));
-        time.after((double) event.overMillis(), () -> comeAgain(event, untilMillis));
+        gateway.handle(new ReplayedCall(
+                this, kind, gateway.dataHall(), kind.promptTokens(), kind.answerTokens(), CRASHING_REQUEST));
+        time.schedule((double) event.overMillis(), () -> repeatCrashingRequest(event, untilMillis));
     }
 
     private void join(String id, String dataHall) {
         present.add(engine(id, dataHall));
-        time.after(PUBLISHED_MILLIS, this::publish);
+        time.schedule(PUBLICATION_MILLIS, this::publish);
     }
 
     // ---- callers
@@ -253,19 +253,19 @@
     private void startCallers(List<ReplayedGateway> here) {
         for (int number = 0; number < pattern.callersPerHall(); number++) {
             ReplayedGateway own = here.get(random.nextInt(here.size()));
-            callLater(own);
+            scheduleNextCall(own);
         }
     }
 
-    private void callLater(ReplayedGateway own) {
+    private void scheduleNextCall(ReplayedGateway own) {
         double callers = (double) pattern.halls() * pattern.callersPerHall();
         double perSecond = pattern.requestsPerSecond(time.now()) / callers;
         double pause = perSecond > 0 ? exponential(MILLIS_PER_SECOND / perSecond) : MILLIS_PER_SECOND;
-        time.after(pause, () -> {
+        time.schedule(pause, () -> {
             if (perSecond > 0) {
                 call(own);
             }
-            callLater(own);
+            scheduleNextCall(own);
         });
     }
 
@@ -280,14 +280,14 @@
                 break;
             }
         }
-        tally.owed();
+        statistics.requestCreated();
         RequestFingerprint fingerprint = new RequestFingerprint(0, calls++);
-        own.take(new ReplayedCall(
+        own.handle(new ReplayedCall(
                 this, drawn, own.dataHall(), size(drawn.promptTokens()), size(drawn.answerTokens()), fingerprint));
     }
 
     private int size(int mean) {
-        return (int) Math.max(1, Math.min(MOST_MEANS * mean, exponential(mean)));
+        return (int) Math.max(1, Math.min(MAX_SIZE_MEANS * mean, exponential(mean)));
     }
 
     private double exponential(double mean) {
--- /dev/null
+++ b/standins/src/main/java/org/bankturn/replay/ReplayStatistics.java
@@ -0,0 +1,110 @@
+package org.bankturn.replay;
+
+import java.util.TreeMap;
+import org.HdrHistogram.Histogram;
+
+/**
+ * Collects the metrics of a replay.
+ *
+ * <p>ReplayStatistics is mutable and not thread-safe.
+ */
+final class ReplayStatistics {
+    private static final int DIGITS = 3;
+    private static final long MILLIS_PER_SECOND = 1_000;
+
+    private final Histogram firstEvents = new Histogram(DIGITS);
+    private final TreeMap<Integer, int[]> bySecond = new TreeMap<>();
+    private int requests;
+    private int inTime;
+    private int late;
+    private int lost;
+    private int lostAfterRetry;
+    private int sends;
+    private int engineRejections;
+    private int interrupted;
+    private int loadPolls;
+    private long repeatedPromptTokens;
+    private int engineCrashes;
+    private int falselyCondemned;
+
+    /** Records the first attempt of a request. */
+    void requestCreated() {
+        requests++;
+    }
+
+    /** Records a complete answer, attributed to the second in which the request was created. */
+    void answered(double createdMillis, boolean wasInTime, double firstEventMillis) {
+        inTime += wasInTime ? 1 : 0;
+        late += wasInTime ? 0 : 1;
+        firstEvents.recordValue((long) firstEventMillis);
+        int[] second = second(createdMillis);
+        second[0]++;
+        second[1] += wasInTime ? 1 : 0;
+    }
+
+    /** Records a request that ended without an answer. */
+    void lost(double createdMillis, boolean retried) {
+        lost++;
+        lostAfterRetry += retried ? 1 : 0;
+        second(createdMillis)[0]++;
+    }
+
+    private int[] second(double millis) {
+        return bySecond.computeIfAbsent((int) (millis / MILLIS_PER_SECOND), key -> new int[2]);
+    }
+
+    void sent() {
+        sends++;
+    }
+
+    void rejected() {
+        engineRejections++;
+    }
+
+    void interrupted(int promptTokens) {
+        interrupted++;
+        repeatedPromptTokens += promptTokens;
+    }
+
+    void engineCrashes(int engines) {
+        engineCrashes = engines;
+    }
+
+    /** Records a harmless request that was rejected as a crashing one. */
+    void falselyCondemned() {
+        falselyCondemned++;
+    }
+
+    void loadPolled() {
+        loadPolls++;
+    }
+
+    /** Returns the metrics, not null. */
+    ReplayResult result(double busyShare) {
+        double worstSecond = bySecond.values().stream()
+                .filter(second -> second[0] > 0)
+                .mapToDouble(second -> (double) second[1] / second[0])
+                .min()
+                .orElse(0);
+        return new ReplayResult(
+                requests,
+                share(inTime),
+                share(late),
+                share(lost),
+                share(lostAfterRetry),
+                worstSecond,
+                firstEvents.getValueAtPercentile(50),
+                firstEvents.getValueAtPercentile(99),
+                (double) engineRejections / Math.max(1, sends),
+                (double) interrupted / Math.max(1, sends),
+                repeatedPromptTokens,
+                (double) loadPolls / Math.max(1, requests),
+                busyShare,
+                engineCrashes,
+                falselyCondemned);
+    }
+
+    private double share(int count) {
+        return (double) count / Math.max(1, requests);
+    }
+}
--- a/standins/src/main/java/org/bankturn/standin/Weights.java
+++ b/standins/src/main/java/org/bankturn/standin/Weights.java
@@ -7,21 +7,21 @@
 import org.bankturn.distribution.Manifest;
 
 /**
- * Made-up weights, the same for the same seed.
+ * Pseudo-random weights, reproducible from a seed.
  *
  * @param bytes the weights, not null
  * @param manifest their manifest, not null
  */
 public record Weights(byte[] bytes, Manifest manifest) {
     /**
-     * Makes weights.
+     * Generates weights.
      *
-     * @param seed decides the content
-     * @param totalBytes their size
+     * @param seed the seed of the content
+     * @param totalBytes the size
      * @param chunkBytes the size of a chunk
      * @return the weights, not null
      */
-    public static Weights make(long seed, int totalBytes, int chunkBytes) {
+    public static Weights generate(long seed, int totalBytes, int chunkBytes) {
         byte[] bytes = new byte[totalBytes];
         new Random(seed).nextBytes(bytes);
         List<String> digests = new ArrayList<>();
@@ -33,7 +33,7 @@
         return new Weights(bytes, Manifest.of(totalBytes, chunkBytes, digests));
     }
 
-    /** Returns the SHA-256 of all the bytes, as an engine names what it loaded, not null. */
+    /** Returns the SHA-256 of all bytes, as engines report it, not null. */
     public String digest() {
         return Digest.of(bytes);
     }
--- a/standins/src/test/java/org/bankturn/harness/ControlFailureTest.java
+++ b/standins/src/test/java/org/bankturn/harness/ControlFailureTest.java
@@ -11,7 +11,7 @@
 import java.util.concurrent.CompletableFuture;
 import org.junit.jupiter.api.Test;
 
-/** Failures of control boxes and of those who learn the configuration, with real processes. */
+/** Tests failures of control boxes and of configuration followers, with real processes. */
 class ControlFailureTest {
     @Test
     void a_box_that_lost_its_disk_is_admitted_and_a_second_may_be_lost_right_after() throws IOException {
@@ -30,10 +30,10 @@
     private static void loseDiskOf(SmallDeployment deployment, String box) throws IOException {
         DaemonHandle daemon = deployment.running.daemon(box);
         daemon.kill();
-        deployment.running.loseDisk(box);
+        deployment.running.deleteData(box);
         daemon.start();
         daemon.awaitReady();
-        Await.until(box + " is a member in its new life", SmallDeployment.PATIENCE, () -> {
+        Await.until(box + " is a member as a new incarnation", SmallDeployment.TIMEOUT_MILLIS, () -> {
             try {
                 JsonNode members = deployment.read("status", "one-entry").path("members");
                 return members.size() == 3 && !members.toString().contains("\"" + box + "#1\"");
@@ -50,8 +50,8 @@
             String leader = deployment.leader();
             String other = leader.equals("two-entry") ? "three-entry" : "two-entry";
             DaemonHandle frozen = deployment.running.daemon(leader);
-            frozen.freeze();
-            Await.until("another box leads and accepts", SmallDeployment.PATIENCE, () -> {
+            frozen.suspend();
+            Await.until("another box leads and accepts", SmallDeployment.TIMEOUT_MILLIS, () -> {
                 try {
                     return deployment.applyThrough(deployment.running.httpAddress(other), 2, "v2", "after") == 0;
                 } catch (IOException e) {
@@ -60,7 +60,7 @@
             });
             deployment.awaitFile(other, 2);
             long accepted = deployment.indexAt(other);
-            frozen.thaw();
+            frozen.resume();
             assertThat(deployment.applyThrough(deployment.running.httpAddress(leader), 2, "v1", "late"))
                     .isEqualTo(3);
             deployment.awaitIndex(leader, accepted);
@@ -73,7 +73,7 @@
         try (SmallDeployment deployment = SmallDeployment.start(SmallDeployment.ENGINE)) {
             deployment.apply(1, "v1");
             List<CompletableFuture<Integer>> racers = new ArrayList<>();
-            for (DeploymentPlan.Place entry : deployment.running.plan().entries()) {
+            for (DeploymentPlan.EntryBox entry : deployment.running.plan().entries()) {
                 String text = Files.readString(deployment.running.folder().resolve("operators-1.yaml"))
                         .replace("number: 1", "number: 2")
                         .replace("region: region", "region: by-" + entry.name());
@@ -106,13 +106,12 @@
     }
 
     /**
-     * A follower showed an accepted file up to 149 ms after its acceptance, on a machine with more busy processes than
-     * cores, and this test once read index 0 there right after it, then 2 ("expected: 0L but was: 2L"). What is shown is
-     * compared only once every process shows the file and has its version in service, after which nothing else changes it.
+     * Followers show an accepted file with a delay, so the configurations are compared only once every process shows the
+     * file and has its version in service.
      */
     @Test
     void a_bad_file_changes_nothing_and_a_resent_one_gets_the_same_answer() throws IOException {
-        try (SmallDeployment deployment = SmallDeployment.serving()) {
+        try (SmallDeployment deployment = SmallDeployment.startServing()) {
             List<JsonNode> shown = shownEverywhere(deployment);
             assertThat(shown).allSatisfy(each -> assertThat(each.path("files")).hasSize(1));
             assertThat(deployment.apply(2, "no-such-version")).isEqualTo(3);
@@ -124,10 +123,10 @@
         }
     }
 
-    /** Returns the whole of what each entry process shows. */
+    /** Returns the configuration that each entry process shows. */
     private static List<JsonNode> shownEverywhere(SmallDeployment deployment) throws IOException {
         List<JsonNode> shown = new ArrayList<>();
-        for (DeploymentPlan.Place entry : deployment.running.plan().entries()) {
+        for (DeploymentPlan.EntryBox entry : deployment.running.plan().entries()) {
             shown.add(deployment.read("show", entry.name()));
         }
         return shown;
--- a/standins/src/test/java/org/bankturn/harness/WeightsFailureTest.java
+++ b/standins/src/test/java/org/bankturn/harness/WeightsFailureTest.java
@@ -8,7 +8,7 @@
 import org.bankturn.standin.EngineStandin;
 import org.junit.jupiter.api.Test;
 
-/** Failures around moving weights, with real processes. */
+/** Tests failures during the distribution of weights, with real processes. */
 class WeightsFailureTest {
     private static Collection<String> loadedBy(SmallDeployment deployment, String box) {
         return deployment.running.engine(box).loaded().values();
@@ -17,19 +17,19 @@
     @Test
     void a_corrupting_origin_stops_the_copy_with_a_note_and_nothing_is_loaded() throws IOException {
         try (SmallDeployment deployment = SmallDeployment.start(SmallDeployment.ENGINE)) {
-            deployment.running.origin().corrupt(true);
+            deployment.running.origin().setCorrupting(true);
             deployment.apply(1, "v1");
             Await.until(
                     "operators are told",
-                    SmallDeployment.PATIENCE,
+                    SmallDeployment.TIMEOUT_MILLIS,
                     () -> notes(deployment).contains("3002"));
             assertThat(loadedBy(deployment, "one-assistant")).isEmpty();
-            deployment.running.origin().corrupt(false);
+            deployment.running.origin().setCorrupting(false);
             deployment.apply(2, "v2");
             Await.until(
                     "the next version arrives",
-                    SmallDeployment.PATIENCE,
-                    () -> deployment.running.enginesWith(SmallDeployment.SECOND) == 3);
+                    SmallDeployment.TIMEOUT_MILLIS,
+                    () -> deployment.running.enginesWith(SmallDeployment.WEIGHTS_V2) == 3);
         }
     }
 
@@ -49,23 +49,23 @@
             deployment.apply(2, "v2");
             Await.until(
                     "the second version arrives",
-                    SmallDeployment.PATIENCE,
-                    () -> deployment.running.enginesWith(SmallDeployment.SECOND) == 3);
-            for (DeploymentPlan.TargetPlace target : deployment.running.plan().targets()) {
+                    SmallDeployment.TIMEOUT_MILLIS,
+                    () -> deployment.running.enginesWith(SmallDeployment.WEIGHTS_V2) == 3);
+            for (DeploymentPlan.TargetBox target : deployment.running.plan().targets()) {
                 if (target.service().equals(DeploymentPlan.ASSISTANT)) {
                     assertThat(loadedBy(deployment, target.name()))
-                            .isSubsetOf(SmallDeployment.FIRST.digest(), SmallDeployment.SECOND.digest());
+                            .isSubsetOf(SmallDeployment.WEIGHTS_V1.digest(), SmallDeployment.WEIGHTS_V2.digest());
                 }
             }
             deployment.awaitServing();
-            assertThat(deployment.tally.wrongCount()).isZero();
+            assertThat(deployment.statistics.incorrectCount()).isZero();
         }
     }
 
     @Test
     void target_processes_killed_during_the_copy_start_again_and_finish_it() throws IOException {
-        EngineStandin.Settings unchecking = new EngineStandin.Settings(false, 10, 5, 20);
-        try (SmallDeployment deployment = SmallDeployment.start(unchecking)) {
+        EngineStandin.Settings withoutFenceCheck = new EngineStandin.Settings(false, 10, 5, 20);
+        try (SmallDeployment deployment = SmallDeployment.start(withoutFenceCheck)) {
             deployment.apply(1, "v1");
             for (String box : new String[] {"one-assistant", "three-assistant"}) {
                 DaemonHandle target = deployment.running.daemon(box);
@@ -75,12 +75,12 @@
             }
             Await.until(
                     "every engine serves",
-                    SmallDeployment.PATIENCE,
-                    () -> deployment.running.enginesWith(SmallDeployment.FIRST) == 3);
+                    SmallDeployment.TIMEOUT_MILLIS,
+                    () -> deployment.running.enginesWith(SmallDeployment.WEIGHTS_V1) == 3);
             double copies = deployment
                     .running
                     .origin()
-                    .copiesSent(SmallDeployment.FIRST.manifest().digest());
+                    .copiesSent(SmallDeployment.WEIGHTS_V1.manifest().digest());
             assertThat(copies).isLessThanOrEqualTo(4.0);
         }
     }
@@ -89,9 +89,9 @@
     void a_second_process_for_the_same_box_does_not_start() throws IOException {
         try (SmallDeployment deployment = SmallDeployment.start(SmallDeployment.ENGINE)) {
             DaemonHandle first = deployment.running.daemon("one-assistant");
-            DaemonHandle second = first.twin();
+            DaemonHandle second = first.duplicate();
             second.start();
-            assertThat(second.awaitEnd()).isEqualTo(4);
+            assertThat(second.awaitExit()).isEqualTo(4);
             assertThat(first.isAlive()).isTrue();
         }
     }
