--- a/daemon/src/test/java/org/bankturn/daemon/weights/WeightsRelayTest.java
+++ b/daemon/src/test/java/org/bankturn/daemon/weights/WeightsRelayTest.java
@@ -1,5 +1,7 @@
 package org.bankturn.daemon.weights;
 
+import static org.assertj.core.api.Assertions.assertThat;
+
 import io.activej.eventloop.Eventloop;
 import io.activej.promise.Promise;
 import java.io.OutputStream;
@@ -23,7 +25,6 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
-import static org.assertj.core.api.Assertions.assertThat;
 
 /** Tests a relay without a reachable origin. */
 @Timeout(60)
