--- a/core/src/main/java/org/bankturn/publication/PublicationCommand.java
+++ b/core/src/main/java/org/bankturn/publication/PublicationCommand.java
@@ -45,7 +45,7 @@
      * @param id the incarnation, not null
      * @param name the target's name; defaults to the incarnation if null
      * @param bornMillis the start time of the incarnation, 0 if unknown
-     * @param byItself true if the target deregistered itself
+     * @param byItself true if the target was removed at its own request
      */
     record RemoveTarget(String id, String name, long bornMillis, boolean byItself) implements PublicationCommand {
         /** Defaults the name to the incarnation. */
--- a/core/src/main/java/org/bankturn/registry/TargetRegistry.java
+++ b/core/src/main/java/org/bankturn/registry/TargetRegistry.java
@@ -37,7 +37,7 @@
      * @param bornMillis the start time of the incarnation, 0 if unknown
      * @param lastSequence the sequence of its last recorded heartbeat
      * @param index the index of the log entry that removed it
-     * @param byItself true if the target deregistered itself and must not be registered again
+     * @param byItself true if the target was removed at its own request and must not be registered again
      * @param address its address; null if it was never registered, or was stored by an earlier version
      */
     public record Departure(
@@ -103,7 +103,7 @@
         return List.copyOf(targets.values());
     }
 
-    /** Returns true if the incarnation deregistered itself. */
+    /** Returns true if the incarnation was removed at its own request. */
     public boolean hasLeft(String id) {
         Departure departure = departures.get(id);
         return departure != null && departure.byItself();
@@ -205,7 +205,7 @@
      *
      * @param index the index of the log entry
      * @param id the incarnation, not null
-     * @param byItself true if the target deregistered itself
+     * @param byItself true if the target was removed at its own request
      */
     public void remove(long index, String id, boolean byItself) {
         remove(index, id, id, 0, byItself);
@@ -218,7 +218,7 @@
      * @param id the incarnation, not null
      * @param name the target's name, not null
      * @param bornMillis the start time of the incarnation, 0 if unknown
-     * @param byItself true if the target deregistered itself
+     * @param byItself true if the target was removed at its own request
      */
     public void remove(long index, String id, String name, long bornMillis, boolean byItself) {
         // otherwise an earlier incarnation would stay registered, since its heartbeats are superseded
--- a/daemon/src/main/java/org/bankturn/daemon/group/ControlCall.java
+++ b/daemon/src/main/java/org/bankturn/daemon/group/ControlCall.java
@@ -17,7 +17,10 @@
     /** Reports that a target is running. */
     record Heartbeat(TargetSighting sighting) implements ControlCall {}
 
-    /** Deregisters the incarnation of a target that started at {@code bornMillis}, or the registered one if that is 0. */
+    /**
+     * Removes, at its own request, the incarnation of a target that started at {@code bornMillis}, or the registered
+     * one if that is 0.
+     */
     record Leave(String name, long bornMillis) implements ControlCall {}
 
     /** Lists the requests during which targets crashed. */
--- a/daemon/src/main/java/org/bankturn/daemon/group/TargetCallHandler.java
+++ b/daemon/src/main/java/org/bankturn/daemon/group/TargetCallHandler.java
@@ -17,7 +17,7 @@
 import org.bankturn.service.UnreadableDocumentException;
 
 /**
- * Handles the heartbeats and deregistrations of targets.
+ * Handles the heartbeats of targets and their requests to be removed.
  *
  * <p>TargetCallHandler is confined to its reactor's thread.
  */
