--- a/daemon/src/main/java/org/bankturn/daemon/gateway/CrashDetector.java
+++ b/daemon/src/main/java/org/bankturn/daemon/gateway/CrashDetector.java
@@ -146,13 +146,12 @@
     }
 
     private void refreshCondemned() {
-        Set<RequestFingerprint> current = suspects.condemned();
-        metrics.setBlockedRequests(current.size());
+        Set<RequestFingerprint> newlyCondemned = suspects.condemned();
+        metrics.setBlockedRequests(newlyCondemned.size());
         Set<RequestFingerprint> previous = Set.copyOf(condemned);
         condemned.clear();
-        condemned.addAll(current);
+        condemned.addAll(newlyCondemned);
         trialRequester.update(condemned);
-        Set<RequestFingerprint> newlyCondemned = new HashSet<>(current);
         newlyCondemned.removeAll(previous);
         for (RequestFingerprint request : newlyCondemned) {
             log.line(DecisionKind.SUSPECT)
