--- a/standins/src/main/java/org/bankturn/replay/ReplayedGateway.java
+++ b/standins/src/main/java/org/bankturn/replay/ReplayedGateway.java
@@ -369,20 +369,20 @@
                     request.finished = true;
                     request.call.failed();
                 } else {
-                    retryElsewhere();
+                    retryElsewhere(request);
                 }
             });
         }
 
-        private void retryElsewhere() {
+        private void retryElsewhere(ForwardedRequest lost) {
             if (finished) {
                 return;
             }
             finish();
             candidate.target().requestFailed(time.millis());
-            simulation.statistics().interrupted(request.progress.promptTokens());
-            request.progress.outcomeUnknown();
-            request.sendToNext();
+            simulation.statistics().interrupted(lost.progress.promptTokens());
+            lost.progress.outcomeUnknown();
+            lost.sendToNext();
         }
 
         private void scheduleSilenceCheck() {
@@ -404,7 +404,7 @@
             }
             if (policy.canRetryElsewhere(request.progress)) {
                 task.cancel();
-                retryElsewhere();
+                retryElsewhere(request);
             }
         }
 
